--- a/benches/gateway_choice.py
+++ b/benches/gateway_choice.py
@@ -9,7 +9,7 @@
 from benches.bench_row import BenchRow, make_row
 from savorychute.gateway.dispatch import load_choosers
 from savorychute.gateway.dispatch.chooser import CHOOSERS
-from savorychute.gateway.dispatch.need import Need
+from savorychute.gateway.dispatch.request_requirements import RequestRequirements
 from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
 from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
 from savorychute.gateway.requests.prompt import Prompt, PromptPart
@@ -52,11 +52,14 @@
 
 def _cost_us(chooser: Chooser, engines: int) -> float:
     records = [EndpointRecord(_entry(number)) for number in range(engines)]
-    needs = [Need(_prompt(n), GAP_TARGET_MS, TARGET_MS) for n in range(PROMPTS)]
+    needs = [
+        RequestRequirements(_prompt(n), GAP_TARGET_MS, TARGET_MS)
+        for n in range(PROMPTS)
+    ]
     began_ns = time.process_time_ns()
     for number in range(DECISIONS):
         need = needs[number % PROMPTS]
-        chooser.wants_reports(records, need, number)
+        chooser.endpoints_to_query(records, need, number)
         chooser.choose(records, need, number)
     return (time.process_time_ns() - began_ns) / NS_PER_US / DECISIONS
 
--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -16,8 +16,8 @@
 from savorychute.gateway.dispatch import load_choosers
 from savorychute.gateway.dispatch.chooser import CHOOSERS
 from savorychute.gateway.dispatch.engine_models import EngineModels
-from savorychute.gateway.dispatch.lane_demand import LaneDemand
 from savorychute.gateway.dispatch.overload_guard import OverloadGuard
+from savorychute.gateway.dispatch.partition_demand import PartitionDemand
 from savorychute.gateway.dispatch.shortages import Shortages
 from savorychute.gateway.endpoint_telemetry import EndpointTelemetry
 from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
@@ -91,7 +91,7 @@
     settings = around.settings
     eras = StoreEra()
     topics = _open_topics(around, eras)
-    demand = LaneDemand()
+    demand = PartitionDemand()
     side = make_duty_side(around)
     parts = _make_parts(around, demand, side.ledger)
     calls = parts.telemetry.calls
@@ -130,7 +130,7 @@
         parts.shortages,
         parts.statements,
         parts.permits,
-        parts.roster.steady_streams,
+        parts.roster.sensitive_streams,
         plan,
         reading,
         side.candidates,
@@ -195,7 +195,7 @@
 
 
 def _make_parts(
-    around: Surroundings, demand: LaneDemand, usage: UsageLedger
+    around: Surroundings, demand: PartitionDemand, usage: UsageLedger
 ) -> GatewayParts:
     load_choosers()
     settings, clock, rng = around.settings, around.clock, around.rng
--- a/savorychute/gateway/daemon/gateway_host.py
+++ b/savorychute/gateway/daemon/gateway_host.py
@@ -120,7 +120,7 @@
             return
         self._summary_ms = now_ms
         self._parts.telemetry.store_used()
-        for service, figures in self._parts.engines.figures().items():
+        for service, figures in self._parts.engines.estimates().items():
             self._parts.telemetry.engines_learned(service, figures)
 
     # -- requests
--- a/savorychute/gateway/daemon/peer_messages.py
+++ b/savorychute/gateway/daemon/peer_messages.py
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
     from savorychute.gateway.discovery.instance_directory import InstanceDirectory
-    from savorychute.gateway.dispatch.lane_demand import LaneDemand
+    from savorychute.gateway.dispatch.partition_demand import PartitionDemand
     from savorychute.gateway.dispatch.shortages import Shortages
     from savorychute.gateway.duties.duty_candidates import DutyCandidates
     from savorychute.gateway.duties.true_time import TrueTime
@@ -46,7 +46,7 @@
 
     directory: InstanceDirectory
     crashes: CrashBook
-    demand: LaneDemand
+    demand: PartitionDemand
     shortages: Shortages
     statements: StatementBook
     permits: PermitDesk
@@ -138,8 +138,8 @@
 
     def _hear(self, sender: str, probe: Ping | Ack, now_ms: int) -> None:
         parts = self.parts
-        parts.demand.hear(probe.load, now_ms)
-        parts.shortages.hear(probe.shortages, now_ms)
+        parts.demand.record_reported(probe.load, now_ms)
+        parts.shortages.record_reported(probe.shortages, now_ms)
         parts.statements.limits.hear(probe.limits, now_ms)
         parts.statements.leaving.hear(probe.leaving, now_ms)
         parts.time.hear(sender, probe.wall_ms, now_ms)
--- a/savorychute/gateway/dispatch/__init__.py
+++ b/savorychute/gateway/dispatch/__init__.py
@@ -1,17 +1,20 @@
-"""How a request is placed at an endpoint, waits there, or is turned away.
+"""Choice of an endpoint for each request, and refusal of requests under overload.
 
-Nothing here does I/O or knows a host: the parts take needs, reports and times.
+The modules here do no I/O and depend on no host; they work on request requirements,
+load reports and times.
 
-* ``endpoint_search`` goes through the endpoints for one request;
-* ``chooser`` and its variants say which endpoint is best;
-* ``lane_demand`` and ``lane_split`` keep streams that must not pause from long prompts;
-* ``home_ranking`` sends requests of one shared prompt to one engine;
-* ``report_selection`` says which engines are asked for their load first;
-* ``engine_state`` and ``wait_forecast`` say what a request of a rank meets at an engine;
-* ``engine_model`` predicts what a request meets at an engine, from what engines showed;
-* ``rank_limits`` and ``recent_shares`` say how much of a rank an engine's load refuses;
-* ``shortages`` knows which tiers get nothing, so that those below are held back;
-* ``overload_guard`` turns away what no engine could serve in time.
+* ``endpoint_search`` searches the endpoints for one request;
+* ``chooser`` and its variants determine which endpoint is best;
+* ``partition_demand`` and ``engine_partition`` keep latency-sensitive streams on
+  engines of their own, away from long prompts;
+* ``home_ranking`` sends requests that share a prompt to one engine;
+* ``report_selection`` determines which engines are asked for their load first;
+* ``engine_state`` and ``wait_forecast`` evaluate an engine's load for a given rank;
+* ``engine_model`` predicts the behaviour of engines from observations;
+* ``rank_limits`` and ``recent_shares`` determine the share of a rank's requests that is
+  refused because of an engine's load;
+* ``shortages`` tracks tiers that are not served, so that lower tiers are shed;
+* ``overload_guard`` refuses requests that no engine could serve in time.
 """
 
 from __future__ import annotations
--- a/savorychute/gateway/dispatch/chooser.py
+++ b/savorychute/gateway/dispatch/chooser.py
@@ -1,4 +1,4 @@
-"""How an endpoint is chosen for a request."""
+"""Interface and registry of the policies that choose an endpoint for a request."""
 
 from __future__ import annotations
 
@@ -11,24 +11,25 @@
     from collections.abc import Sequence
 
     from savorychute.gateway.dispatch.engine_models import EngineModels
-    from savorychute.gateway.dispatch.lane_demand import LaneDemand
-    from savorychute.gateway.dispatch.need import Need
+    from savorychute.gateway.dispatch.partition_demand import PartitionDemand
+    from savorychute.gateway.dispatch.request_requirements import RequestRequirements
     from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
     from savorychute.gateway.endpoints.endpoint_run import EndpointRun
     from savorychute.gateway.permits.permit import Permit
 
 
 class Choice(NamedTuple):
-    """The endpoint, and how many tokens it is expected to read anew.
-
-    ``wait_ms`` is how long the request is expected to wait before its prompt is read;
-    the reading itself does not count, or the largest prompts would be refused first.
-    ``load_known`` is whether the endpoint's load was reported lately, ``idle`` whether it
-    said that nothing waits there.  A stream that is ``steady`` would be late beside long
-    prompts; one that is ``apart`` runs away from them.
-    ``rank`` is the request's; an engine serves what is more urgent first.
-    For a request that leaves its home, ``compared`` are the engines that were asked.
-    ``permit`` is for an endpoint that states a limit.
+    """A chosen endpoint, and the number of tokens it is expected to prefill.
+
+    ``wait_ms`` is the expected wait before the prefill of the request starts; the
+    prefill itself is excluded, otherwise the largest prompts would be refused first.
+    ``load_known`` is true if the endpoint reported its load recently, ``idle`` if that
+    report showed an empty queue.  A ``latency_sensitive`` stream would miss its gap
+    target beside long prompts; an ``isolated`` one was placed away from long prompts.
+    ``rank`` is the rank of the request; engines serve more urgent requests first.
+    ``compared`` holds the engines with a recent report that were considered for a
+    request that leaves its home.  ``permit`` is set for an endpoint that states a
+    limit.
     """
 
     record: EndpointRecord
@@ -37,47 +38,53 @@
     wait_ms: float = 0.0
     load_known: bool = False
     idle: bool = False
-    steady: bool = False
-    apart: bool = False
+    latency_sensitive: bool = False
+    isolated: bool = False
     rank: int = 0
     compared: tuple[Choice, ...] = ()
     permit: Permit | None = None
 
 
 class Chooser(Protocol):
-    """One way to choose."""
+    """A policy that chooses an endpoint for a request."""
 
-    def wants_reports(
-        self, records: Sequence[EndpointRecord], need: Need, now_ms: int
+    def endpoints_to_query(
+        self,
+        records: Sequence[EndpointRecord],
+        requirements: RequestRequirements,
+        now_ms: int,
     ) -> list[EndpointRecord]:
-        """Return the endpoints whose load should be asked for before the choice.
+        """Return the endpoints whose load should be queried before the choice.
 
         :param records: the candidates, at least one.
-        :param need: of the request.
-        :param now_ms: the time.
+        :param requirements: requirements of the request.
+        :param now_ms: the current time.
         """
         ...
 
     def choose(
-        self, records: Sequence[EndpointRecord], need: Need, now_ms: int
+        self,
+        records: Sequence[EndpointRecord],
+        requirements: RequestRequirements,
+        now_ms: int,
     ) -> Choice:
         """Return the best of some endpoints.
 
         :param records: the candidates, at least one.
-        :param need: of the request.
-        :param now_ms: the time.
+        :param requirements: requirements of the request.
+        :param now_ms: the current time.
         """
         ...
 
 
 class ChooserFactory(Protocol):
-    """Makes a chooser."""
+    """Creates a chooser."""
 
     def __call__(
         self,
         failure_domain: str,
         rng: random.Random,
-        demand: LaneDemand | None = None,
+        demand: PartitionDemand | None = None,
         models: EngineModels | None = None,
     ) -> Chooser:
         """Return a chooser for an instance in a failure domain."""
@@ -87,18 +94,18 @@
 CHOOSERS: Registry[ChooserFactory] = Registry('chooser')
 
 
-def open_records(
-    records: Sequence[EndpointRecord], tried: frozenset[EndpointRun], now_ms: int
+def available_records(
+    records: Sequence[EndpointRecord], attempted: frozenset[EndpointRun], now_ms: int
 ) -> list[EndpointRecord]:
     """Return the endpoints to choose from.
 
-    Those that did not answer lately are left out, unless no other is left: a block is
-    a guess, and a guess must not refuse a request that an endpoint could run.
+    Endpoints that recently failed to answer are excluded, unless no others are left: a
+    block is only an estimate and must not refuse a request that an endpoint could run.
 
     :param records: the endpoints of a service.
-    :param tried: those that the request has been sent to.
-    :param now_ms: the time.
+    :param attempted: endpoint runs that the request was sent to before.
+    :param now_ms: the current time.
     """
-    untried = [each for each in records if each.entry.run not in tried]
-    healthy = [each for each in untried if not each.health.is_blocked(now_ms)]
-    return healthy or untried
+    unattempted = [each for each in records if each.entry.run not in attempted]
+    healthy = [each for each in unattempted if not each.health.is_blocked(now_ms)]
+    return healthy or unattempted
--- a/savorychute/gateway/dispatch/endpoint_search.py
+++ b/savorychute/gateway/dispatch/endpoint_search.py
@@ -5,10 +5,10 @@
 from enum import Enum, auto
 from typing import TYPE_CHECKING
 
-from savorychute.gateway.dispatch.chooser import open_records
+from savorychute.gateway.dispatch.chooser import available_records
 from savorychute.gateway.dispatch.limited_endpoints import LimitedEndpoints
-from savorychute.gateway.dispatch.need import Need
 from savorychute.gateway.dispatch.rank_limits import is_last_tier
+from savorychute.gateway.dispatch.request_requirements import RequestRequirements
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -20,31 +20,32 @@
     from savorychute.gateway.requests.admitted import Admitted
     from savorychute.gateway.requests.inbound_request import InboundRequest
 
-# Rounds of load reports before a choice: of the likeliest engine, then of others.
-MOST_ASKED = 2
-# With a longer wait at the best other engine a limited one is asked first.
-BUSY_MS = 150.0
+# Rounds of load reports before a choice: of the most promising engine, then of others.
+MAX_REPORT_ROUNDS = 2
+# If the wait at the best unlimited engine is longer, limited endpoints are preferred.
+LIMITED_PREFERRED_WAIT_MS = 150.0
 
 
 class NotFound(Enum):
-    """Why there is no endpoint now.
+    """Reason why there is no endpoint at present.
 
-    ``ASKING`` calls back when answers have come.  ``CLOSED``: those that are left rest, or
-    have taken all the calls that they state to take.
+    ``PENDING``: load reports or a permit were requested, and the search is called back
+    when they arrive.  ``SUSPENDED``: the remaining endpoints have paused requests or
+    have used up their stated limits.
     """
 
-    ASKING = auto()
+    PENDING = auto()
     NONE_LEFT = auto()
     OVERLOADED = auto()
-    CLOSED = auto()
+    SUSPENDED = auto()
 
 
 class EndpointSearch:
-    """Chooses among the endpoints that the request has not been sent to yet.
+    """Chooses among the endpoints that the request was not sent to before.
 
-    :param parts: what all requests share.
+    :param parts: state and ports shared by all requests.
     :param request: the request.
-    :param admitted: what it is owed.
+    :param admitted: its route, service and rank.
     """
 
     def __init__(
@@ -53,201 +54,214 @@
         self._parts = parts
         self._request = request
         self._service = admitted.service
-        self._need = Need(
+        self._requirements = RequestRequirements(
             request.prompt,
             admitted.route.gap_target_ms,
             admitted.route.target_ms,
             admitted.rank,
         )
         self._limited = LimitedEndpoints(parts, request, admitted)
-        self._tried: set[EndpointRun] = set()
-        self._asked = 0
-        self._anywhere = False
-        # A limited endpoint that has given its permit.
+        self._attempted: set[EndpointRun] = set()
+        self._report_rounds = 0
+        self._any_engine = False
+        # The choice of a limited endpoint for which a permit was granted.
         self._granted: Choice | None = None
 
     def find(
-        self, now_ms: int, can_have_run: bool, on_answers: Callable[[], None]
+        self, now_ms: int, can_have_run: bool, on_ready: Callable[[], None]
     ) -> Choice | NotFound:
-        """Return an endpoint for the next attempt, or why there is none.
+        """Return an endpoint for the next attempt, or the reason why there is none.
 
-        :param now_ms: the time.
-        :param can_have_run: a request of which an attempt can have run is not refused
-            for want of room: nobody could be told that it had not run.
-        :param on_answers: called once after ``ASKING``, when the search should go on.
+        :param now_ms: the current time.
+        :param can_have_run: whether an earlier attempt may have run.  Such a request is
+            not refused for overload, because the refusal would state that it did not
+            run.
+        :param on_ready: called once after ``PENDING`` when the search should continue.
         """
         granted, self._granted = self._granted, None
         if granted is not None and granted.record in self._usable(now_ms):
-            return self._settle(granted)
-        found = self._find(now_ms, can_have_run, on_answers)
+            return self._select(granted)
+        found = self._find(now_ms, can_have_run, on_ready)
         if isinstance(found, NotFound):
             return found
         if not self._limited.is_limited(found.record):
-            return self._settle(found)
-        return self._ask_permit(found, now_ms, can_have_run, on_answers)
+            return self._select(found)
+        return self._request_permit(found, now_ms, can_have_run, on_ready)
 
     def _find(
-        self, now_ms: int, can_have_run: bool, on_answers: Callable[[], None]
+        self, now_ms: int, can_have_run: bool, on_ready: Callable[[], None]
     ) -> Choice | NotFound:
-        """Return an endpoint, whether it needs a permit or not."""
+        """Return an endpoint, whether or not it needs a permit."""
         candidates = self._candidates(now_ms)
         if not candidates:
             return self._find_limited(now_ms, can_have_run)
         chooser = self._parts.chooser(self._service)
-        need = self._need._replace(
-            tries_again=bool(self._tried), anywhere=self._anywhere
+        requirements = self._requirements._replace(
+            is_retry=bool(self._attempted), any_engine=self._any_engine
         )
-        wanted = [
+        outdated = [
             record
-            for record in chooser.wants_reports(candidates, need, now_ms)
+            for record in chooser.endpoints_to_query(candidates, requirements, now_ms)
             if not self._limited.is_limited(record)
         ]
-        if wanted and self._asked < MOST_ASKED:
-            self._asked += 1
-            self._parts.loads.refresh(wanted, on_answers)
-            return NotFound.ASKING
-        choice = chooser.choose(candidates, need, now_ms)
-        if can_have_run or self._parts.guard.admits(choice, need, now_ms):
+        if outdated and self._report_rounds < MAX_REPORT_ROUNDS:
+            self._report_rounds += 1
+            self._parts.loads.refresh(outdated, on_ready)
+            return NotFound.PENDING
+        choice = chooser.choose(candidates, requirements, now_ms)
+        if can_have_run or self._parts.guard.admits(choice, requirements, now_ms):
             return self._prefer_limited(choice, now_ms)
-        if self._may_go_anywhere(need):
-            return self._find(now_ms, can_have_run, on_answers)
+        if self._try_any_engine(requirements):
+            return self._find(now_ms, can_have_run, on_ready)
         limited = self._choose_limited(now_ms)
         if limited is not None and self._admits(limited, now_ms):
             return limited
-        self._tell_shed(choice, need, now_ms)
+        self._report_shed(choice, requirements, now_ms)
         return NotFound.OVERLOADED
 
     def _admits(self, choice: Choice, now_ms: int) -> bool:
-        return self._parts.guard.admits(choice, self._need, now_ms)
+        return self._parts.guard.admits(choice, self._requirements, now_ms)
 
-    def _tell_shed(self, choice: Choice, need: Need, now_ms: int) -> None:
-        limit = self._parts.guard.binding_limit(choice, need, now_ms)
-        self._parts.telemetry.request_shed(self._request, choice, need, limit, now_ms)
+    def _report_shed(
+        self, choice: Choice, requirements: RequestRequirements, now_ms: int
+    ) -> None:
+        limit = self._parts.guard.binding_limit(choice, requirements, now_ms)
+        self._parts.telemetry.request_shed(
+            self._request, choice, requirements, limit, now_ms
+        )
 
-    def _may_go_anywhere(self, need: Need) -> bool:
-        """Let a request look once more, at the engines of all lanes.
+    def _try_any_engine(self, requirements: RequestRequirements) -> bool:
+        """Widen the search to the engines of all partitions; return whether it was.
 
-        The engines of its lane may be full while others begin what is less urgent; the
-        last tier has none below it.
+        The engines of a request's partition may be full while others start less urgent
+        requests.  Requests of the last tier are excluded, as no tier is below them.
         """
-        if self._anywhere or need.prompt is None or is_last_tier(need.rank):
+        if (
+            self._any_engine
+            or requirements.prompt is None
+            or is_last_tier(requirements.rank)
+        ):
             return False
-        self._anywhere = True
-        self._asked = MOST_ASKED - 1
+        self._any_engine = True
+        self._report_rounds = MAX_REPORT_ROUNDS - 1
         return True
 
-    def has_other(self, now_ms: int) -> bool:
-        """Return whether there is an endpoint that has not had the request."""
-        return bool(self._open(self._usable(now_ms), now_ms))
+    def has_alternative(self, now_ms: int) -> bool:
+        """Return whether there is an endpoint that was not attempted yet."""
+        return bool(self._available(self._usable(now_ms), now_ms))
 
-    def take_back(self, run: EndpointRun) -> None:
-        """Take in that a request did not leave for an endpoint after all.
+    def release(self, run: EndpointRun) -> None:
+        """Make an endpoint available again because the request was never sent to it.
 
-        :param run: of the endpoint.
+        :param run: the run of the endpoint.
         """
-        self._tried.discard(run)
+        self._attempted.discard(run)
 
     def wait_ms(self, now_ms: int) -> int:
-        """Return how long it takes until an endpoint may take the request.
+        """Return the time until an endpoint may accept the request, in ms.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         waits_ms = (
-            max(self._rest_ms(record, now_ms), self._limited.wait_ms(record, now_ms))
+            max(self._pause_ms(record, now_ms), self._limited.wait_ms(record, now_ms))
             for record in self._listed()
         )
         return min(waits_ms, default=0)
 
-    def _rest_ms(self, record: EndpointRecord, now_ms: int) -> int:
+    def _pause_ms(self, record: EndpointRecord, now_ms: int) -> int:
         return self._parts.statements.rests.left_ms(record.entry.run, now_ms)
 
     # -- limited endpoints
 
     def _find_limited(self, now_ms: int, can_have_run: bool) -> Choice | NotFound:
-        """Return a limited endpoint for a request that has no other one."""
+        """Return a limited endpoint for a request that has no other endpoint."""
         choice = self._choose_limited(now_ms)
         if choice is None:
-            is_closed = any(self._is_closed(each, now_ms) for each in self._listed())
-            return NotFound.CLOSED if is_closed else NotFound.NONE_LEFT
+            is_suspended = any(
+                self._is_suspended(each, now_ms) for each in self._listed()
+            )
+            return NotFound.SUSPENDED if is_suspended else NotFound.NONE_LEFT
         if can_have_run or self._admits(choice, now_ms):
             return choice
         return NotFound.OVERLOADED
 
-    def _is_closed(self, record: EndpointRecord, now_ms: int) -> bool:
-        is_resting = self._rest_ms(record, now_ms) > 0
-        return is_resting or self._limited.is_limited(record)
+    def _is_suspended(self, record: EndpointRecord, now_ms: int) -> bool:
+        is_paused = self._pause_ms(record, now_ms) > 0
+        return is_paused or self._limited.is_limited(record)
 
     def _prefer_limited(self, choice: Choice, now_ms: int) -> Choice:
-        """Return a limited endpoint in place of a choice, if there is a reason."""
+        """Return a limited endpoint in place of a choice if one is preferable."""
         usable = self._usable(now_ms)
-        if choice.load_known and choice.wait_ms > BUSY_MS:
-            records = self._limited.find_open(usable, now_ms)
+        if choice.load_known and choice.wait_ms > LIMITED_PREFERRED_WAIT_MS:
+            records = self._limited.find_available(usable, now_ms)
         else:
-            records = self._limited.find_due(usable, now_ms)
+            records = self._limited.find_unconfirmed(usable, now_ms)
         return self._choose_among(records, now_ms) or choice
 
     def _choose_limited(self, now_ms: int) -> Choice | None:
-        records = self._limited.find_open(self._usable(now_ms), now_ms)
+        records = self._limited.find_available(self._usable(now_ms), now_ms)
         return self._choose_among(records, now_ms)
 
     def _choose_among(
         self, records: Sequence[EndpointRecord], now_ms: int
     ) -> Choice | None:
-        untried = self._open(records, now_ms)
-        if not untried:
+        available = self._available(records, now_ms)
+        if not available:
             return None
-        need = self._need._replace(tries_again=True, anywhere=True)
-        return self._parts.chooser(self._service).choose(untried, need, now_ms)
+        requirements = self._requirements._replace(is_retry=True, any_engine=True)
+        return self._parts.chooser(self._service).choose(
+            available, requirements, now_ms
+        )
 
-    def _ask_permit(
+    def _request_permit(
         self,
         choice: Choice,
         now_ms: int,
         can_have_run: bool,
-        on_answers: Callable[[], None],
+        on_ready: Callable[[], None],
     ) -> Choice | NotFound:
-        """Return a choice that has got its permit, or another one if it has not."""
-        answered = False
-        waits = False
+        """Return a choice with its permit, or continue the search if it is denied."""
+        has_outcome = False
+        is_waiting = False
 
-        def take(granted: Choice | None) -> None:
-            nonlocal answered
-            answered = True
+        def handle_permit(granted: Choice | None) -> None:
+            nonlocal has_outcome
+            has_outcome = True
             self._granted = granted
-            if waits:
-                on_answers()
+            if is_waiting:
+                on_ready()
 
-        self._limited.ask(choice, take)
-        if answered:
-            return self.find(now_ms, can_have_run, on_answers)
-        waits = True
-        return NotFound.ASKING
+        self._limited.request_permit(choice, handle_permit)
+        if has_outcome:
+            return self.find(now_ms, can_have_run, on_ready)
+        is_waiting = True
+        return NotFound.PENDING
 
     # -- candidates
 
     def _candidates(self, now_ms: int) -> list[EndpointRecord]:
-        """Return the endpoints that are chosen from first."""
+        """Return the endpoints of first choice."""
         usable = [
             record
             for record in self._usable(now_ms)
-            if not self._limited.goes_last(record, now_ms)
+            if not self._limited.is_last_resort(record, now_ms)
         ]
-        return self._open(usable, now_ms)
+        return self._available(usable, now_ms)
 
     def _usable(self, now_ms: int) -> list[EndpointRecord]:
-        return [each for each in self._listed() if not self._rest_ms(each, now_ms)]
+        return [each for each in self._listed() if not self._pause_ms(each, now_ms)]
 
     def _listed(self) -> list[EndpointRecord]:
         return self._parts.roster.usable(self._service.name)
 
-    def _open(
+    def _available(
         self, records: Sequence[EndpointRecord], now_ms: int
     ) -> list[EndpointRecord]:
-        passed_over = frozenset(self._tried | self._limited.denied)
-        return open_records(records, passed_over, now_ms)
+        excluded = frozenset(self._attempted | self._limited.denied)
+        return available_records(records, excluded, now_ms)
 
-    def _settle(self, choice: Choice) -> Choice:
-        self._tried.add(choice.record.entry.run)
-        self._limited.begin_anew()
-        self._asked = 0
+    def _select(self, choice: Choice) -> Choice:
+        self._attempted.add(choice.record.entry.run)
+        self._limited.reset()
+        self._report_rounds = 0
         return choice
--- a/savorychute/gateway/dispatch/engine_model.py
+++ b/savorychute/gateway/dispatch/engine_model.py
@@ -1,4 +1,4 @@
-"""What engines of one kind do with requests, learned from what they show."""
+"""Predictions of the behaviour of one kind of engine, learned from observations."""
 
 from __future__ import annotations
 
@@ -7,46 +7,47 @@
 from savorychute.gateway.dispatch.running_estimate import RunningMean, RunningQuantile
 
 if TYPE_CHECKING:
-    from savorychute.gateway.dispatch.need import Need
+    from savorychute.gateway.dispatch.request_requirements import RequestRequirements
 
-# What is assumed before engines have shown it; all are figures of the engines seen first,
-# which read 61 tokens in a ms and make an event of three tokens.
+# Values assumed before engines were observed.  They describe engines that prefill 61
+# tokens per ms and emit events of three tokens.
 PRIOR_TOKENS_PER_MS = 60.0
-# A pause between two events while the engine reads chunks all the time, and at rest.
+# Gap between two events of a stream while the engine prefills continuously, and while
+# it prefills nothing.
 PRIOR_READING_GAP_MS = 300.0
 PRIOR_REST_GAP_MS = 30.0
-PRIOR_EVENTS = 20.0
+PRIOR_EVENTS_PER_ANSWER = 20.0
 PRIOR_FRESH_TOKENS = 4_000.0
-# Before a request's prompt is read and after it: network and the engine's own start.
+# Time besides the prefill: network and start-up of a request at the engine.
 PRIOR_OVERHEAD_MS = 90.0
-# About the last hundred gaps, or answers, count.
+# About the last 100 gaps or answers count.
 QUANTILE_STEP = 0.04
 MEAN_WEIGHT = 0.02
 FRESH_WEIGHT = 0.03
-# The reading rate is learned from prompts of this size; in smaller ones the overhead hides
-# it.
-LEAST_READ_TOKENS = 1_000
-# Part of the time that an engine reads prompts while requests wait for a place in it.
-FULL_READING_SHARE = 0.85
-# Gaps below this are events that came in one piece of the body.
-LEAST_GAP_MS = 5
-# Whatever else an engine has to do makes a reading slower, never quicker; the quicker ones
-# show its rate.
+# The prefill rate is learned from prompts of at least this size; for smaller ones the
+# overhead dominates.
+MIN_PREFILL_TOKENS = 1_000
+# Share of time that an engine spends on prefill while requests wait for a slot.
+FULL_PREFILL_SHARE = 0.85
+# Events with a shorter gap arrived in one piece of the body.
+MIN_GAP_MS = 5
+# Other work of an engine makes a prefill slower, never faster, so the faster ones show
+# its rate.
 RATE_QUANTILE = 0.75
-# The same for what comes besides the reading: the shorter ones show it.
+# For the same reason the shorter overheads show its value.
 OVERHEAD_QUANTILE = 0.3
-READING_QUANTILE = 0.9
-REST_QUANTILE = 0.5
-# A stream whose bound is less than this many times the pause beside reading is late
-# beside long prompts.
-APART_FACTOR = 1.2
-# Streams with a wider bound bring long prompts themselves, and would make late those that
-# are kept apart.
-WIDEST_APART_MS = 350
+READING_GAP_QUANTILE = 0.9
+REST_GAP_QUANTILE = 0.5
+# A stream misses its gap target beside long prompts if the target is below this
+# multiple of the gap during prefill.
+ISOLATION_FACTOR = 1.2
+# Streams with a larger gap target have long prompts themselves and would delay the
+# isolated streams.
+MAX_ISOLATION_GAP_MS = 350
 
 
-class EngineFigures(NamedTuple):
-    """What a model has learned, for logs and metrics."""
+class EngineEstimates(NamedTuple):
+    """Learned estimates, for logs and metrics."""
 
     tokens_per_ms: float
     reading_gap_ms: float
@@ -57,126 +58,130 @@
 
 
 class EngineModel:
-    """Running estimates that predictions are made of.
+    """Running estimates on which predictions are based.
 
-    Engines of different users differ: 12 places or 64, 60 tokens a ms or 94, events of
-    three tokens or seven.  Figures of one kind, used for another, called engines with 12
-    places full when two thirds of them were taken, and told the wrong streams to keep
-    apart.  The engine's pages give the shape: steps, of which some also read a chunk; only
-    the figures are learned.
+    Engines of different users differ: 12 slots or 64, 60 tokens per ms or 94, events of
+    three tokens or seven.  With the estimates of one kind applied to another, engines
+    with 12 slots were considered full at two thirds of them, and the wrong streams were
+    isolated.  The structure of the model is given by how engines work: they run in
+    steps, some of which also prefill a chunk of a prompt.  Only the values are learned.
     """
 
     def __init__(self) -> None:
-        self._rate = RunningQuantile(PRIOR_TOKENS_PER_MS, RATE_QUANTILE, QUANTILE_STEP)
+        self._prefill_rate = RunningQuantile(
+            PRIOR_TOKENS_PER_MS, RATE_QUANTILE, QUANTILE_STEP
+        )
         self._overhead = RunningQuantile(
             PRIOR_OVERHEAD_MS, OVERHEAD_QUANTILE, QUANTILE_STEP
         )
         self._reading_gap = RunningQuantile(
-            PRIOR_READING_GAP_MS, READING_QUANTILE, QUANTILE_STEP
+            PRIOR_READING_GAP_MS, READING_GAP_QUANTILE, QUANTILE_STEP
         )
         self._rest_gap = RunningQuantile(
-            PRIOR_REST_GAP_MS, REST_QUANTILE, QUANTILE_STEP
+            PRIOR_REST_GAP_MS, REST_GAP_QUANTILE, QUANTILE_STEP
         )
-        self._events = RunningMean(PRIOR_EVENTS, MEAN_WEIGHT)
-        self._fresh = RunningMean(PRIOR_FRESH_TOKENS, FRESH_WEIGHT)
+        self._events = RunningMean(PRIOR_EVENTS_PER_ANSWER, MEAN_WEIGHT)
+        self._fresh_tokens = RunningMean(PRIOR_FRESH_TOKENS, FRESH_WEIGHT)
 
-    # -- what engines show
+    # -- observations
 
-    def note_sent(self, fresh_tokens: int, apart: bool) -> None:
-        """Take in what a request is expected to have read anew.
+    def record_sent(self, fresh_tokens: int, isolated: bool) -> None:
+        """Record the expected prefill of a request.
 
-        :param fresh_tokens: the tokens.
-        :param apart: whether it is a stream that runs away from long prompts.
+        :param fresh_tokens: tokens that are not cached at the engine.
+        :param isolated: whether it is a stream that is kept away from long prompts.
         """
-        if not apart:
-            self._fresh.add(fresh_tokens)
+        if not isolated:
+            self._fresh_tokens.add(fresh_tokens)
 
-    def note_first_event(self, fresh_tokens: int, duration_ms: int) -> None:
-        """Take in how long an idle engine took to begin an answer.
+    def record_first_event(self, fresh_tokens: int, duration_ms: int) -> None:
+        """Record the time that an idle engine took to start an answer.
 
-        :param fresh_tokens: what it was expected to read.
-        :param duration_ms: from the send to the first event.
+        :param fresh_tokens: expected tokens to prefill.
+        :param duration_ms: time from the send to the first event.
         """
-        if fresh_tokens < LEAST_READ_TOKENS:
+        if fresh_tokens < MIN_PREFILL_TOKENS:
             self._overhead.add(duration_ms)
             return
-        reading_ms = max(1.0, duration_ms - self._overhead.value)
-        rate = fresh_tokens / reading_ms
-        self._rate.add(rate)
-
-    def note_gap(self, gap_ms: int, apart: bool, reading: bool) -> None:
-        """Take in a pause between two events.
-
-        :param gap_ms: the pause.
-        :param apart: whether the stream ran away from long prompts.
-        :param reading: whether prompts were waiting at its engine, so that every step
-            read a chunk.  Pauses at other times say how much was read, not how long a
-            pause beside reading is.
+        prefill_ms = max(1.0, duration_ms - self._overhead.value)
+        rate = fresh_tokens / prefill_ms
+        self._prefill_rate.add(rate)
+
+    def record_gap(self, gap_ms: int, isolated: bool, prefilling: bool) -> None:
+        """Record the gap between two events.
+
+        :param gap_ms: the gap.
+        :param isolated: whether the stream is kept away from long prompts.
+        :param prefilling: whether prompts were waiting at its engine, so that each step
+            prefilled a chunk.  Gaps at other times depend on how much was prefilled and
+            do not show the gap during prefill.
         """
-        if gap_ms < LEAST_GAP_MS:
+        if gap_ms < MIN_GAP_MS:
             return
-        if reading:
+        if prefilling:
             self._reading_gap.add(gap_ms)
-        elif apart:
+        elif isolated:
             self._rest_gap.add(gap_ms)
 
-    def note_answer(self, events: int, apart: bool) -> None:
-        """Take in a whole answer.
+    def record_answer(self, events: int, isolated: bool) -> None:
+        """Record a complete answer.
 
-        :param events: how many it had.
-        :param apart: whether the stream ran away from long prompts.
+        :param events: its number of events.
+        :param isolated: whether the stream is kept away from long prompts.
         """
-        if not apart:
+        if not isolated:
             self._events.add(events)
 
-    # -- what follows
+    # -- predictions
 
-    def figures(self) -> EngineFigures:
+    def estimates(self) -> EngineEstimates:
         """Return all estimates."""
-        return EngineFigures(
-            self._rate.value,
+        return EngineEstimates(
+            self._prefill_rate.value,
             self._reading_gap.value,
             self._rest_gap.value,
-            self._fresh.value,
+            self._fresh_tokens.value,
             self._overhead.value,
             self._events.value,
         )
 
     @property
-    def usual_tokens(self) -> float:
-        """What a request usually has to have read anew."""
-        return self._fresh.value
+    def mean_fresh_tokens(self) -> float:
+        """Mean number of tokens that a request has to prefill."""
+        return self._fresh_tokens.value
 
-    def reading_ms(self, tokens: float) -> float:
-        """Return how long an engine reads some tokens."""
-        return tokens / self._rate.value
+    def prefill_ms(self, tokens: float) -> float:
+        """Return how long an engine takes to prefill some tokens."""
+        return tokens / self._prefill_rate.value
 
-    def needs_apart(self, need: Need) -> bool:
-        """Return whether a stream would be late beside prompts that are being read.
+    def needs_isolation(self, requirements: RequestRequirements) -> bool:
+        """Return whether a stream would miss its gap target beside prefills.
 
-        :param need: of the request.
+        :param requirements: requirements of the request.
         """
-        bound_ms = min(APART_FACTOR * self._reading_gap.value, WIDEST_APART_MS)
-        return 0 < need.gap_target_ms <= bound_ms
+        max_gap_ms = min(
+            ISOLATION_FACTOR * self._reading_gap.value, MAX_ISOLATION_GAP_MS
+        )
+        return 0 < requirements.gap_target_ms <= max_gap_ms
 
-    def event_ms(self, reading_share: float) -> float:
-        """Return the time of one event while an engine reads part of the time.
+    def event_ms(self, prefill_share: float) -> float:
+        """Return the mean time between events.
 
-        :param reading_share: that part, from 0 to 1.
+        :param prefill_share: share of time that the engine prefills, from 0 to 1.
         """
-        rate = reading_share / self._reading_gap.value
-        rate += (1.0 - reading_share) / self._rest_gap.value
+        rate = prefill_share / self._reading_gap.value
+        rate += (1.0 - prefill_share) / self._rest_gap.value
         return 1.0 / rate
 
-    def answer_ms(self, reading_share: float) -> float:
-        """Return how long an answer beside long prompts keeps its place."""
-        return self._events.value * self.event_ms(reading_share)
+    def answer_ms(self, prefill_share: float) -> float:
+        """Return how long an answer occupies its slot beside prefills."""
+        return self._events.value * self.event_ms(prefill_share)
 
-    def place_wait_ms(self, taken: int, places: int) -> float:
-        """Return how long the last of some requests waits for a place.
+    def slot_wait_ms(self, requests: int, slots: int) -> float:
+        """Return how long the last of some requests waits for a slot.
 
-        :param taken: requests at an engine, with the one in question.
-        :param places: how many it runs at once.
+        :param requests: requests at an engine, including the one in question.
+        :param slots: number of requests that the engine runs concurrently.
         """
-        turn_ms = self.answer_ms(FULL_READING_SHARE) / places
-        return max(0, taken - places) * turn_ms
+        ms_per_slot = self.answer_ms(FULL_PREFILL_SHARE) / slots
+        return max(0, requests - slots) * ms_per_slot
--- a/savorychute/gateway/dispatch/engine_models.py
+++ b/savorychute/gateway/dispatch/engine_models.py
@@ -1,26 +1,26 @@
-"""One engine model for each service."""
+"""Engine models by service."""
 
 from __future__ import annotations
 
-from savorychute.gateway.dispatch.engine_model import EngineFigures, EngineModel
+from savorychute.gateway.dispatch.engine_model import EngineEstimates, EngineModel
 
 
 class EngineModels:
-    """Keeps apart what engines of different services showed."""
+    """Holds a separate engine model for each service."""
 
     def __init__(self) -> None:
         self._models: dict[str, EngineModel] = {}
 
-    def of(self, service: str) -> EngineModel:
+    def for_service(self, service: str) -> EngineModel:
         """Return the model of a service's engines.
 
-        :param service: the service's name.
+        :param service: name of the service.
         """
         model = self._models.get(service)
         if model is None:
             model = self._models[service] = EngineModel()
         return model
 
-    def figures(self) -> dict[str, EngineFigures]:
-        """Return what was learned of each service."""
-        return {service: model.figures() for service, model in self._models.items()}
+    def estimates(self) -> dict[str, EngineEstimates]:
+        """Return the estimates for each service."""
+        return {service: model.estimates() for service, model in self._models.items()}
--- /dev/null
+++ b/savorychute/gateway/dispatch/engine_partition.py
@@ -0,0 +1,79 @@
+"""Dedicated engines for latency-sensitive streams."""
+
+from __future__ import annotations
+
+from math import ceil
+from operator import attrgetter
+from typing import TYPE_CHECKING
+
+from savorychute.gateway.dispatch.engine_state import sensitive_stream_capacity
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from savorychute.gateway.dispatch.partition_demand import PartitionDemand
+    from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
+
+# Below this share of the demand of either kind, engines are not partitioned.
+MIN_DEMAND_SHARE = 0.02
+# Instances observe slightly different demand.  Where the target size lies between two
+# integers, latency-sensitive streams use the smaller size and all other requests avoid
+# the larger one: an engine that instances assign to different partitions would serve
+# both badly.
+BOUNDARY_MARGIN = 0.25
+# Maximum share of engines that is dedicated for the number of running streams when
+# their share of the demand is lower; the rest prevents starvation of other requests.
+MAX_STREAM_SHARE = 0.5
+
+_partition_key = attrgetter('partition_key')
+
+
+class EnginePartition:
+    """Partitions engines by demand: for latency-sensitive streams, and for the rest.
+
+    All instances rank the engines by the same hash and observe about the same demand,
+    so they arrive at about the same partitions.
+
+    :param demand: engine time needed by either kind of request.
+    """
+
+    def __init__(self, demand: PartitionDemand) -> None:
+        self._demand = demand
+
+    def select(
+        self, records: Sequence[EndpointRecord], *, isolated: bool
+    ) -> Sequence[EndpointRecord]:
+        """Return the engines of a request's partition.
+
+        :param records: all engines that the request may use, at least one.
+        :param isolated: whether it is a stream that would miss its gap target beside
+            long prompts.
+        """
+        target_size = self._target_size(records)
+        if target_size is None:
+            return records
+        ranked = sorted(records, key=_partition_key, reverse=True)
+        max_size = len(records) - 1
+        if isolated:
+            return ranked[: min(max(round(target_size - BOUNDARY_MARGIN), 1), max_size)]
+        return ranked[min(max(ceil(target_size - BOUNDARY_MARGIN), 1), max_size) :]
+
+    def _target_size(self, records: Sequence[EndpointRecord]) -> float | None:
+        """Return the number of dedicated engines, or None for no partitions.
+
+        The share of the demand is too small while other requests burst: with summaries
+        at 2.4 times their usual rate, streams that needed three engines got one, and
+        the rest had gaps beside summaries on other engines.  The number of running
+        streams shows how many engines they need.
+        """
+        engines = len(records)
+        if engines < 2:
+            return None
+        capacity = sensitive_stream_capacity(records[0].entry.slots)
+        needed_engines = self._demand.sensitive_streams() / capacity
+        target_size = max(
+            engines * self._demand.sensitive_share(),
+            min(needed_engines, MAX_STREAM_SHARE * engines),
+        )
+        min_size = MIN_DEMAND_SHARE * engines
+        return target_size if min_size <= target_size <= engines - min_size else None
--- a/savorychute/gateway/dispatch/engine_state.py
+++ b/savorychute/gateway/dispatch/engine_state.py
@@ -1,4 +1,4 @@
-"""What a choice takes an engine for, by its last report and what it did lately."""
+"""State of an engine for a choice: its last report, and requests sent since."""
 
 from __future__ import annotations
 
@@ -8,154 +8,159 @@
     from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
     from savorychute.gateway.endpoints.engine_load import EngineLoad
 
-# Without a report: this instance sees only its own requests; others send about as many.
-OTHERS_FACTOR = 2.0
-# What failing every request costs an engine in a comparison, as a wait.
-FAILURE_MS = 2_000.0
-# A lane is left when its best engine fails more than this part of its requests.
-FAILING_SHARE = 0.25
-# Requests move a queue by their own size; reports older than this say little of it.
-REPORT_MS = 300
+# Without a report an instance knows only its own requests; other instances are assumed
+# to send about as many.
+OTHER_INSTANCES_FACTOR = 2.0
+# Cost of an engine that fails all requests, expressed as a wait.
+FAILURE_COST_MS = 2_000.0
+# A partition is left if its best engine has a higher failure share.
+MAX_FAILURE_SHARE = 0.25
+# Each request changes a queue by its own size; older reports say little about the
+# queue.
+RECENT_REPORT_MS = 300
 USABLE_REPORT_MS = 1_500
-# With more of its places taken an engine of the steady lane is no longer steady: at 64
-# streams, events came every 350 ms instead of 250, and whoever is more urgent puts back
+# Share of slots in use above which an engine delays latency-sensitive streams: with 64
+# streams, events came every 350 ms instead of 250, and more urgent requests preempted
 # others.
-CROWDED_SHARE = 0.5
-# A dozen streams beside each other slow no engine; one with few places is crowded when
-# the streams that all instances send before the next report would take the last ones.
-LEAST_CROWDED = 12
-MOST_CROWDED_SHARE = 2 / 3
+CONGESTED_SHARE = 0.5
+# 12 concurrent streams slow no engine.  An engine with few slots is congested when the
+# streams that all instances send before the next report would use the last ones.
+MIN_CONGESTED_STREAMS = 12
+MAX_CONGESTED_SHARE = 2 / 3
 
 
-def is_recent(record: EndpointRecord, now_ms: int, bound_ms: int) -> bool:
-    """Return whether an engine was heard of within some time.
+def has_recent_report(record: EndpointRecord, now_ms: int, max_age_ms: int) -> bool:
+    """Return whether an engine reported its load within some time.
 
     :param record: the engine.
-    :param now_ms: the time.
-    :param bound_ms: that time.
+    :param now_ms: the current time.
+    :param max_age_ms: maximum age of the report.
     """
     age_ms = record.load_age_ms(now_ms)
-    return age_ms is not None and age_ms <= bound_ms
+    return age_ms is not None and age_ms <= max_age_ms
 
 
-def is_usable(record: EndpointRecord, now_ms: int) -> bool:
-    """Return whether a report still says something of an engine's load."""
-    return is_recent(record, now_ms, USABLE_REPORT_MS)
+def has_usable_report(record: EndpointRecord, now_ms: int) -> bool:
+    """Return whether the last report is still informative about an engine's load."""
+    return has_recent_report(record, now_ms, USABLE_REPORT_MS)
 
 
 def usable_load(record: EndpointRecord, now_ms: int) -> EngineLoad | None:
-    """Return an engine's load, or None if the last report says nothing of it any more."""
-    return record.load if is_usable(record, now_ms) else None
+    """Return an engine's load, or None if the last report is obsolete."""
+    return record.load if has_usable_report(record, now_ms) else None
 
 
-def is_crowded(record: EndpointRecord, rank: int, now_ms: int) -> bool:
+def is_congested(record: EndpointRecord, rank: int, now_ms: int) -> bool:
     """Return whether an engine is known to have too many streams.
 
-    All that run slow each other; of those that wait only such count as a request of the
-    rank cannot pass.  Where the others counted too, the most urgent streams took engines
-    with a queue of summaries for full, and crowded the last one that had none.
+    All running streams slow each other down, but of the waiting requests only those
+    count that a request of this rank cannot pass.  When all of them counted, the most
+    urgent streams considered engines with a queue of summaries full and crowded the
+    last one without a queue.
     """
     load = usable_load(record, now_ms)
     if load is None:
         return False
-    return _streams(load, rank) >= crowded_at(record.entry.slots)
+    return _competing_streams(load, rank) >= congestion_threshold(record.entry.slots)
 
 
-def _streams(load: EngineLoad, rank: int) -> int:
+def _competing_streams(load: EngineLoad, rank: int) -> int:
     return load.generating + load.reading + load.waiting_ahead(rank)
 
 
-def crowded_at(slots: int) -> float:
-    """Return from how many requests on an engine gets no further steady stream.
+def congestion_threshold(slots: int) -> float:
+    """Return from how many requests on an engine gets no latency-sensitive stream.
 
-    That is before all of its capacity is used: other instances send some as well before
-    the next report tells of them.
+    This is below the full capacity, because other instances also send streams before
+    the next report shows them.
 
-    :param slots: how many it runs at all.
+    :param slots: number of requests that the engine runs concurrently.
     """
-    return max(1.0, min(steady_capacity(slots), MOST_CROWDED_SHARE * slots))
+    return max(1.0, min(sensitive_stream_capacity(slots), MAX_CONGESTED_SHARE * slots))
 
 
-def steady_capacity(slots: int) -> float:
-    """Return how many steady streams an engine runs well beside each other.
+def sensitive_stream_capacity(slots: int) -> float:
+    """Return how many latency-sensitive streams an engine can run without delays.
 
-    :param slots: how many it runs at all.
+    :param slots: number of requests that the engine runs concurrently.
     """
-    return max(1.0, min(max(CROWDED_SHARE * slots, LEAST_CROWDED), slots - 1))
+    return max(1.0, min(max(CONGESTED_SHARE * slots, MIN_CONGESTED_STREAMS), slots - 1))
 
 
-def failure_ms(record: EndpointRecord, now_ms: int) -> float:
-    """Return the failures of an engine as a cost.
+def failure_cost_ms(record: EndpointRecord, now_ms: int) -> float:
+    """Return the cost of an engine's failures.
 
-    They are no wait: where failures counted as one, the most urgent streams, which may
-    wait least, were refused while the least urgent were served.
+    It is not part of the predicted wait: when it was, the most urgent streams, which
+    tolerate the shortest wait, were refused while the least urgent ones were served.
     """
-    return FAILURE_MS * record.health.failure_share(now_ms)
+    return FAILURE_COST_MS * record.health.failure_share(now_ms)
 
 
-def serves_well(record: EndpointRecord, rank: int, now_ms: int) -> bool:
-    """Return whether an engine should get another steady stream of a rank."""
-    return not _is_failing(record, now_ms) and not is_crowded(record, rank, now_ms)
+def suits_sensitive_stream(record: EndpointRecord, rank: int, now_ms: int) -> bool:
+    """Return whether an engine should get another latency-sensitive stream."""
+    return not _fails_often(record, now_ms) and not is_congested(record, rank, now_ms)
 
 
-def _is_failing(record: EndpointRecord, now_ms: int) -> bool:
-    return record.health.failure_share(now_ms) > FAILING_SHARE
+def _fails_often(record: EndpointRecord, now_ms: int) -> bool:
+    return record.health.failure_share(now_ms) > MAX_FAILURE_SHARE
 
 
 def is_idle(record: EndpointRecord, now_ms: int) -> bool:
-    """Return whether an engine is known to begin a prompt at once."""
+    """Return whether an engine is known to start the prefill of a prompt at once."""
     load = record.load
-    if load is None or not is_recent(record, now_ms, REPORT_MS):
+    if load is None or not has_recent_report(record, now_ms, RECENT_REPORT_MS):
         return False
-    free = load.generating < record.entry.slots and not load.waiting + load.reading
-    return free and not record.unread_tokens()
+    has_free_slot = (
+        load.generating < record.entry.slots and not load.waiting + load.reading
+    )
+    return has_free_slot and not record.unread_tokens()
 
 
-def steady_room(record: EndpointRecord, rank: int, now_ms: int) -> float:
-    """Return for how many more steady streams of a rank an engine has room.
+def sensitive_stream_headroom(record: EndpointRecord, rank: int, now_ms: int) -> float:
+    """Return the headroom for latency-sensitive streams of a rank, in streams.
 
     :param record: the engine.
-    :param rank: of the streams.
-    :param now_ms: the time.
+    :param rank: rank of the streams.
+    :param now_ms: the current time.
     """
-    if not serves_well(record, rank, now_ms):
+    if not suits_sensitive_stream(record, rank, now_ms):
         return 0.0
     load = usable_load(record, now_ms)
-    taken = OTHERS_FACTOR * record.outstanding
+    occupied = OTHER_INSTANCES_FACTOR * record.outstanding
     if load is not None:
-        taken = _streams(load, rank) + record.unreported(rank)
-    return max(0.0, crowded_at(record.entry.slots) - taken)
+        occupied = _competing_streams(load, rank) + record.unreported(rank)
+    return max(0.0, congestion_threshold(record.entry.slots) - occupied)
 
 
-def places_left(
+def free_slots(
     record: EndpointRecord, rank: int, now_ms: int, instances: int = 1
 ) -> float:
-    """Return how many places an engine has for a rank, crowded or not.
+    """Return the number of slots that are free for a rank, even if congested.
 
-    Streams that are less urgent make room, so theirs count as free.  Since the last report
-    all instances have sent as many requests as this one, in the mean; it matters for the
-    last places, which all of them see.
+    Slots of less urgent streams count as free because an engine preempts those streams.
+    All instances are assumed to have sent as many requests as this one since the last
+    report; this matters for the last free slots, which all instances see.
 
     :param record: the engine.
-    :param rank: of a request.
-    :param now_ms: the time.
-    :param instances: how many instances there are.
+    :param rank: rank of the request.
+    :param now_ms: the current time.
+    :param instances: number of instances.
     """
-    if _is_failing(record, now_ms):
+    if _fails_often(record, now_ms):
         return 0.0
     load = usable_load(record, now_ms)
-    taken = OTHERS_FACTOR * record.outstanding
+    occupied = OTHER_INSTANCES_FACTOR * record.outstanding
     if load is not None:
-        taken = load.taken_ahead(rank) + instances * record.unreported(rank)
-    return max(0.0, record.entry.slots - taken)
+        occupied = load.taken_ahead(rank) + instances * record.unreported(rank)
+    return max(0.0, record.entry.slots - occupied)
 
 
 def is_full_for(record: EndpointRecord, rank: int, now_ms: int) -> bool:
-    """Return whether an engine is known to have no place for a rank, or a queue of it.
+    """Return whether an engine is known to have no free slot, or a queue, for a rank.
 
     :param record: the engine.
-    :param rank: of a request.
-    :param now_ms: the time.
+    :param rank: rank of the request.
+    :param now_ms: the current time.
     """
     load = usable_load(record, now_ms)
     if load is None:
--- a/savorychute/gateway/dispatch/home_ranking.py
+++ b/savorychute/gateway/dispatch/home_ranking.py
@@ -1,4 +1,4 @@
-"""The order in which engines are homes of a shared prompt."""
+"""Ranking of engines as home of a shared prompt."""
 
 from __future__ import annotations
 
@@ -14,34 +14,37 @@
 
 class _Ranked(NamedTuple):
     affinity: str
-    lane: Sequence[EndpointRecord]
+    partition: Sequence[EndpointRecord]
     order: list[EndpointRecord]
 
 
 class HomeRanking:
-    """Ranks engines by a hash of prompt and engine, alike on all instances.
+    """Ranks engines by a hash of prompt and engine, identically on all instances.
 
-    A request is ranked when load reports are asked for and again when they have come;
-    the last order is kept for that.  With it, and with the engines' names encoded once, a
-    choice among 45 engines takes 34 µs instead of 114 (``benches.gateway_choice``).
+    A request is ranked before load reports are requested and again after they arrive;
+    the last ranking is cached for the second time.  With this cache and with engine
+    names encoded once, a choice among 45 engines takes 34 µs instead of 114
+    (``benches.gateway_choice``).
     """
 
     def __init__(self) -> None:
         self._last = _Ranked('', (), [])
 
     def order(
-        self, lane: Sequence[EndpointRecord], affinity: str
+        self, partition: Sequence[EndpointRecord], affinity: str
     ) -> list[EndpointRecord]:
         """Return the engines, the home of the prompt first.
 
-        :param lane: the engines to rank.
-        :param affinity: names the shared part of the prompt.
+        :param partition: the engines to rank.
+        :param affinity: identifies the shared part of the prompt.
         """
         last = self._last
-        if last.affinity == affinity and last.lane == lane:
+        if last.affinity == affinity and last.partition == partition:
             return last.order
         seed = xxhash.xxh3_64_intdigest(affinity.encode())
         digest = xxhash.xxh3_64_intdigest
-        order = sorted(lane, key=lambda each: digest(each.hash_key, seed), reverse=True)
-        self._last = _Ranked(affinity, lane, order)
+        order = sorted(
+            partition, key=lambda each: digest(each.hash_key, seed), reverse=True
+        )
+        self._last = _Ranked(affinity, partition, order)
         return order
--- a/savorychute/gateway/dispatch/least_outstanding.py
+++ b/savorychute/gateway/dispatch/least_outstanding.py
@@ -1,4 +1,4 @@
-"""The endpoint with the fewest requests of this instance."""
+"""Chooser for the endpoint with the fewest outstanding requests of this instance."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     from collections.abc import Sequence
 
     from savorychute.gateway.dispatch.engine_models import EngineModels
-    from savorychute.gateway.dispatch.lane_demand import LaneDemand
-    from savorychute.gateway.dispatch.need import Need
+    from savorychute.gateway.dispatch.partition_demand import PartitionDemand
+    from savorychute.gateway.dispatch.request_requirements import RequestRequirements
     from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
 
-# How much an endpoint that fails every request is avoided, in outstanding requests.
+# Cost of an endpoint that fails all requests, in outstanding requests per slot.
 FAILURE_WEIGHT = 8.0
-# Crossing a failure domain costs a network hop and priced bytes, but far less than a
+# Crossing a failure domain costs a network hop and paid traffic, but far less than a
 # place in a queue.
 DISTANCE_WEIGHT = 0.3
 
 
 @CHOOSERS.register('least-outstanding')
 class LeastOutstanding:
-    """Compares outstanding requests, failures against the median, and distance.
+    """Compares outstanding requests, failures above the median, and distance.
 
-    :param failure_domain: of this instance.
-    :param rng: breaks ties, so that instances do not all choose the same.
+    :param failure_domain: the failure domain of this instance.
+    :param rng: breaks ties, so that instances do not all choose the same endpoint.
     :param demand: not used.
     :param models: not used.
     """
@@ -37,38 +37,40 @@
         self,
         failure_domain: str,
         rng: random.Random,
-        demand: LaneDemand | None = None,  # noqa: ARG002
+        demand: PartitionDemand | None = None,  # noqa: ARG002
         models: EngineModels | None = None,  # noqa: ARG002
     ) -> None:
         self._failure_domain = failure_domain
         self._rng = rng
 
-    def wants_reports(
+    def endpoints_to_query(
         self,
         records: Sequence[EndpointRecord],  # noqa: ARG002
-        need: Need,  # noqa: ARG002
+        requirements: RequestRequirements,  # noqa: ARG002
         now_ms: int,  # noqa: ARG002
     ) -> list[EndpointRecord]:
-        """Return none: plain services report nothing."""
+        """Return an empty list: plain services report no load."""
         return []
 
     def choose(
         self,
         records: Sequence[EndpointRecord],
-        need: Need,  # noqa: ARG002
+        requirements: RequestRequirements,  # noqa: ARG002
         now_ms: int,
     ) -> Choice:
-        """Return the endpoint with the least cost."""
-        usual = median_low([each.health.failure_share(now_ms) for each in records])
+        """Return the endpoint with the lowest cost."""
+        median_share = median_low(
+            [each.health.failure_share(now_ms) for each in records]
+        )
 
         def cost(record: EndpointRecord) -> float:
-            excess = max(0.0, record.health.failure_share(now_ms) - usual)
-            far = record.entry.failure_domain != self._failure_domain
-            places = record.outstanding / max(1, record.entry.slots)
+            excess = max(0.0, record.health.failure_share(now_ms) - median_share)
+            is_remote = record.entry.failure_domain != self._failure_domain
+            outstanding_share = record.outstanding / max(1, record.entry.slots)
             return (
-                places
+                outstanding_share
                 + FAILURE_WEIGHT * excess
-                + DISTANCE_WEIGHT * far
+                + DISTANCE_WEIGHT * is_remote
                 + self._rng.random() * DISTANCE_WEIGHT
             )
 
--- a/savorychute/gateway/dispatch/limited_endpoints.py
+++ b/savorychute/gateway/dispatch/limited_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that state limits, as one request sees them."""
+"""Endpoints that state limits, from the point of view of one request."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
     from savorychute.gateway.requests.admitted import Admitted
     from savorychute.gateway.requests.inbound_request import InboundRequest
 
-# Permits that a request asks for before an attempt, one after the other.
-MOST_PERMITS = 4
+# Maximum permits that a request asks for before an attempt, one after the other.
+MAX_PERMIT_REQUESTS = 4
 
 
 class LimitedEndpoints:
-    """Asks for permits, and knows which endpoints have none for the request now.
+    """Requests permits, and tracks the endpoints that have none for this request.
 
-    Engines that state a limit below the usual requests are the last choice: they serve
-    what others have no room for, or would let wait.
+    Engines whose stated limit is below the usual number of requests are the last
+    resort: they serve requests for which other engines have no capacity or too long a
+    wait.
 
-    :param parts: what all requests share.
+    :param parts: state and ports shared by all requests.
     :param request: the request.
-    :param admitted: what it is owed.
+    :param admitted: its route, service and rank.
     """
 
     def __init__(
@@ -40,83 +41,89 @@
         self._request = request
         self._rank = admitted.rank
         self._runs_models = admitted.service.runs_models
-        self._asked = 0
-        # Those that gave no permit for the attempt that is sought.
+        self._permit_requests = 0
+        # Runs that denied a permit for the current attempt.
         self.denied: set[EndpointRun] = set()
 
     def is_limited(self, record: EndpointRecord) -> bool:
-        """Return whether an endpoint takes only so many calls."""
+        """Return whether an endpoint states a limit."""
         return self._permits.is_limited(record.entry.run)
 
-    def goes_last(self, record: EndpointRecord, now_ms: int) -> bool:
-        """Return whether an endpoint is left to requests that no other one takes.
+    def is_last_resort(self, record: EndpointRecord, now_ms: int) -> bool:
+        """Return whether an endpoint only gets requests that no other endpoint takes.
 
-        An engine that is there for one request and not for the next one would move the
-        lanes and the homes of prompts.
+        An engine that is available to one request but not to the next would change the
+        partitions and the homes of prompts.
 
         :param record: the endpoint.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         if not self.is_limited(record):
             return False
-        if self._asked >= MOST_PERMITS:
+        if self._permit_requests >= MAX_PERMIT_REQUESTS:
             return True
         if self._runs_models:
             return self._permits.is_scarce(record.entry.run, now_ms)
-        return not self._is_open(record, now_ms)
+        return not self._is_available(record, now_ms)
 
-    def find_open(
+    def find_available(
         self, records: Sequence[EndpointRecord], now_ms: int
     ) -> list[EndpointRecord]:
-        """Return the limited endpoints that may be asked for a permit.
+        """Return the limited endpoints that can be asked for a permit.
 
         :param records: endpoints of the service.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        if self._asked >= MOST_PERMITS:
+        if self._permit_requests >= MAX_PERMIT_REQUESTS:
             return []
         limited = [each for each in records if self.is_limited(each)]
-        return [each for each in limited if self._is_open(each, now_ms)]
+        return [each for each in limited if self._is_available(each, now_ms)]
 
-    def find_due(
+    def find_unconfirmed(
         self, records: Sequence[EndpointRecord], now_ms: int
     ) -> list[EndpointRecord]:
-        """Return those of which nobody has heard lately whether the limit stands.
+        """Return the available endpoints whose limit was not confirmed recently.
 
         :param records: endpoints of the service.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        found = self.find_open(records, now_ms)
-        return [each for each in found if self._permits.is_due(each.entry.run, now_ms)]
+        available = self.find_available(records, now_ms)
+        return [
+            each for each in available if self._permits.is_due(each.entry.run, now_ms)
+        ]
 
-    def _is_open(self, record: EndpointRecord, now_ms: int) -> bool:
+    def _is_available(self, record: EndpointRecord, now_ms: int) -> bool:
         return not self.wait_ms(record, now_ms)
 
     def wait_ms(self, record: EndpointRecord, now_ms: int) -> int:
-        """Return how long it takes until an endpoint may take the request.
+        """Return the time until an endpoint may accept the request, in ms.
 
         :param record: the endpoint.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         return self._permits.wait_ms(record.entry.run, self._rank, now_ms)
 
-    def ask(self, choice: Choice, on_answer: Callable[[Choice | None], None]) -> None:
-        """Ask for a permit.
+    def request_permit(
+        self, choice: Choice, on_answer: Callable[[Choice | None], None]
+    ) -> None:
+        """Request a permit.
 
-        :param choice: a limited endpoint.
-        :param on_answer: called once, now or later, with the choice and its permit, or
-            None if there is none.
+        :param choice: the choice of a limited endpoint.
+        :param on_answer: called once, immediately or later, with the choice and its
+            permit, or with None if the permit was denied.
         """
-        self._asked += 1
+        self._permit_requests += 1
 
-        def take(outcome: Outcome) -> None:
-            on_answer(self._take(choice, outcome))
+        def handle_outcome(outcome: Outcome) -> None:
+            on_answer(self._record_outcome(choice, outcome))
 
-        outcome = self._permits.request(choice.record.entry.run, self._rank, take)
+        outcome = self._permits.request(
+            choice.record.entry.run, self._rank, handle_outcome
+        )
         if outcome is not None:
-            take(outcome)
+            handle_outcome(outcome)
 
-    def _take(self, choice: Choice, outcome: Outcome) -> Choice | None:
+    def _record_outcome(self, choice: Choice, outcome: Outcome) -> Choice | None:
         run = choice.record.entry.run
         self._telemetry.permit_decided(
             self._request.attempt_id, run, self._rank, outcome
@@ -126,7 +133,7 @@
         self.denied.add(run)
         return None
 
-    def begin_anew(self) -> None:
-        """Forget what was asked, for the next attempt."""
+    def reset(self) -> None:
+        """Discard the permit requests and denials of the last attempt."""
         self.denied.clear()
-        self._asked = 0
+        self._permit_requests = 0
--- a/savorychute/gateway/dispatch/prompt_cache.py
+++ b/savorychute/gateway/dispatch/prompt_cache.py
@@ -1,4 +1,4 @@
-"""The endpoint that is likely to begin a prompt first."""
+"""Chooser for the endpoint that is predicted to start a prompt first."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from savorychute.gateway.dispatch.chooser import CHOOSERS, Choice
 from savorychute.gateway.dispatch.engine_models import EngineModels
+from savorychute.gateway.dispatch.engine_partition import EnginePartition
 from savorychute.gateway.dispatch.engine_state import (
-    failure_ms,
+    failure_cost_ms,
+    free_slots,
+    has_recent_report,
+    has_usable_report,
     is_idle,
-    is_recent,
-    is_usable,
-    places_left,
-    serves_well,
-    steady_room,
+    sensitive_stream_headroom,
+    suits_sensitive_stream,
 )
 from savorychute.gateway.dispatch.home_ranking import HomeRanking
-from savorychute.gateway.dispatch.lane_demand import LaneDemand
-from savorychute.gateway.dispatch.lane_split import LaneSplit
+from savorychute.gateway.dispatch.partition_demand import PartitionDemand
 from savorychute.gateway.dispatch.report_selection import ReportSelection
 from savorychute.gateway.dispatch.wait_forecast import WaitForecast
 
@@ -25,26 +25,27 @@
     import random
     from collections.abc import Callable, Sequence
 
-    from savorychute.gateway.dispatch.need import Need
+    from savorychute.gateway.dispatch.request_requirements import RequestRequirements
     from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
     from savorychute.gateway.requests.prompt import Prompt
 
-# Reading a cached prompt elsewhere also delays every request there, and the users price
-# 13,000 tokens read again like a whole answer; so the queue at home must be that
-# many times as long as the reading.
-AGAIN_WEIGHT = 8.0
-# Where a prompt goes when its home is full: to the next in the ranking, for all
-# instances alike.
-RANK_MS = 20.0
-# A report is asked for before a prompt of this size; a smaller one is read before the
-# report could change much.
-LARGE_TOKENS = 2_000
-# A steady stream with a longer prompt has a home: reading it anew takes an engine more than
-# a tenth of a second, and lets the streams there wait.
-SPREAD_TOKENS = 8_000
-# An engine with a shorter wait may stand in for a busy home, by a report of this age.
-IDLE_MS = 120.0
-STAND_IN_REPORT_MS = 400
+# A prefill of a cached prompt elsewhere also delays all requests there, and the users
+# price 13,000 tokens that are prefilled again like a whole answer.  So a request leaves
+# its home only if the wait there exceeds the additional prefill this many times.
+RECOMPUTE_WEIGHT = 8.0
+# Cost of each position in the ranking, so that all instances prefer the same substitute
+# when a home is full.
+RANKING_STEP_MS = 20.0
+# A report is requested only for prompts of at least this size; the prefill of a smaller
+# one ends before a report could make a difference.
+LARGE_PROMPT_TOKENS = 2_000
+# Latency-sensitive streams with a longer prompt use a home: a prefill of it takes more
+# than 0.1 s of an engine's time and delays the streams there.
+MAX_SPREAD_TOKENS = 8_000
+# Maximum wait at an engine that substitutes for a busy home, and maximum age of the
+# report that shows this wait.
+SUBSTITUTE_WAIT_MS = 120.0
+SUBSTITUTE_REPORT_MS = 400
 
 
 class _Candidate(NamedTuple):
@@ -55,237 +56,286 @@
 
 @CHOOSERS.register('prompt-cache')
 class PromptCacheChooser:
-    """Predicts the wait for the first token.
-
-    All instances rank the endpoints for a shared prompt by the same hash, so they send
-    it to the same one without a word between them, and it is read once.  The prediction
-    moves a request down the ranking when the queue there costs more than reading anew.
-
-    :param failure_domain: of this instance.
-    :param rng: breaks ties.
-    :param demand: what the lanes are made for; alone this instance's if left out.
-    :param models: what engines showed; nothing yet if left out.
+    """Chooses the endpoint with the lowest predicted cost of wait and prefill.
+
+    All instances rank the endpoints for a shared prompt by the same hash, so without
+    coordination they send it to the same endpoint, and it is prefilled once.  A request
+    moves down the ranking if the predicted wait at the home costs more than another
+    prefill.
+
+    :param failure_domain: the failure domain of this instance.
+    :param rng: breaks ties and draws engines.
+    :param demand: demand for which engines are partitioned; only that of this instance
+        if omitted.
+    :param models: learned models of engines; initial ones if omitted.
     """
 
     def __init__(
         self,
         failure_domain: str,
         rng: random.Random,
-        demand: LaneDemand | None = None,
+        demand: PartitionDemand | None = None,
         models: EngineModels | None = None,
     ) -> None:
         self._models = models or EngineModels()
         self._forecast = WaitForecast(failure_domain, rng, self._models)
         self._reports = ReportSelection(rng, self._forecast)
         self._rng = rng
-        self._demand = demand or LaneDemand()
-        self._lanes = LaneSplit(self._demand)
+        self._demand = demand or PartitionDemand()
+        self._engine_partition = EnginePartition(self._demand)
         self._homes = HomeRanking()
 
-    def wants_reports(
-        self, records: Sequence[EndpointRecord], need: Need, now_ms: int
+    def endpoints_to_query(
+        self,
+        records: Sequence[EndpointRecord],
+        requirements: RequestRequirements,
+        now_ms: int,
     ) -> list[EndpointRecord]:
-        """Return the engines whose load should be known first."""
-        prompt = need.prompt
+        """Return the engines whose load should be queried before the choice."""
+        prompt = requirements.prompt
         if prompt is None:
             return []
-        lane = self._lane(records, need)
-        if self._needs_apart(records, need):
-            return self._reports.for_steady(records, lane, need, now_ms)
-        if need.anywhere:
-            return self._reports.for_last_look(records, now_ms)
-        if prompt.tokens < LARGE_TOKENS:
+        partition = self._partition(records, requirements)
+        if self._needs_isolation(records, requirements):
+            return self._reports.for_sensitive_stream(
+                records, partition, requirements, now_ms
+            )
+        if requirements.any_engine:
+            return self._reports.for_any_engine(records, now_ms)
+        if prompt.tokens < LARGE_PROMPT_TOKENS:
             return []
-        return self._reports.for_home(self._ranked(lane, prompt), need, now_ms)
+        return self._reports.for_home(
+            self._rank_engines(partition, prompt), requirements, now_ms
+        )
 
     def choose(
-        self, records: Sequence[EndpointRecord], need: Need, now_ms: int
+        self,
+        records: Sequence[EndpointRecord],
+        requirements: RequestRequirements,
+        now_ms: int,
     ) -> Choice:
-        """Return the endpoint with the least predicted wait."""
+        """Return the endpoint with the lowest predicted cost."""
         entry = records[0].entry
-        model = self._models.of(entry.service)
-        self._demand.note(need, now_ms, model, entry.slots)
-        lane = self._lane(records, need)
-        if model.needs_apart(need):
-            return self._choose_steady(records, lane, need, now_ms)
-        return self._best(lane, need, now_ms)
-
-    def _choose_steady(
+        model = self._models.for_service(entry.service)
+        self._demand.record_request(requirements, now_ms, model, entry.slots)
+        partition = self._partition(records, requirements)
+        if model.needs_isolation(requirements):
+            return self._choose_for_sensitive_stream(
+                records, partition, requirements, now_ms
+            )
+        return self._choose_best(partition, requirements, now_ms)
+
+    def _choose_for_sensitive_stream(
         self,
         records: Sequence[EndpointRecord],
-        lane: Sequence[EndpointRecord],
-        need: Need,
+        partition: Sequence[EndpointRecord],
+        requirements: RequestRequirements,
         now_ms: int,
     ) -> Choice:
-        """Return an engine for a stream that would be late beside long prompts.
+        """Return an engine for a stream that would miss its gap target beside prefills.
 
-        Its lane goes first.  Short and ahead of the queue, it is served by any engine; late
-        events are better than none, and than putting back others.
+        Engines of its partition are preferred.  Otherwise any engine serves it, as its
+        prompt is short and passes the queue: late events are better than none, and than
+        the preemption of other streams.
         """
-        choice = self._spread(lane, steady_room, need, now_ms)
-        choice = choice or self._best(lane, need, now_ms)
-        if serves_well(choice.record, need.rank, now_ms):
-            return choice._replace(steady=True, apart=True)
-        known = [each for each in records if is_usable(each, now_ms)]
-        elsewhere = self._spread(known, steady_room, need, now_ms)
-        elsewhere = elsewhere or self._spread(known, self._places_left, need, now_ms)
-        if elsewhere is None:
-            free = [each for each in records if serves_well(each, need.rank, now_ms)]
-            elsewhere = self._best(free or records, need, now_ms)
-        return elsewhere._replace(steady=True)
-
-    def _spread(
+        choice = self._choose_weighted(
+            partition, sensitive_stream_headroom, requirements, now_ms
+        )
+        choice = choice or self._choose_best(partition, requirements, now_ms)
+        if suits_sensitive_stream(choice.record, requirements.rank, now_ms):
+            return choice._replace(latency_sensitive=True, isolated=True)
+        reported = [each for each in records if has_usable_report(each, now_ms)]
+        fallback = self._choose_weighted(
+            reported, sensitive_stream_headroom, requirements, now_ms
+        )
+        fallback = fallback or self._choose_weighted(
+            reported, self._free_slots, requirements, now_ms
+        )
+        if fallback is None:
+            suitable = [
+                each
+                for each in records
+                if suits_sensitive_stream(each, requirements.rank, now_ms)
+            ]
+            fallback = self._choose_best(suitable or records, requirements, now_ms)
+        return fallback._replace(latency_sensitive=True)
+
+    def _choose_weighted(
         self,
         engines: Sequence[EndpointRecord],
-        room_of: Callable[[EndpointRecord, int, int], float],
-        need: Need,
+        headroom_of: Callable[[EndpointRecord, int, int], float],
+        requirements: RequestRequirements,
         now_ms: int,
     ) -> Choice | None:
-        """Return an engine for a steady stream by chance, weighted by its room.
-
-        Steady streams are short to read, so a home saves them little; it made one engine
-        of a lane run 32 streams where another ran two.  The engine with the most room
-        would be chosen by all instances at once: 42 streams a second went to the one that
-        had looked free, and waited there for 1.8 s.  There is none for a stream that was
-        refused by an engine, for a long prompt, and where all are full.
+        """Return a random engine for a latency-sensitive stream, weighted by headroom.
+
+        Such streams have short prompts, so a home saves little; with homes, one engine
+        of a partition ran 32 streams while another ran two.  All instances would choose
+        the engine with the most headroom at once: 42 streams per second went to an
+        engine that had reported free slots, and waited there for 1.8 s.  Returns None
+        for a stream that an engine refused, for a long prompt, and if no engine has
+        headroom.
         """
-        prompt = need.prompt
-        if prompt is None or prompt.tokens > SPREAD_TOKENS or need.tries_again:
+        prompt = requirements.prompt
+        if prompt is None or prompt.tokens > MAX_SPREAD_TOKENS or requirements.is_retry:
             return None
-        rooms = [room_of(each, need.rank, now_ms) for each in engines]
-        if not any(rooms):
+        weights = [headroom_of(each, requirements.rank, now_ms) for each in engines]
+        if not any(weights):
             return None
-        record = self._rng.choices(engines, rooms)[0]
-        return self._judge(_Candidate(record, prompt.tokens, 0.0), need.rank, now_ms)
+        record = self._rng.choices(engines, weights)[0]
+        return self._evaluate(
+            _Candidate(record, prompt.tokens, 0.0), requirements.rank, now_ms
+        )
 
-    def _needs_apart(self, records: Sequence[EndpointRecord], need: Need) -> bool:
-        return self._models.of(records[0].entry.service).needs_apart(need)
+    def _needs_isolation(
+        self, records: Sequence[EndpointRecord], requirements: RequestRequirements
+    ) -> bool:
+        return self._models.for_service(records[0].entry.service).needs_isolation(
+            requirements
+        )
 
-    def _best(self, lane: Sequence[EndpointRecord], need: Need, now_ms: int) -> Choice:
-        prompt = need.prompt
+    def _choose_best(
+        self,
+        partition: Sequence[EndpointRecord],
+        requirements: RequestRequirements,
+        now_ms: int,
+    ) -> Choice:
+        prompt = requirements.prompt
         if prompt is None:
-            candidates = [_Candidate(record, 0, 0.0) for record in lane]
+            candidates = [_Candidate(record, 0, 0.0) for record in partition]
         else:
-            ranked = self._ranked(lane, prompt)
-            candidates = self._candidates(ranked, prompt, need.rank, now_ms)
-        choices = [self._judge(each, need.rank, now_ms) for each in candidates]
+            ranked = self._rank_engines(partition, prompt)
+            candidates = self._list_candidates(
+                ranked, prompt, requirements.rank, now_ms
+            )
+        choices = [
+            self._evaluate(each, requirements.rank, now_ms) for each in candidates
+        ]
         best = min(choices, key=lambda choice: choice.cost_ms)
         if prompt is None or not prompt.affinity or best is choices[0]:
             return best
-        if prompt.shared_tokens < LARGE_TOKENS:
-            return self._draw(choices, now_ms)
-        return best._replace(compared=self._compared(lane, need.rank, now_ms))
+        if prompt.shared_tokens < LARGE_PROMPT_TOKENS:
+            return self._draw_weighted(choices, now_ms)
+        return best._replace(
+            compared=self._evaluate_queried(partition, requirements.rank, now_ms)
+        )
 
-    def _places_left(self, record: EndpointRecord, rank: int, now_ms: int) -> float:
-        return places_left(record, rank, now_ms, self._demand.instances)
+    def _free_slots(self, record: EndpointRecord, rank: int, now_ms: int) -> float:
+        return free_slots(record, rank, now_ms, self._demand.instances)
 
-    def _draw(self, choices: Sequence[Choice], now_ms: int) -> Choice:
-        """Return an engine by chance, for a prompt whose home is busy.
+    def _draw_weighted(self, choices: Sequence[Choice], now_ms: int) -> Choice:
+        """Return a random engine, weighted by free slots, if a prompt's home is busy.
 
-        Little of it is shared, so any engine serves it nearly as well; the best one would
-        be chosen by all instances until the next report: 31 notes in half a second waited
-        in vain behind streams at one engine, while others had places.
+        Little of the prompt is shared, so any engine serves it nearly as well.  All
+        instances would choose the best engine until its next report: 31 notes in half a
+        second waited behind streams at one engine until they were abandoned, while
+        other engines had free slots.
         """
         weights = [
-            self._places_left(each.record, each.rank, now_ms) / (1.0 + each.cost_ms)
+            self._free_slots(each.record, each.rank, now_ms) / (1.0 + each.cost_ms)
             for each in choices
         ]
         if not any(weights):
             return min(choices, key=lambda choice: choice.cost_ms)
         return self._rng.choices(choices, weights)[0]
 
-    def _compared(
-        self, lane: Sequence[EndpointRecord], rank: int, now_ms: int
+    def _evaluate_queried(
+        self, partition: Sequence[EndpointRecord], rank: int, now_ms: int
     ) -> tuple[Choice, ...]:
-        """Return the engines of a lane that were asked for this choice."""
+        """Return evaluations of the engines in a partition with a recent report."""
         return tuple(
-            self._judge(_Candidate(each, 0, 0.0), rank, now_ms)
-            for each in lane
-            if is_recent(each, now_ms, STAND_IN_REPORT_MS)
+            self._evaluate(_Candidate(each, 0, 0.0), rank, now_ms)
+            for each in partition
+            if has_recent_report(each, now_ms, SUBSTITUTE_REPORT_MS)
         )
 
-    def _lane(
-        self, records: Sequence[EndpointRecord], need: Need
+    def _partition(
+        self, records: Sequence[EndpointRecord], requirements: RequestRequirements
     ) -> Sequence[EndpointRecord]:
         """Return the engines that a request may use.
 
-        A steady stream that an engine of its lane has refused goes to any engine, and so
-        does a request that its lane has no room for.
+        A latency-sensitive stream that was refused by an engine of its partition may
+        use any engine, and so may a request for which its partition has no capacity.
         """
-        apart = self._needs_apart(records, need)
-        if need.anywhere or (apart and need.tries_again):
+        isolated = self._needs_isolation(records, requirements)
+        if requirements.any_engine or (isolated and requirements.is_retry):
             return records
-        return self._lanes.lane(records, apart=apart)
+        return self._engine_partition.select(records, isolated=isolated)
 
-    def _judge(self, candidate: _Candidate, rank: int, now_ms: int) -> Choice:
+    def _evaluate(self, candidate: _Candidate, rank: int, now_ms: int) -> Choice:
         record = candidate.record
         wait_ms = self._forecast.wait_ms(record, rank, now_ms)
-        model = self._models.of(record.entry.service)
-        reading_ms = model.reading_ms(candidate.fresh_tokens)
+        model = self._models.for_service(record.entry.service)
+        prefill_ms = model.prefill_ms(candidate.fresh_tokens)
         return Choice(
             record,
             candidate.fresh_tokens,
-            candidate.extra_ms + reading_ms + wait_ms + failure_ms(record, now_ms),
+            candidate.extra_ms + prefill_ms + wait_ms + failure_cost_ms(record, now_ms),
             wait_ms,
-            is_usable(record, now_ms),
+            has_usable_report(record, now_ms),
             idle=is_idle(record, now_ms),
             rank=rank,
         )
 
-    def _candidates(
+    def _list_candidates(
         self,
         ranked: Sequence[EndpointRecord],
         prompt: Prompt,
         rank: int,
         now_ms: int,
     ) -> list[_Candidate]:
-        """Return the home, and the engines that may stand in for it.
+        """Return the home, and the engines that may substitute for it.
 
-        An engine that was not asked seems idle to this instance, and would get what all
-        instances move away from busy ones.  For a large prompt an engine must be idle
-        indeed: where all are busy, every prompt that is read anew takes the place of
-        four that are cached, and more homes become busy.
+        An engine without a report seems idle to this instance and would get the
+        requests that all instances move away from busy engines.  For a large prompt a
+        substitute must be nearly idle: if all engines are busy, each prompt that is
+        prefilled anew takes the time of four cached ones, and more homes become busy.
         """
         if not prompt.affinity:
-            known = [each for each in ranked if is_usable(each, now_ms)]
-            return [_Candidate(each, prompt.tokens, 0.0) for each in known or ranked]
+            reported = [each for each in ranked if has_usable_report(each, now_ms)]
+            return [_Candidate(each, prompt.tokens, 0.0) for each in reported or ranked]
         home, *others = ranked
-        stand_ins = [
-            (place, each)
-            for place, each in enumerate(others)
-            if is_usable(each, now_ms)
+        substitutes = [
+            (position, each)
+            for position, each in enumerate(others)
+            if has_usable_report(each, now_ms)
         ]
-        if prompt.shared_tokens >= LARGE_TOKENS:
-            stand_ins = [
-                (place, each)
-                for place, each in stand_ins
-                if is_recent(each, now_ms, STAND_IN_REPORT_MS)
-                and self._forecast.wait_ms(each, rank, now_ms) <= IDLE_MS
+        if prompt.shared_tokens >= LARGE_PROMPT_TOKENS:
+            substitutes = [
+                (position, each)
+                for position, each in substitutes
+                if has_recent_report(each, now_ms, SUBSTITUTE_REPORT_MS)
+                and self._forecast.wait_ms(each, rank, now_ms) <= SUBSTITUTE_WAIT_MS
             ]
-        elif not stand_ins:
-            stand_ins = list(enumerate(others))
+        elif not substitutes:
+            substitutes = list(enumerate(others))
         return [
             _at_home(home, prompt),
-            *(self._elsewhere(each, place, prompt) for place, each in stand_ins),
+            *(
+                self._make_substitute(each, position, prompt)
+                for position, each in substitutes
+            ),
         ]
 
-    def _elsewhere(
-        self, record: EndpointRecord, place: int, prompt: Prompt
+    def _make_substitute(
+        self, record: EndpointRecord, position: int, prompt: Prompt
     ) -> _Candidate:
-        """Return an engine that has to read all, by its place in the ranking."""
-        model = self._models.of(record.entry.service)
-        again_ms = AGAIN_WEIGHT * model.reading_ms(prompt.shared_tokens)
-        return _Candidate(record, prompt.tokens, again_ms + RANK_MS * place)
+        """Return an engine that has to prefill all, by its position in the ranking."""
+        model = self._models.for_service(record.entry.service)
+        recompute_ms = RECOMPUTE_WEIGHT * model.prefill_ms(prompt.shared_tokens)
+        return _Candidate(
+            record, prompt.tokens, recompute_ms + RANKING_STEP_MS * position
+        )
 
-    def _ranked(
-        self, lane: Sequence[EndpointRecord], prompt: Prompt
+    def _rank_engines(
+        self, partition: Sequence[EndpointRecord], prompt: Prompt
     ) -> list[EndpointRecord]:
         """Return the engines, the home of the prompt first if it has one."""
         if not prompt.affinity:
-            return list(lane)
-        return self._homes.order(lane, prompt.affinity)
+            return list(partition)
+        return self._homes.order(partition, prompt.affinity)
 
 
 def _at_home(record: EndpointRecord, prompt: Prompt) -> _Candidate:
-    """Return the engine that has read the shared part."""
+    """Return the engine that has the shared part of the prompt in its cache."""
     return _Candidate(record, prompt.tokens - prompt.shared_tokens, 0.0)
--- a/savorychute/gateway/dispatch/rank_limits.py
+++ b/savorychute/gateway/dispatch/rank_limits.py
@@ -1,4 +1,4 @@
-"""From which loads on requests of a rank are refused."""
+"""Load limits beyond which requests of a rank are refused."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class Ramp(NamedTuple):
-    """From where on some requests are refused, and from where on all are."""
+    """The value from which some requests are refused, and that from which all are."""
 
-    first: float
-    last: float
+    start: float
+    end: float
 
     def refused_share(self, value: float) -> float:
-        """Return the part of requests to refuse, from 0 to 1.
+        """Return the share of requests to refuse, from 0 to 1.
 
-        :param value: what the ramp bounds.
+        :param value: value of the limited quantity.
         """
-        return min(1.0, max(0.0, (value - self.first) / (self.last - self.first)))
+        return min(1.0, max(0.0, (value - self.start) / (self.end - self.start)))
 
 
 class RankLimits(NamedTuple):
-    """What requests of a rank may add to.
+    """Load to which requests of a rank may be added.
 
-    ``places_share`` is the part of an engine's places that are taken, ``waiting`` how many
-    requests wait there for their prompts to be read, ``wait_share`` the expected wait as
-    a part of the objective.
+    ``places_share`` limits the share of an engine's slots in use, ``waiting`` the
+    number of requests that wait there for prefill, and ``wait_share`` the expected wait
+    as a multiple of the objective.
     """
 
     places_share: Ramp
@@ -34,12 +34,12 @@
     wait_share: Ramp
 
 
-# Ranks go by the route's tier, three of them for each, and by the organisation's inside it.
-# An engine that always reads a prompt beside its streams lets each token wait for a
-# chunk, about 90 ms, and answers of 120 tokens pass their deadlines; with half of the
-# places taken it finishes about as many requests a second, and nearly all in time.  The
-# same holds for a long queue of prompts.  A tier's ramps end where those of the tier above
-# begin, so that all of the lower one is turned away before any of the higher one.
+# Three ranks per tier of the route, ordered by the tier of the organisation.  An engine
+# that always prefills beside its streams delays each token by a chunk, about 90 ms, and
+# answers of 120 tokens miss their deadlines.  With half of its slots in use it
+# completes about as many requests per second, nearly all of them in time.  The same
+# holds for a long queue of prompts.  The ramps of a tier end where those of the tier
+# above start, so that all requests of a tier are refused before any of the tier above.
 LIMITS = (
     RankLimits(Ramp(1.3, 1.7), Ramp(24, 64), Ramp(2.0, 4.0)),
     RankLimits(Ramp(1.15, 1.5), Ramp(18, 40), Ramp(1.6, 2.5)),
@@ -52,7 +52,7 @@
     RankLimits(Ramp(0.5, 0.8), Ramp(1, 7), Ramp(0.4, 1.1)),
 )
 # The ranks of the least urgent tier.
-LAST_TIER = range(LAST_LEVEL * LEVELS, len(LIMITS))
+LAST_TIER_RANKS = range(LAST_LEVEL * LEVELS, len(LIMITS))
 
 
 def is_last_tier(rank: int) -> bool:
--- a/savorychute/gateway/dispatch/report_selection.py
+++ b/savorychute/gateway/dispatch/report_selection.py
@@ -1,110 +1,129 @@
-"""Which engines are asked for their load before one is chosen."""
+"""Selection of the engines whose load is queried before a choice."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from savorychute.gateway.dispatch.engine_state import (
-    REPORT_MS,
-    failure_ms,
-    is_recent,
-    steady_room,
+    RECENT_REPORT_MS,
+    failure_cost_ms,
+    has_recent_report,
+    sensitive_stream_headroom,
 )
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Sequence
 
-    from savorychute.gateway.dispatch.need import Need
+    from savorychute.gateway.dispatch.request_requirements import RequestRequirements
     from savorychute.gateway.dispatch.wait_forecast import WaitForecast
     from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
 
-# With a wait beyond this at home some other engines are asked as well: the next in the
-# ranking, and two at random.  The better of two random engines is nearly as good as the
-# best of all, and with 45 engines asking all took ten reports for each prompt.
-BUSY_MS = 300.0
-NEXT_ASKED = 1
-RANDOM_ASKED = 2
-# Steady streams are short and many; a report of this age still tells how crowded a lane
-# is.
-STEADY_REPORT_MS = 500
-STEADY_ASKED = 2
-# Where their lane is full they fill the last places of others, and soon, so more engines are
-# asked and more often.
-CROWDED_REPORT_MS = 150
-CROWDED_ASKED = 3
-# Engines of any lane that are asked before a request of a tier above the last is refused.
-ANYWHERE_ASKED = 4
+# If the wait at home is longer, other engines are queried as well: the next in the
+# ranking, and two random ones.  The better of two random engines is nearly as good as
+# the best of all; with 45 engines, querying all took ten reports per prompt.
+BUSY_WAIT_MS = 300.0
+NEXT_QUERIED = 1
+RANDOM_QUERIED = 2
+# Latency-sensitive streams are short and numerous; a report of this age still shows how
+# congested their partition is.
+SENSITIVE_REPORT_MS = 500
+SENSITIVE_QUERIED = 2
+# When their partition is full they use the last free slots of other engines, so more
+# engines are queried and more often.
+CONGESTED_REPORT_MS = 150
+CONGESTED_QUERIED = 3
+# Engines of any partition that are queried before a request above the last tier is
+# refused.
+ANY_ENGINE_QUERIED = 4
 
 
 class ReportSelection:
-    """Names the engines whose last report is too old for a choice.
+    """Selects the engines whose last report is too old for a choice.
 
     :param rng: draws engines.
-    :param forecast: says when a home is busy.
+    :param forecast: predicts the wait at a home.
     """
 
     def __init__(self, rng: random.Random, forecast: WaitForecast) -> None:
         self._rng = rng
         self._forecast = forecast
 
-    def for_steady(
+    def for_sensitive_stream(
         self,
         records: Sequence[EndpointRecord],
-        lane: Sequence[EndpointRecord],
-        need: Need,
+        partition: Sequence[EndpointRecord],
+        requirements: RequestRequirements,
         now_ms: int,
     ) -> list[EndpointRecord]:
-        """Return two engines of a steady stream's lane, or some of all if it is full.
+        """Return two engines of the dedicated partition, or some of all if it is full.
 
         :param records: all engines.
-        :param lane: those of the steady lane.
-        :param need: of the stream.
-        :param now_ms: the time.
+        :param partition: engines dedicated to latency-sensitive streams.
+        :param requirements: requirements of the stream.
+        :param now_ms: the current time.
         """
-        unknown = self._unknown(lane, STEADY_ASKED, now_ms, STEADY_REPORT_MS)
-        if unknown or any(steady_room(each, need.rank, now_ms) for each in lane):
-            return unknown
-        return self._unknown(records, CROWDED_ASKED, now_ms, CROWDED_REPORT_MS)
+        outdated = self._sample_outdated(
+            partition, SENSITIVE_QUERIED, now_ms, SENSITIVE_REPORT_MS
+        )
+        if outdated or any(
+            sensitive_stream_headroom(each, requirements.rank, now_ms)
+            for each in partition
+        ):
+            return outdated
+        return self._sample_outdated(
+            records, CONGESTED_QUERIED, now_ms, CONGESTED_REPORT_MS
+        )
 
     def for_home(
-        self, ranked: Sequence[EndpointRecord], need: Need, now_ms: int
+        self,
+        ranked: Sequence[EndpointRecord],
+        requirements: RequestRequirements,
+        now_ms: int,
     ) -> list[EndpointRecord]:
-        """Return a prompt's home, or a few others if that is known to be busy.
+        """Return a prompt's home, or some other engines if it is known to be busy.
 
-        :param ranked: the engines of the lane, the home first.
-        :param need: of the request.
-        :param now_ms: the time.
+        :param ranked: the engines of the partition, the home first.
+        :param requirements: requirements of the request.
+        :param now_ms: the current time.
         """
         home = ranked[0]
-        if not is_recent(home, now_ms, REPORT_MS):
+        if not has_recent_report(home, now_ms, RECENT_REPORT_MS):
             return [home]
-        home_ms = self._forecast.wait_ms(home, need.rank, now_ms)
-        if home_ms + failure_ms(home, now_ms) <= BUSY_MS:
+        home_wait_ms = self._forecast.wait_ms(home, requirements.rank, now_ms)
+        if home_wait_ms + failure_cost_ms(home, now_ms) <= BUSY_WAIT_MS:
             return []
-        after = ranked[1 : 1 + NEXT_ASKED]
-        rest = ranked[1 + NEXT_ASKED :]
-        others = self._rng.sample(rest, min(RANDOM_ASKED, len(rest)))
-        return _older([*after, *others], now_ms, REPORT_MS)
-
-    def for_last_look(
+        next_engines = ranked[1 : 1 + NEXT_QUERIED]
+        remaining = ranked[1 + NEXT_QUERIED :]
+        others = self._rng.sample(remaining, min(RANDOM_QUERIED, len(remaining)))
+        return _without_recent_report(
+            [*next_engines, *others], now_ms, RECENT_REPORT_MS
+        )
+
+    def for_any_engine(
         self, records: Sequence[EndpointRecord], now_ms: int
     ) -> list[EndpointRecord]:
-        """Return some of all engines, for a request that its lane has no room for.
+        """Return some of all engines, for a request that does not fit its partition.
 
         :param records: all engines.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        return self._unknown(records, ANYWHERE_ASKED, now_ms, REPORT_MS)
+        return self._sample_outdated(
+            records, ANY_ENGINE_QUERIED, now_ms, RECENT_REPORT_MS
+        )
 
-    def _unknown(
-        self, records: Sequence[EndpointRecord], most: int, now_ms: int, bound_ms: int
+    def _sample_outdated(
+        self,
+        records: Sequence[EndpointRecord],
+        max_engines: int,
+        now_ms: int,
+        max_age_ms: int,
     ) -> list[EndpointRecord]:
-        sample = self._rng.sample(records, min(most, len(records)))
-        return _older(sample, now_ms, bound_ms)
+        sample = self._rng.sample(records, min(max_engines, len(records)))
+        return _without_recent_report(sample, now_ms, max_age_ms)
 
 
-def _older(
-    records: Sequence[EndpointRecord], now_ms: int, bound_ms: int
+def _without_recent_report(
+    records: Sequence[EndpointRecord], now_ms: int, max_age_ms: int
 ) -> list[EndpointRecord]:
-    return [each for each in records if not is_recent(each, now_ms, bound_ms)]
+    return [each for each in records if not has_recent_report(each, now_ms, max_age_ms)]
--- a/savorychute/gateway/dispatch/running_estimate.py
+++ b/savorychute/gateway/dispatch/running_estimate.py
@@ -1,19 +1,19 @@
-"""Estimates that follow what is observed, one sample at a time."""
+"""Estimates that are updated with one sample at a time."""
 
 from __future__ import annotations
 
 
 class RunningMean:
-    """A mean that forgets, from a stated first guess.
+    """An exponentially weighted mean with an initial value.
 
-    One sample counts as at most ``MOST_RATIO`` times the estimate, so that a frozen
-    process or a dead engine cannot move it far.
+    One sample counts as at most ``MAX_SAMPLE_RATIO`` times the estimate, so that a
+    frozen process or a crashed engine cannot move it far.
 
-    :param prior: what is assumed before the first sample, more than 0.
-    :param weight: of the newest sample.
+    :param prior: value assumed before the first sample, greater than 0.
+    :param weight: weight of the newest sample.
     """
 
-    MOST_RATIO = 4.0
+    MAX_SAMPLE_RATIO = 4.0
 
     __slots__ = ('_weight', 'value')
 
@@ -22,23 +22,23 @@
         self._weight = weight
 
     def add(self, sample: float) -> None:
-        """Take in a sample.
+        """Add a sample.
 
         :param sample: 0 or more.
         """
-        bounded = min(sample, self.MOST_RATIO * self.value)
+        bounded = min(sample, self.MAX_SAMPLE_RATIO * self.value)
         self.value += self._weight * (bounded - self.value)
 
 
 class RunningQuantile:
-    """A quantile that follows its samples in small steps, from a stated first guess.
+    """A quantile with an initial value that follows its samples in small steps.
 
-    Each sample moves it by at most ``step`` of itself whatever the sample's size, so
-    outliers have no weight of their own.
+    Each sample moves it by at most ``step`` of its value whatever the sample's size, so
+    outliers have no additional weight.
 
-    :param prior: what is assumed before the first sample, more than 0.
-    :param share: the part of samples that are to lie below.
-    :param step: relative size of a move.
+    :param prior: value assumed before the first sample, greater than 0.
+    :param share: share of samples that are to lie below the quantile.
+    :param step: relative size of a step.
     """
 
     __slots__ = ('_share', '_step', 'value')
@@ -49,7 +49,7 @@
         self._step = step
 
     def add(self, sample: float) -> None:
-        """Take in a sample."""
+        """Add a sample."""
         if sample > self.value:
             self.value *= 1.0 + self._step * self._share
         else:
--- a/savorychute/gateway/dispatch/shortages.py
+++ b/savorychute/gateway/dispatch/shortages.py
@@ -1,4 +1,4 @@
-"""Which tiers get nothing lately, so that none below them is begun."""
+"""Tiers with unserved requests, for which lower tiers are shed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from savorychute.gateway.dispatch.fading_sum import FadingSum
+from savorychute.gateway.dispatch.decaying_sum import DecayingSum
 from savorychute.gateway.dispatch.rank_limits import Ramp, is_last_tier
 from savorychute.gateway.requests.rank import tier_of
 from savorychute.membership.tier_shortage import TierShortage
@@ -14,104 +14,109 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# How long a request that got nothing counts, and how long what others say.  The promise
-# between tiers is about any five seconds.
-UNSERVED_S = 5.0
-HEARD_S = 3.0
-# Requests are offered evenly enough to be counted over a longer time.
-OFFERED_S = 8.0
-# The promise allows a twelfth of a tier to get nothing beside a lower one.  Before half of
-# that does, all of what is below is refused; a few, whatever their part, refuse nothing.
-FULL_PART = 1 / 24
-FIRST_PART = FULL_PART / 4
-LEAST_FULL = 4.0
-LEAST_FIRST = 1.0
-# Below this nothing is told.
-LEAST_TOLD = 0.05
+# How long an unserved request counts, and how long a report of another instance.  The
+# guarantee between tiers holds for any five seconds.
+UNSERVED_MEMORY_S = 5.0
+REPORTED_MEMORY_S = 3.0
+# The rate of offered requests varies little, so it is averaged over a longer time.
+OFFERED_MEMORY_S = 8.0
+# The guarantee permits a twelfth of a tier to be unserved while a lower one is served.
+# All lower tiers are shed once half of that is unserved; a few unserved requests,
+# whatever their share, shed none.
+FULL_SHED_SHARE = 1 / 24
+FIRST_SHED_SHARE = FULL_SHED_SHARE / 4
+MIN_FULL_SHED_REQUESTS = 4.0
+MIN_FIRST_SHED_REQUESTS = 1.0
+# Smaller values are not reported to other instances.
+MIN_ADVERTISED_REQUESTS = 0.05
 
 
 class Shortages:
-    """Counts, for each service and tier, requests that got nothing for want of room.
+    """Counts requests by service and tier that were unserved for lack of capacity.
 
-    Those of the last tier do not count: there is none below it to leave them room.
-    Each instance sees other engines and other half seconds: some refused notes while
-    others still began summaries.  So each tells what it saw, and all hold back the tiers
-    below.  The mean of the instances that were heard stands for all.
+    Those of the last tier do not count, as there is no tier below it to shed.
+    Instances observe different engines at different times: some refused notes while
+    others still sent summaries.  So each reports what it observed, and all shed the
+    lower tiers.  The mean of the instances that reported is extrapolated to all
+    instances.
     """
 
     def __init__(self) -> None:
-        self._offered = _sums(OFFERED_S)
-        self._unserved = _sums(UNSERVED_S)
-        self._heard = _sums(HEARD_S)
-        self._told = FadingSum(HEARD_S)
+        self._offered = _make_sums(OFFERED_MEMORY_S)
+        self._unserved = _make_sums(UNSERVED_MEMORY_S)
+        self._reported = _make_sums(REPORTED_MEMORY_S)
+        self._reports = DecayingSum(REPORTED_MEMORY_S)
         self.instances = 1
 
-    def offer(self, service: str, rank: int, now_ms: int) -> None:
+    def record_offered(self, service: str, rank: int, now_ms: int) -> None:
         """Count a request.
 
-        :param service: that it is for.
+        :param service: the service that it is for.
         :param rank: its urgency.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         if not is_last_tier(rank):
             self._offered[service, tier_of(rank)].add(1.0, now_ms)
 
-    def got_nothing(self, service: str, rank: int, now_ms: int) -> None:
-        """Count a request that was refused, or waited in vain, for want of room.
+    def record_unserved(self, service: str, rank: int, now_ms: int) -> None:
+        """Count a request that was refused or abandoned for lack of capacity.
 
-        :param service: that it was for.
+        :param service: the service that it was for.
         :param rank: its urgency.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         if not is_last_tier(rank):
             self._unserved[service, tier_of(rank)].add(1.0, now_ms)
 
     def advertised(self, now_ms: int) -> tuple[TierShortage, ...]:
-        """Return what other instances are told; usually nothing.
+        """Return the shortages to report to other instances; usually none.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         values = {key: each.value(now_ms) for key, each in self._unserved.items()}
         return tuple(
             TierShortage(service, tier, unserved)
             for (service, tier), unserved in values.items()
-            if unserved >= LEAST_TOLD
+            if unserved >= MIN_ADVERTISED_REQUESTS
         )
 
-    def hear(self, said: Iterable[TierShortage], now_ms: int) -> None:
-        """Take in what another instance said.
+    def record_reported(self, shortages: Iterable[TierShortage], now_ms: int) -> None:
+        """Record the shortages that another instance reported.
 
-        :param said: its shortages.
-        :param now_ms: the time.
+        :param shortages: its shortages.
+        :param now_ms: the current time.
         """
-        self._told.add(1.0, now_ms)
-        for service, tier, unserved in said:
-            self._heard[service, tier].add(unserved, now_ms)
+        self._reports.add(1.0, now_ms)
+        for service, tier, unserved in shortages:
+            self._reported[service, tier].add(unserved, now_ms)
 
-    def held_share(self, service: str, rank: int, now_ms: int) -> float:
-        """Return the part of a rank's requests that must leave room for tiers above.
+    def shed_share(self, service: str, rank: int, now_ms: int) -> float:
+        """Return the share of a rank's requests to shed in favour of higher tiers.
 
-        :param service: that they are for.
+        :param service: the service that they are for.
         :param rank: their urgency.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         above = range(tier_of(rank))
-        return max((self._share(service, tier, now_ms) for tier in above), default=0.0)
+        return max(
+            (self._shed_share_for(service, tier, now_ms) for tier in above), default=0.0
+        )
 
-    def _share(self, service: str, tier: int, now_ms: int) -> float:
+    def _shed_share_for(self, service: str, tier: int, now_ms: int) -> float:
         key = (service, tier)
-        seen = self._unserved[key].value(now_ms) + self._heard[key].value(now_ms)
-        # How many instances each of those that were heard stands for.  In a large fleet one
-        # request that got nothing stands for many, and must refuse nothing by itself.
-        weight = self.instances / (1.0 + self._told.value(now_ms))
+        unserved = self._unserved[key].value(now_ms) + self._reported[key].value(now_ms)
+        # Number of instances that each reporting instance represents.  In a large fleet
+        # one unserved request represents many, and must not cause any shedding by
+        # itself.
+        weight = self.instances / (1.0 + self._reports.value(now_ms))
         offered = self.instances * self._offered[key].value(now_ms)
-        offered *= UNSERVED_S / OFFERED_S
+        offered *= UNSERVED_MEMORY_S / OFFERED_MEMORY_S
         ramp = Ramp(
-            max(LEAST_FIRST * max(1.0, weight), FIRST_PART * offered),
-            max(LEAST_FULL * max(1.0, weight), FULL_PART * offered),
+            max(MIN_FIRST_SHED_REQUESTS * max(1.0, weight), FIRST_SHED_SHARE * offered),
+            max(MIN_FULL_SHED_REQUESTS * max(1.0, weight), FULL_SHED_SHARE * offered),
         )
-        return ramp.refused_share(weight * seen)
+        return ramp.refused_share(weight * unserved)
 
 
-def _sums(memory_s: float) -> defaultdict[tuple[str, int], FadingSum]:
-    return defaultdict(partial(FadingSum, memory_s))
+def _make_sums(memory_s: float) -> defaultdict[tuple[str, int], DecayingSum]:
+    return defaultdict(partial(DecayingSum, memory_s))
--- a/savorychute/gateway/dispatch/wait_forecast.py
+++ b/savorychute/gateway/dispatch/wait_forecast.py
@@ -1,10 +1,13 @@
-"""How long a request is expected to wait at an engine before its prompt is read."""
+"""Prediction of the wait at an engine before the prefill of a request starts."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from savorychute.gateway.dispatch.engine_state import OTHERS_FACTOR, usable_load
+from savorychute.gateway.dispatch.engine_state import (
+    OTHER_INSTANCES_FACTOR,
+    usable_load,
+)
 
 if TYPE_CHECKING:
     import random
@@ -14,21 +17,21 @@
     from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
     from savorychute.gateway.endpoints.engine_load import EngineLoad
 
-# What one more request adds to each step of the batch, until an answer of usual
-# length is out.
-PLACE_MS = 6.0
-DISTANCE_MS = 4.0
+# Time that each further request adds to the steps of a batch, over an answer of usual
+# length.
+REQUEST_STEP_COST_MS = 6.0
+DOMAIN_DISTANCE_MS = 4.0
 
 
 class WaitForecast:
-    """Predicts waits from reports and own requests, for each rank by itself.
+    """Predicts waits from reports and own requests, separately for each rank.
 
-    An engine reads the most urgent prompt first, so a request waits for those that are at
-    least as urgent alone.
+    An engine prefills the most urgent prompts first, so a request waits only for those
+    that are at least as urgent.
 
-    :param failure_domain: of this instance.
+    :param failure_domain: the failure domain of this instance.
     :param rng: breaks ties.
-    :param models: what engines showed.
+    :param models: learned models of engines.
     """
 
     def __init__(
@@ -42,18 +45,20 @@
         """Return the expected wait.
 
         :param record: the engine.
-        :param rank: of the request.
-        :param now_ms: the time.
+        :param rank: rank of the request.
+        :param now_ms: the current time.
         """
-        model = self._models.of(record.entry.service)
+        model = self._models.for_service(record.entry.service)
         load = usable_load(record, now_ms)
         if load is not None:
             wait_ms = _reported_wait(record, load, rank, model)
         else:
-            unread_ms = model.reading_ms(record.unread_tokens(rank))
-            wait_ms = OTHERS_FACTOR * (unread_ms + PLACE_MS * record.outstanding)
+            pending_ms = model.prefill_ms(record.unread_tokens(rank))
+            wait_ms = OTHER_INSTANCES_FACTOR * (
+                pending_ms + REQUEST_STEP_COST_MS * record.outstanding
+            )
         if record.entry.failure_domain != self._failure_domain:
-            wait_ms += DISTANCE_MS
+            wait_ms += DOMAIN_DISTANCE_MS
         return wait_ms + self._rng.random()
 
 
@@ -62,12 +67,12 @@
 ) -> float:
     """Predict the wait at an engine from its report.
 
-    A request waits for the prompts before it to be read, and for a place: with 12 places
-    all are taken while there is still little to read.
+    A request waits for earlier prefills and for a slot: with 12 slots, all may be in
+    use while there is still little to prefill.
     """
-    each_tokens = min(load.next_tokens, model.usual_tokens)
-    queued_tokens = (load.waiting_ahead(rank) + load.reading) * each_tokens
-    reading_ms = model.reading_ms(queued_tokens + record.unreported_tokens(rank))
-    reading_ms += PLACE_MS * load.generating
-    place_ms = model.place_wait_ms(load.taken_ahead(rank) + 1, record.entry.slots)
-    return max(reading_ms, place_ms)
+    tokens_per_prompt = min(load.next_tokens, model.mean_fresh_tokens)
+    queued_tokens = (load.waiting_ahead(rank) + load.reading) * tokens_per_prompt
+    prefill_ms = model.prefill_ms(queued_tokens + record.unreported_tokens(rank))
+    prefill_ms += REQUEST_STEP_COST_MS * load.generating
+    slot_ms = model.slot_wait_ms(load.taken_ahead(rank) + 1, record.entry.slots)
+    return max(prefill_ms, slot_ms)
--- a/savorychute/gateway/endpoints/endpoint_record.py
+++ b/savorychute/gateway/endpoints/endpoint_record.py
@@ -36,9 +36,9 @@
 class EndpointRecord:
     """An endpoint's entry, its health, its last report, and what this instance has there.
 
-    ``hash_key`` and ``lane_key`` place the endpoint among others by its name, alike on all
-    instances.  Endpoints that stay go before those that may be taken away: the first ones
-    serve the streams that must not pause.
+    ``hash_key`` and ``partition_key`` place the endpoint among others by its name,
+    alike on all instances.  Endpoints that stay go before those that may be taken away:
+    the first ones serve the streams that must not pause.
 
     :param entry: what the platform lists.
     """
@@ -51,19 +51,19 @@
         'hash_key',
         'health',
         'heard_ms',
-        'lane_key',
         'load',
         'load_ms',
         'missing_until_ms',
         'outstanding',
         'over',
+        'partition_key',
     )
 
     def __init__(self, entry: EndpointEntry) -> None:
         self.entry = entry
         self.hash_key = entry.endpoint.encode()
         name_key = int(xxhash.xxh3_64_intdigest(self.hash_key))
-        self.lane_key = (not entry.reclaimable, name_key)
+        self.partition_key = (not entry.reclaimable, name_key)
         self.health = EndpointHealth()
         self.heard_ms = 0
         self.load: EngineLoad | None = None
@@ -82,7 +82,7 @@
         now_ms: int,
         *,
         rank: int = 0,
-        steady: bool = False,
+        latency_sensitive: bool = False,
     ) -> None:
         """Count a request that is sent there.
 
@@ -96,7 +96,7 @@
         sent = _Sent(now_ms, prompt_tokens, rank)
         self._users[attempt] = sent
         self._unread[attempt] = sent
-        if steady:
+        if latency_sensitive:
             self._steady.add(attempt)
 
     def end_reading(self, attempt: EndpointUser) -> None:
@@ -111,7 +111,7 @@
         self.outstanding -= 1
 
     @property
-    def steady_streams(self) -> int:
+    def sensitive_streams(self) -> int:
         """This instance's streams there that would be late beside long prompts."""
         return len(self._steady)
 
--- a/savorychute/gateway/endpoints/endpoint_roster.py
+++ b/savorychute/gateway/endpoints/endpoint_roster.py
@@ -26,16 +26,16 @@
 class EndpointRoster:
     """Follows the platform's entries, and knows better where it can.
 
-    An endpoint gets nothing new once its entry or one of its answers says that it leaves,
-    once the entry is gone or cannot be read, or once another endpoint has answered at its
-    address.  A run that starts under a known name has a record of its own.  Only entries
-    that vanish around an outage of the store stay in use for a while: nobody could renew
-    them, so their absence says little.
+    An endpoint gets nothing new once its entry or one of its answers says that it
+    leaves, once the entry is gone or cannot be read, or once another endpoint has
+    answered at its address.  A run that starts under a known name has a record of its
+    own.  Only entries that vanish around an outage of the store stay in use for a
+    while: nobody could renew them, so their absence says little.
 
     :param on_ended: called with each run that ended and the time.
     :param clock: the time.
-    :param leaving: runs that have said themselves that they leave, whatever their entries
-        say.
+    :param leaving: runs that have said themselves that they leave, whatever their
+        entries say.
     """
 
     def __init__(
@@ -65,9 +65,9 @@
         """Return the record of an endpoint that is listed, or None."""
         return self._records.get(endpoint)
 
-    def steady_streams(self) -> int:
+    def sensitive_streams(self) -> int:
         """Return how many streams run here that would be late beside long prompts."""
-        return sum(record.steady_streams for record in self)
+        return sum(record.sensitive_streams for record in self)
 
     def usable(self, service: str) -> list[EndpointRecord]:
         """Return the endpoints of a service that may get new requests.
--- a/savorychute/gateway/requests/attempt.py
+++ b/savorychute/gateway/requests/attempt.py
@@ -100,7 +100,7 @@
             choice.fresh_tokens,
             began_ms,
             rank=choice.rank,
-            steady=choice.steady,
+            latency_sensitive=choice.latency_sensitive,
         )
 
     # -- what the endpoint does
--- a/savorychute/gateway/requests/engine_observer.py
+++ b/savorychute/gateway/requests/engine_observer.py
@@ -34,11 +34,11 @@
 
     def offered(self, now_ms: int) -> None:
         """Note that the request came."""
-        self._shortages.offer(self._service, self._rank, now_ms)
+        self._shortages.record_offered(self._service, self._rank, now_ms)
 
     def refused(self, now_ms: int) -> None:
         """Note that the request was refused for want of room."""
-        self._shortages.got_nothing(self._service, self._rank, now_ms)
+        self._shortages.record_unserved(self._service, self._rank, now_ms)
 
     def waited_in_vain(self, attempt: Attempt, now_ms: int) -> None:
         """Note a request that ended before its first event.
@@ -52,11 +52,11 @@
         if now_ms - attempt.began_ms < self._target_ms:
             return
         if is_full_for(attempt.choice.record, self._rank, now_ms):
-            self._shortages.got_nothing(self._service, self._rank, now_ms)
+            self._shortages.record_unserved(self._service, self._rank, now_ms)
 
     def sent(self, choice: Choice) -> None:
         """Note what a request is expected to have read anew."""
-        self._model().note_sent(choice.fresh_tokens, choice.apart)
+        self._model().record_sent(choice.fresh_tokens, choice.isolated)
 
     def event_came(self, attempt: Attempt, gap_ms: int | None, now_ms: int) -> None:
         """Note an event of a stream.
@@ -68,15 +68,15 @@
         choice = attempt.choice
         if gap_ms is not None:
             reading = choice.record.has_queue(now_ms)
-            self._model().note_gap(gap_ms, choice.apart, reading)
+            self._model().record_gap(gap_ms, choice.isolated, reading)
         elif choice.idle:
             duration_ms = now_ms - attempt.began_ms
-            self._model().note_first_event(choice.fresh_tokens, duration_ms)
+            self._model().record_first_event(choice.fresh_tokens, duration_ms)
 
     def stream_ended(self, attempt: Attempt, events: int) -> None:
         """Note a whole stream."""
-        self._model().note_answer(events, attempt.choice.apart)
+        self._model().record_answer(events, attempt.choice.isolated)
 
     def _model(self) -> EngineModel:
         # Looked up when there is something to tell: a plain service has no model.
-        return self._models.of(self._service)
+        return self._models.for_service(self._service)
--- a/savorychute/gateway/requests/request_course.py
+++ b/savorychute/gateway/requests/request_course.py
@@ -135,7 +135,7 @@
 
     def attempt_withheld(self, attempt: Attempt) -> None:
         """Go on after an attempt whose endpoint no longer takes it."""
-        self._search.take_back(attempt.choice.record.entry.run)
+        self._search.release(attempt.choice.record.entry.run)
         self._log_attempt(attempt, 'withheld', '')
         self._sends -= 1
         if self._may_go_on() and self._send():
@@ -216,7 +216,7 @@
 
     def _send_again(self) -> bool:
         """Send a further attempt out of the shared bound, if there is an endpoint."""
-        has_other = self._search.has_other(self.now_ms())
+        has_other = self._search.has_alternative(self.now_ms())
         return has_other and self._spend() and self._send()
 
     def _may_go_on(self) -> bool:
@@ -244,12 +244,12 @@
         """Start an attempt; return false if there is no endpoint for it."""
         now_ms = self.now_ms()
         found = self._search.find(now_ms, bool(self.possible_runs), self._answers_came)
-        if found is NotFound.ASKING:
+        if found is NotFound.PENDING:
             self._arm()
             return True
         if found is NotFound.NONE_LEFT:
             return False
-        if found in (NotFound.OVERLOADED, NotFound.CLOSED):
+        if found in (NotFound.OVERLOADED, NotFound.SUSPENDED):
             self._note_refusal(found, now_ms)
             return False
         self._send_to(found, now_ms)
@@ -257,7 +257,7 @@
 
     def _note_refusal(self, found: NotFound, now_ms: int) -> None:
         """Note when the caller should come back."""
-        wait_ms = self._search.wait_ms(now_ms) if found is NotFound.CLOSED else 0
+        wait_ms = self._search.wait_ms(now_ms) if found is NotFound.SUSPENDED else 0
         self._refusals.overloaded(self._parts.guard.retry_after_ms(wait_ms))
         if self._admitted.service.runs_models:
             self._observer.refused(now_ms)
@@ -350,7 +350,7 @@
 
     def _leave_silent(self, attempt: Attempt) -> None:
         """Close a silent attempt and try another endpoint, if there is one."""
-        can_go = self._may_go_on() and self._search.has_other(self.now_ms())
+        can_go = self._may_go_on() and self._search.has_alternative(self.now_ms())
         if not can_go or not self._spend():
             return
         attempt.stop()
--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -17,8 +17,8 @@
     from savorychute.errors import SavorychuteError, SettingsError
     from savorychute.gateway.configuration.deployment import Deployment
     from savorychute.gateway.dispatch.chooser import Choice
-    from savorychute.gateway.dispatch.engine_model import EngineFigures
-    from savorychute.gateway.dispatch.need import Need
+    from savorychute.gateway.dispatch.engine_model import EngineEstimates
+    from savorychute.gateway.dispatch.request_requirements import RequestRequirements
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
     from savorychute.gateway.recovery.retry_allowance import RepeatDecision
     from savorychute.gateway.requests.admitted import Admitted
@@ -160,7 +160,7 @@
             reason=make_word(change.why),
         )
 
-    def engines_learned(self, service: str, figures: EngineFigures) -> None:
+    def engines_learned(self, service: str, figures: EngineEstimates) -> None:
         """Log what predictions for a service's engines are made of."""
         self.log.info(
             'engines-learned',
@@ -192,7 +192,7 @@
         self,
         request: InboundRequest,
         choice: Choice,
-        need: Need,
+        need: RequestRequirements,
         limit: str,
         now_ms: int,
     ) -> None:
--- a/tests/test_gateway/engine_rig.py
+++ b/tests/test_gateway/engine_simulation.py
@@ -1,4 +1,4 @@
-"""A model engine on virtual time, which serves requests by their rank."""
+"""Simulation of a model engine on virtual time that serves requests by rank."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 REPORT_LAG_MS = 200
 NETWORK_MS = 1
-# Prompts that an engine reads side by side.
-READING_AT_ONCE = 2
+# Prompts that an engine prefills concurrently.
+CONCURRENT_PREFILLS = 2
 
 
 class Timeline:
-    """Callbacks in the order of their virtual times; serves as the timers of instances."""
+    """Callbacks in the order of their virtual times; used as timers of instances."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -42,7 +42,7 @@
 
 
 class Cancellable:
-    """A callback that need not come."""
+    """Handle of a scheduled callback that can be cancelled."""
 
     def __init__(self, entry):
         self._entry = entry
@@ -52,7 +52,10 @@
 
 
 class EngineKind(NamedTuple):
-    """What an engine can do; a step makes a token of each stream and reads a chunk."""
+    """Capacity of an engine.
+
+    Each step generates a token of each stream and prefills a chunk.
+    """
 
     slots: int = 64
     tokens_per_ms: float = 90.0
@@ -71,41 +74,41 @@
         self.kind = outbound.request.path.split('/')[1]
         self.listener = listener
         self.order = (self.rank, number)
-        self.left_tokens = 0
-        self.made_tokens = 0
-        self.over = False
+        self.remaining_tokens = 0
+        self.generated_tokens = 0
+        self.ended = False
 
     def __lt__(self, other):
         return self.order < other.order
 
 
 class SimulatedEngine:
-    """Begins the most urgent request that waits, and puts back the least urgent one.
+    """Starts the most urgent waiting request, and preempts the least urgent stream.
 
-    :param timeline: of the fleet.
-    :param kind: what it can do.
-    :param on_taken: called with the kind of each request that arrives.
-    :param on_begun: called with the kind of each request that begins to run.
+    :param timeline: timeline of the fleet.
+    :param kind: capacity of the engine.
+    :param on_arrival: called with the kind of each request that arrives.
+    :param on_start: called with the kind of each request that starts to generate.
     """
 
-    def __init__(self, timeline, kind, on_taken, on_begun):
+    def __init__(self, timeline, kind, on_arrival, on_start):
         self._timeline = timeline
         self._kind = kind
-        self._on_taken = on_taken
-        self._on_begun = on_begun
+        self._on_arrival = on_arrival
+        self._on_start = on_start
         self._waiting = []
-        self._reading = []
+        self._prefilling = []
         self._running = []
         self._numbers = count()
         self._busy = False
         self._cached = set()
         self._reports = deque([(timeline.now_ms(), EngineLoad(0, 0, 0, 0))])
 
-    # -- what instances do
+    # -- calls from instances
 
-    def take(self, outbound, listener):
+    def submit(self, outbound, listener):
         job = Job(outbound, listener, next(self._numbers))
-        self._on_taken(job.kind)
+        self._on_arrival(job.kind)
         self._queue(job)
         if not self._busy:
             self._busy = True
@@ -113,86 +116,86 @@
         return job
 
     def drop(self, job):
-        job.over = True
-        for jobs in (self._waiting, self._reading, self._running):
+        job.ended = True
+        for jobs in (self._waiting, self._prefilling, self._running):
             if job in jobs:
                 jobs.remove(job)
         heapq.heapify(self._waiting)
 
     def report(self):
-        """Return the load as it was a while ago."""
-        before_ms = self._timeline.now_ms() - REPORT_LAG_MS
-        while len(self._reports) > 1 and self._reports[1][0] <= before_ms:
+        """Return the load as it was ``REPORT_LAG_MS`` ago."""
+        reported_until_ms = self._timeline.now_ms() - REPORT_LAG_MS
+        while len(self._reports) > 1 and self._reports[1][0] <= reported_until_ms:
             self._reports.popleft()
         return self._reports[0][1]
 
-    # -- what it does
+    # -- steps of the engine
 
     def _queue(self, job):
         prompt = job.prompt
         cached = prompt.shared_tokens if prompt.affinity in self._cached else 0
-        job.left_tokens = prompt.tokens - cached + job.made_tokens
+        job.remaining_tokens = prompt.tokens - cached + job.generated_tokens
         heapq.heappush(self._waiting, job)
 
     def _admit(self):
-        while self._waiting and len(self._reading) < READING_AT_ONCE:
-            if len(self._reading) + len(self._running) >= self._kind.slots:
-                last = max(self._running, default=None)
-                if last is None or last.rank <= self._waiting[0].rank:
+        while self._waiting and len(self._prefilling) < CONCURRENT_PREFILLS:
+            if len(self._prefilling) + len(self._running) >= self._kind.slots:
+                least_urgent = max(self._running, default=None)
+                if least_urgent is None or least_urgent.rank <= self._waiting[0].rank:
                     return
-                self._running.remove(last)
-                self._queue(last)
-            self._reading.append(heapq.heappop(self._waiting))
+                self._running.remove(least_urgent)
+                self._queue(least_urgent)
+            self._prefilling.append(heapq.heappop(self._waiting))
 
     def _step(self):
         self._admit()
-        if not self._reading and not self._running:
+        if not self._prefilling and not self._running:
             self._busy = False
-            self._note()
+            self._record_load()
             return
         chunk = self._kind.chunk_tokens
-        for job in self._reading:
-            read = min(chunk, job.left_tokens)
-            job.left_tokens -= read
-            chunk -= read
+        for job in self._prefilling:
+            prefilled = min(chunk, job.remaining_tokens)
+            job.remaining_tokens -= prefilled
+            chunk -= prefilled
         step_ms = self._kind.step_ms + self._kind.stream_ms * len(self._running)
         step_ms += (self._kind.chunk_tokens - chunk) / self._kind.tokens_per_ms
-        self._note()
+        self._record_load()
         self._timeline.call_later(step_ms, self._end_step)
 
     def _end_step(self):
         for job in list(self._running):
             self._generate(job)
-        for job in [each for each in self._reading if not each.left_tokens]:
-            self._reading.remove(job)
+        for job in [each for each in self._prefilling if not each.remaining_tokens]:
+            self._prefilling.remove(job)
             self._cached.add(job.prompt.affinity)
             self._running.append(job)
-            if not job.made_tokens:
-                self._on_begun(job.kind)
+            if not job.generated_tokens:
+                self._on_start(job.kind)
                 job.listener.may_send()
                 job.listener.answer_began(STREAM)
-            if not job.over:
+            if not job.ended:
                 self._generate(job)
         self._step()
 
     def _generate(self, job):
-        job.made_tokens += 1
-        whole = job.made_tokens >= job.prompt.answer_tokens
-        if whole or job.made_tokens % self._kind.event_tokens == 1:
-            number = job.made_tokens
+        job.generated_tokens += 1
+        is_complete = job.generated_tokens >= job.prompt.answer_tokens
+        if is_complete or job.generated_tokens % self._kind.event_tokens == 1:
+            number = job.generated_tokens
             job.listener.answer_data(b'id: %d\ndata: x\n\n' % number)
-        if whole and not job.over:
+        if is_complete and not job.ended:
             self.drop(job)
             job.listener.answer_ended()
 
-    def _note(self):
+    def _record_load(self):
         streams = tuple(
-            RunningStream(job.rank, -(-job.made_tokens // self._kind.event_tokens))
+            RunningStream(job.rank, -(-job.generated_tokens // self._kind.event_tokens))
             for job in self._running
         )
         load = EngineLoad(
             len(self._waiting),
-            len(self._reading),
+            len(self._prefilling),
             len(streams),
             self._waiting[0].prompt.tokens if self._waiting else 0,
             streams=streams,
--- a/tests/test_gateway/fleet_rig.py
+++ b/tests/test_gateway/fleet_simulation.py
@@ -1,4 +1,4 @@
-"""Instances before engines on virtual time, and callers whose requests are followed."""
+"""Simulation of instances, engines and callers on virtual time."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from engine_rig import NETWORK_MS, EngineKind, SimulatedEngine, Timeline
+from engine_simulation import NETWORK_MS, EngineKind, SimulatedEngine, Timeline
 from gateway_fakes import (
     KEY,
     START_MS,
@@ -21,34 +21,35 @@
 from savorychute.clock import ManualClock
 from savorychute.gateway.configuration.request_kind import RequestKind
 from savorychute.gateway.configuration.service_share import ServiceShare
-from savorychute.gateway.dispatch.lane_demand import LaneDemand
+from savorychute.gateway.dispatch.partition_demand import PartitionDemand
 from savorychute.gateway.requests.request_course import RequestCourse
 
-# What instances tell each other, and how often: each hears one other in this time.
-HEARD_MS = 250
-OBSERVED_MS = 100
-# A stream's caller leaves after a pause of this length.
-PATIENCE_MS = 2_000
-TRIES = 2
-# Callers come in groups: the mean size of one, and within what time they call.
-GROUP = 4
-GROUP_MS = 150
-# Different shared prompts of each kind, of which an engine has read a part.
+# Interval at which each instance gets the report of another, and observes its streams.
+REPORT_INTERVAL_MS = 250
+OBSERVE_INTERVAL_MS = 100
+# A caller leaves after a gap of this length.
+CALLER_PATIENCE_MS = 2_000
+MAX_CALLER_ATTEMPTS = 2
+# Callers come in groups: mean size of a group, and the span in which its members call.
+MEAN_GROUP_SIZE = 4
+GROUP_SPAN_MS = 150
+# Number of shared prompts of each kind, of which engines have some cached.
 SHARED_PROMPTS = 100
-# A caller comes back within this part of the time that it has left.
-RETURN_SHARE = 1 / 3
-# The promise between tiers: in any five seconds, where ten requests or more of a kind, and
-# over a twelfth of it, get nothing, none that is less urgent begins.
+# Maximum share of the remaining time after which a refused caller retries.
+MAX_RETRY_DELAY_SHARE = 1 / 3
+# The guarantee between tiers: in any five seconds in which ten or more requests of a
+# kind, and more than a twelfth of it, are unserved, no less urgent request starts.
 WINDOW_MS = 5_000
-LEAST_UNSERVED = 10
+MIN_UNSERVED = 10
 UNSERVED_SHARE = 1 / 12
-# How long after such a loss instances may send what is less urgent: until all have heard.
+# Time after such a shortage in which instances may still send less urgent requests,
+# until all have received a report of it.
 REACTION_MS = 1_000
-LOOK_MS = 250
+CHECK_INTERVAL_MS = 250
 
 
 class Kind(NamedTuple):
-    """A kind of request: its prompt, its answer, and what is on time."""
+    """A kind of request: sizes in tokens, objectives and timeout."""
 
     name: str
     tier: int
@@ -67,33 +68,33 @@
 
 
 class Load(NamedTuple):
-    """Requests of a kind a second, from one time to another."""
+    """Requests of a kind per second, during some time."""
 
     kind: Kind
     per_s: float
-    from_ms: int
-    until_ms: int
+    start_ms: int
+    end_ms: int
 
 
 class Breach(NamedTuple):
-    """Five seconds in which a kind got nothing while a less urgent one began."""
+    """Five seconds in which a kind was unserved while a less urgent one started."""
 
-    from_ms: int
+    start_ms: int
     kind: str
     sent: int
     unserved: int
-    begun: int
+    started: int
 
 
 class SimulatedAttempts:
-    """Carries attempts of one instance to engines."""
+    """Sends the attempts of one instance to engines."""
 
     def __init__(self, timeline, engines):
         self._timeline = timeline
         self._engines = engines
 
     def send(self, attempt, listener):
-        return Carried(self._timeline, self._engines, attempt, listener)
+        return SimulatedAttempt(self._timeline, self._engines, attempt, listener)
 
     def probe(self, endpoint, on_result, permit=None):
         del permit
@@ -101,8 +102,8 @@
         self._timeline.call_later(2 * NETWORK_MS, lambda: on_result(engine.report()))
 
 
-class Carried:
-    """An attempt on its way, or at its engine."""
+class SimulatedAttempt:
+    """An attempt in transit, or at its engine."""
 
     def __init__(self, timeline, engines, outbound, listener):
         self._engine = engines[outbound.endpoint.endpoint]
@@ -119,16 +120,16 @@
 
     def _arrive(self):
         if not self._cancelled:
-            self._job = self._engine.take(self._outbound, self._listener)
+            self._job = self._engine.submit(self._outbound, self._listener)
 
 
 class Caller(FakeCaller):
-    """Waits for one request, leaves after a long pause, and comes back once.
+    """Waits for one request, leaves after a long gap, and retries once when refused.
 
-    :param fleet: that it calls.
-    :param kind: of the request.
-    :param shared: the number of its shared prompt.
-    :param scale: size of its own part and its answer, 1 for the usual.
+    :param fleet: the fleet that it calls.
+    :param kind: kind of the request.
+    :param shared: number of its shared prompt.
+    :param scale: relative size of its own part and its answer, 1 for the usual size.
     """
 
     def __init__(self, fleet, kind, shared, scale):
@@ -140,14 +141,14 @@
         self._fleet = fleet
         self._shared = shared
         self._scale = scale
-        self._tries = 0
-        self._course = None
-        self._heard_ms = self.sent_ms
+        self._attempts = 0
+        self._execution = None
+        self._last_event_ms = self.sent_ms
 
     def call(self):
         """Send the request to an instance."""
-        self._tries += 1
-        self._heard_ms = self._fleet.timeline.now_ms()
+        self._attempts += 1
+        self._last_event_ms = self._fleet.timeline.now_ms()
         kind = self.kind
         prompt = make_prompt(
             f'{kind.name}-{self._shared}',
@@ -155,13 +156,13 @@
             max(1, int(kind.own * self._scale)),
             max(1, int(kind.answer * self._scale)),
         )
-        left_ms = self.sent_ms + kind.timeout_ms - self._heard_ms
-        self._course = self._fleet.start(kind, prompt, left_ms, self)
-        self._watch()
+        remaining_ms = self.sent_ms + kind.timeout_ms - self._last_event_ms
+        self._execution = self._fleet.start(kind, prompt, remaining_ms, self)
+        self._schedule_check()
 
     def send(self, data):
         del data
-        self._heard_ms = self._fleet.timeline.now_ms()
+        self._last_event_ms = self._fleet.timeline.now_ms()
 
     def finish(self):
         self.served = True
@@ -172,9 +173,9 @@
 
     def refuse(self, refusal):
         timeline = self._fleet.timeline
-        left_ms = self.sent_ms + self.kind.timeout_ms - timeline.now_ms()
-        if self._tries < TRIES and left_ms > 0:
-            delay_ms = min(refusal.retry_after_ms, left_ms * RETURN_SHARE)
+        remaining_ms = self.sent_ms + self.kind.timeout_ms - timeline.now_ms()
+        if self._attempts < MAX_CALLER_ATTEMPTS and remaining_ms > 0:
+            delay_ms = min(refusal.retry_after_ms, remaining_ms * MAX_RETRY_DELAY_SHARE)
             timeline.call_later(delay_ms, self.call)
         else:
             self._end()
@@ -182,27 +183,27 @@
     def _end(self):
         self.ended_ms = self._fleet.timeline.now_ms()
 
-    def _watch(self):
-        self._fleet.timeline.call_later(PATIENCE_MS / 10, self._look)
+    def _schedule_check(self):
+        self._fleet.timeline.call_later(CALLER_PATIENCE_MS / 10, self._check_patience)
 
-    def _look(self):
-        course = self._course
-        if course is None or course.finished:
+    def _check_patience(self):
+        execution = self._execution
+        if execution is None or execution.finished:
             return
-        if self._fleet.timeline.now_ms() - self._heard_ms > PATIENCE_MS:
-            course.caller_left()
+        if self._fleet.timeline.now_ms() - self._last_event_ms > CALLER_PATIENCE_MS:
+            execution.caller_left()
             self._end()
             return
-        self._watch()
+        self._schedule_check()
 
 
 class Fleet:
-    """Instances, engines and callers.
+    """A simulation of instances, engines and callers.
 
-    :param instances: how many instances there are.
-    :param engines: what each engine can do.
-    :param loads: what callers ask for.
-    :param seed: of all chance.
+    :param instances: number of instances.
+    :param engines: the kind of each engine.
+    :param loads: load that callers offer.
+    :param seed: seed of all randomness.
     """
 
     def __init__(self, instances, engines, loads, seed):
@@ -210,15 +211,15 @@
         self.timeline = Timeline(clock)
         self.callers = []
         self._rng = random.Random(seed)
-        self._begun = defaultdict(list)
-        self._taken = defaultdict(list)
+        self._starts = defaultdict(list)
+        self._arrivals = defaultdict(list)
         self._engines = {
             f'e{number}': SimulatedEngine(
-                self.timeline, kind, self._note_taken, self._note_begun
+                self.timeline, kind, self._record_arrival, self._record_start
             )
             for number, kind in enumerate(engines)
         }
-        self._demands = [LaneDemand() for _ in range(instances)]
+        self._demands = [PartitionDemand() for _ in range(instances)]
         deployment = make_deployment(routes=tuple(map(_route, KINDS)))
         self._scenes = [
             make_scene(
@@ -236,56 +237,62 @@
         for load in loads:
             self._schedule(load)
         self._observe()
-        self._hear()
+        self._exchange_reports()
 
-    def play(self, duration_ms):
-        """Let callers come for some time, and answer those that are there."""
+    def run(self, duration_ms):
+        """Run the simulation for some time."""
         self.timeline.run_until(START_MS + duration_ms)
         return self
 
-    def end_engine(self, name, at_ms):
-        """Take an engine away: it finishes what it has, and gets nothing new."""
+    def drain_engine(self, name, at_ms):
+        """Drain an engine: it completes its requests and gets no new ones."""
         self.timeline.call_later(at_ms, lambda: self._drain(name))
 
-    def start(self, kind, prompt, left_ms, caller):
-        """Give a request to one of the instances; return its course."""
+    def start(self, kind, prompt, remaining_ms, caller):
+        """Send a request to a random instance; return its execution."""
         scene = self._rng.choice(self._scenes)
         scene.parts.configuration.confirm(self.timeline.now_ms())
         request = make_request(
-            f'/{kind.name}/1', KEY, method='POST', prompt=prompt, deadline_ms=left_ms
+            f'/{kind.name}/1',
+            KEY,
+            method='POST',
+            prompt=prompt,
+            deadline_ms=remaining_ms,
         )
         admitted = scene.intake.admit(request, self.timeline.now_ms())
-        course = RequestCourse(scene.parts, request, admitted, caller)
-        course.start()
-        return course
+        execution = RequestCourse(scene.parts, request, admitted, caller)
+        execution.start()
+        return execution
 
     def served_share(self, kind):
-        """Return the part of a kind's requests that were served."""
+        """Return the share of a kind's requests that were served."""
         served = [caller.served for caller in self.callers if caller.kind is kind]
         return sum(served) / len(served) if served else 1.0
 
-    def breaches(self, end_ms):
-        """Return the spans in which the promise between tiers was broken."""
+    def find_breaches(self, end_ms):
+        """Return the spans in which the guarantee between tiers was violated."""
         found = []
-        for from_ms in range(0, end_ms - WINDOW_MS + 1, 500):
+        for start_ms in range(0, end_ms - WINDOW_MS + 1, 500):
             for kind in KINDS[:-1]:
-                breach = self._breach(kind, from_ms)
+                breach = self._breach(kind, start_ms)
                 if breach is not None:
                     found.append(breach)
         return found
 
-    def not_held_back(self, end_ms):
-        """Return the times of requests sent to engines while a tier above got nothing."""
+    def find_unshed_requests(self, end_ms):
+        """Return the requests that were sent during a shortage of a higher tier."""
         found = []
-        for at_ms in range(REACTION_MS, end_ms, LOOK_MS):
+        for at_ms in range(REACTION_MS, end_ms, CHECK_INTERVAL_MS):
             for kind in KINDS[:-1]:
                 before_ms = at_ms - REACTION_MS
-                if self._is_short(kind, before_ms) and self._is_short(kind, at_ms):
-                    found.extend(self._taken_below(kind, at_ms))
+                if self._has_shortage(kind, before_ms) and self._has_shortage(
+                    kind, at_ms
+                ):
+                    found.extend(self._arrivals_below(kind, at_ms))
         return found
 
-    def _is_short(self, kind, at_ms):
-        """Return whether a kind is known to have got nothing in the last five seconds."""
+    def _has_shortage(self, kind, at_ms):
+        """Return whether a kind was short of capacity in the last five seconds."""
         ended = [
             caller.served
             for caller in self.callers
@@ -293,43 +300,47 @@
             and caller.ended_ms is not None
             and at_ms - WINDOW_MS < caller.ended_ms - START_MS <= at_ms
         ]
-        return is_too_many(len(ended) - sum(ended), len(ended))
+        return exceeds_guarantee(len(ended) - sum(ended), len(ended))
 
-    def _taken_below(self, kind, from_ms):
+    def _arrivals_below(self, kind, start_ms):
         return [
-            (each.name, taken_ms - START_MS)
+            (each.name, arrived_ms - START_MS)
             for each in KINDS
             if each.tier > kind.tier
-            for taken_ms in self._taken[each.name]
-            if from_ms <= taken_ms - START_MS < from_ms + LOOK_MS
+            for arrived_ms in self._arrivals[each.name]
+            if start_ms <= arrived_ms - START_MS < start_ms + CHECK_INTERVAL_MS
         ]
 
-    def _breach(self, kind, from_ms):
-        until_ms = from_ms + WINDOW_MS
+    def _breach(self, kind, start_ms):
+        end_ms = start_ms + WINDOW_MS
         sent = [
             caller
             for caller in self.callers
-            if caller.kind is kind and from_ms <= caller.sent_ms - START_MS < until_ms
+            if caller.kind is kind and start_ms <= caller.sent_ms - START_MS < end_ms
         ]
         unserved = sum(not caller.served for caller in sent)
-        if not is_too_many(unserved, len(sent)):
+        if not exceeds_guarantee(unserved, len(sent)):
             return None
         lower = [each for each in KINDS if each.tier > kind.tier]
-        begun = sum(
-            from_ms <= begun_ms - START_MS < until_ms
+        started = sum(
+            start_ms <= started_ms - START_MS < end_ms
             for each in lower
-            for begun_ms in self._begun[each.name]
+            for started_ms in self._starts[each.name]
+        )
+        return (
+            Breach(start_ms, kind.name, len(sent), unserved, started)
+            if started
+            else None
         )
-        return Breach(from_ms, kind.name, len(sent), unserved, begun) if begun else None
 
     def _schedule(self, load):
-        at_ms = float(load.from_ms)
+        at_ms = float(load.start_ms)
         while True:
-            at_ms += self._rng.expovariate(load.per_s / GROUP / 1_000)
-            if at_ms >= load.until_ms:
+            at_ms += self._rng.expovariate(load.per_s / MEAN_GROUP_SIZE / 1_000)
+            if at_ms >= load.end_ms:
                 return
-            for _ in range(self._rng.randint(1, 2 * GROUP - 1)):
-                delay_ms = int(at_ms) + self._rng.randrange(GROUP_MS)
+            for _ in range(self._rng.randint(1, 2 * MEAN_GROUP_SIZE - 1)):
+                delay_ms = int(at_ms) + self._rng.randrange(GROUP_SPAN_MS)
                 self.timeline.call_later(delay_ms, lambda: self._call(load.kind))
 
     def _call(self, kind):
@@ -338,11 +349,11 @@
         self.callers.append(caller)
         caller.call()
 
-    def _note_begun(self, kind_name):
-        self._begun[kind_name].append(self.timeline.now_ms())
+    def _record_start(self, kind_name):
+        self._starts[kind_name].append(self.timeline.now_ms())
 
-    def _note_taken(self, kind_name):
-        self._taken[kind_name].append(self.timeline.now_ms())
+    def _record_arrival(self, kind_name):
+        self._arrivals[kind_name].append(self.timeline.now_ms())
 
     def _drain(self, name):
         for scene in self._scenes:
@@ -354,26 +365,26 @@
     def _observe(self):
         now_ms = self.timeline.now_ms()
         for scene, demand in zip(self._scenes, self._demands, strict=True):
-            streams = scene.parts.roster.steady_streams()
+            streams = scene.parts.roster.sensitive_streams()
             demand.observe(streams, len(self._scenes), now_ms)
             scene.parts.shortages.instances = len(self._scenes)
-        self.timeline.call_later(OBSERVED_MS, self._observe)
+        self.timeline.call_later(OBSERVE_INTERVAL_MS, self._observe)
 
-    def _hear(self):
+    def _exchange_reports(self):
         now_ms = self.timeline.now_ms()
         for number, demand in enumerate(self._demands):
             other = self._rng.randrange(len(self._demands))
             if other == number:
                 continue
-            demand.hear(self._demands[other].advertised(now_ms), now_ms)
-            said = self._scenes[other].parts.shortages.advertised(now_ms)
-            self._scenes[number].parts.shortages.hear(said, now_ms)
-        self.timeline.call_later(HEARD_MS, self._hear)
+            demand.record_reported(self._demands[other].advertised(now_ms), now_ms)
+            reported = self._scenes[other].parts.shortages.advertised(now_ms)
+            self._scenes[number].parts.shortages.record_reported(reported, now_ms)
+        self.timeline.call_later(REPORT_INTERVAL_MS, self._exchange_reports)
 
 
-def is_too_many(unserved, sent):
-    """Return whether more get nothing than the promise between tiers allows."""
-    return unserved >= LEAST_UNSERVED and unserved > UNSERVED_SHARE * sent
+def exceeds_guarantee(unserved, sent):
+    """Return whether more requests were unserved than the guarantee permits."""
+    return unserved >= MIN_UNSERVED and unserved > UNSERVED_SHARE * sent
 
 
 def _route(kind):
@@ -389,13 +400,13 @@
     )
 
 
-def usual(scale=1.0, until_ms=30_000, engines=5):
-    """Return what callers usually ask of some engines, times a factor."""
+def usual_load(scale=1.0, end_ms=30_000, engines=5):
+    """Return the usual load of some engines, multiplied by a factor."""
     each = scale * engines / 5
     return [
-        Load(CHAT, 5.5 * each, 0, until_ms),
-        Load(NOTE, 11.0 * each, 0, until_ms),
-        Load(SUMMARY, 15.5 * each, 0, until_ms),
+        Load(CHAT, 5.5 * each, 0, end_ms),
+        Load(NOTE, 11.0 * each, 0, end_ms),
+        Load(SUMMARY, 15.5 * each, 0, end_ms),
     ]
 
 
--- a/tests/test_gateway/permit_rig.py
+++ b/tests/test_gateway/permit_rig.py
@@ -19,8 +19,8 @@
 from savorychute.membership.member_view import MemberView
 
 RUN = EndpointRun('e1', 7)
-# The rule: calls within a span that ends some time after the first statement, of instances
-# that had been told half a second before.
+# The rule: calls within a span that ends some time after the first statement, of
+# instances that had been told half a second before.
 SPAN_MS = 4_000
 NOTICE_MS = 3_000
 TOLD_MS = 500
--- a/tests/test_gateway/test_choosers.py
+++ b/tests/test_gateway/test_choosers.py
@@ -1,4 +1,4 @@
-"""Tests of how an endpoint is chosen."""
+"""Tests of the policies that choose an endpoint."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from gateway_fakes import IDLE, make_entry, make_prompt
 
 from savorychute.gateway.dispatch import load_choosers
-from savorychute.gateway.dispatch.chooser import CHOOSERS, open_records
-from savorychute.gateway.dispatch.need import Need
+from savorychute.gateway.dispatch.chooser import CHOOSERS, available_records
+from savorychute.gateway.dispatch.request_requirements import RequestRequirements
 from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
 from savorychute.gateway.endpoints.engine_load import EngineLoad
 
 LONG_GAP_MS = 1_000
-STEADY_GAP_MS = 250
+SENSITIVE_GAP_MS = 250
 
 
 @pytest.fixture
@@ -28,107 +28,113 @@
     return CHOOSERS.get(name)('hall', random.Random(seed))
 
 
-def choose_names(chooser, engines, need, count=1):
+def choose_names(chooser, engines, requirements, count=1):
     names = []
     for number in range(count):
         names.append(
-            chooser.choose(engines, need, 1_000 + number).record.entry.endpoint
+            chooser.choose(engines, requirements, 1_000 + number).record.entry.endpoint
         )
     return names
 
 
 def test_instances_send_a_shared_prompt_to_one_engine(engines):
-    """A prompt that every engine read.
+    """Guards against a shared prompt that every engine prefills.
 
-    Eight instances serve requests on one pump's history.  Without a word between them
-    they must choose the same engine, or 13,000 tokens are read eight times.
+    Eight instances serve requests on one pump's history.  Without coordination they
+    must choose the same engine, or 13,000 tokens are prefilled eight times.
     """
-    need = Need(make_prompt('pump-7'), LONG_GAP_MS)
+    requirements = RequestRequirements(make_prompt('pump-7'), LONG_GAP_MS)
 
     chosen = {
         name
         for seed in range(8)
-        for name in choose_names(make_chooser(seed=seed), engines, need, 3)
+        for name in choose_names(make_chooser(seed=seed), engines, requirements, 3)
     }
 
     assert len(chosen) == 1
 
 
-def choose_spread(chooser, engines, begin_ms):
-    """Choose for ninety prompts; return how often each engine was chosen."""
+def choose_for_prompts(chooser, engines, start_ms):
+    """Choose for 90 prompts; return how often each engine was chosen."""
     names = Counter()
     for number in range(90):
-        need = Need(make_prompt(f'p{number}'), LONG_GAP_MS)
-        choice = chooser.choose(engines, need, begin_ms + number)
+        requirements = RequestRequirements(make_prompt(f'p{number}'), LONG_GAP_MS)
+        choice = chooser.choose(engines, requirements, start_ms + number)
         names[choice.record.entry.endpoint] += 1
     return names
 
 
-def test_different_prompts_spread_over_all_engines_where_no_stream_is_steady(engines):
+def test_prompts_spread_over_all_engines_without_sensitive_streams(engines):
     chooser = make_chooser()
-    choose_spread(chooser, engines, 1_000)
+    choose_for_prompts(chooser, engines, 1_000)
 
-    assert len(choose_spread(chooser, engines, 100_000)) == 9
+    assert len(choose_for_prompts(chooser, engines, 100_000)) == 9
 
 
-def test_lanes_are_there_before_the_first_steady_stream(engines):
-    """Prompts that were read twice at the begin of a day.
+def test_engines_are_partitioned_before_first_sensitive_stream(engines):
+    """Guards against prompts that are prefilled twice at the start of a day.
 
-    The first long prompts go to any engine.  When the first steady streams come, some of
-    these engines are theirs, and the prompts get other homes.
+    The first long prompts go to any engine.  When the first latency-sensitive streams
+    arrive, some of these engines are dedicated to them and the prompts get other homes.
     """
     chooser = make_chooser()
-    before = set(choose_spread(chooser, engines, 1_000))
+    before = set(choose_for_prompts(chooser, engines, 1_000))
     short = make_prompt('s', shared=350, own=1_100, answer=170)
-    steady = set(choose_names(chooser, engines, Need(short, STEADY_GAP_MS), 20))
+    sensitive = set(
+        choose_names(chooser, engines, RequestRequirements(short, SENSITIVE_GAP_MS), 20)
+    )
 
-    assert not steady & before
+    assert not sensitive & before
 
 
-def test_streams_that_must_not_pause_are_kept_from_long_prompts(engines):
-    """A diagnosis that stuttered.
+def test_sensitive_streams_are_isolated_from_long_prompts(engines):
+    """Guards against diagnoses with long gaps.
 
-    A prompt of 17,000 tokens is read in chunks of 100 ms each, and every event of a
-    stream beside it waits for three of them, beyond its bound of 250 ms.
+    A prompt of 17,000 tokens is prefilled in chunks of 100 ms each, and every event of
+    a stream beside it waits for three of them, longer than its gap target of 250 ms.
     """
     chooser = make_chooser()
-    steady, others = set(), set()
+    sensitive, others = set(), set()
     for number in range(60):
-        long_need = Need(make_prompt(f'p{number % 20}'), LONG_GAP_MS)
+        long_requirements = RequestRequirements(
+            make_prompt(f'p{number % 20}'), LONG_GAP_MS
+        )
         short = make_prompt(f's{number % 20}', shared=350, own=1_100, answer=170)
-        others.update(choose_names(chooser, engines, long_need))
-        steady.update(choose_names(chooser, engines, Need(short, STEADY_GAP_MS)))
+        others.update(choose_names(chooser, engines, long_requirements))
+        sensitive.update(
+            choose_names(chooser, engines, RequestRequirements(short, SENSITIVE_GAP_MS))
+        )
         if number == 5:
-            steady.clear()
+            sensitive.clear()
             others.clear()
 
-    assert steady
-    assert not steady & others
+    assert sensitive
+    assert not sensitive & others
 
 
-def test_steady_streams_leave_a_crowded_lane(engines):
-    """Diagnoses that stuttered in a burst.
+def test_sensitive_streams_leave_a_congested_partition(engines):
+    """Guards against late events of diagnoses in a burst.
 
-    Three times as many come as their lane was made for.  First events come in time, so
-    nothing looks slow, but 64 streams share each engine, their events are late, and
-    more urgent ones put back the others.
+    Three times as many diagnoses arrive as their partition was sized for.  First events
+    are in time, so no engine seems slow, but 64 streams share each engine, their events
+    are late, and more urgent streams preempt others.
     """
     chooser = make_chooser()
     short = make_prompt('s', shared=350, own=1_100, answer=170)
-    need = Need(short, STEADY_GAP_MS)
-    lane = set(choose_names(chooser, engines, need, 20))
+    requirements = RequestRequirements(short, SENSITIVE_GAP_MS)
+    partition = set(choose_names(chooser, engines, requirements, 20))
     for engine in engines:
-        crowded = engine.entry.endpoint in lane
-        engine.report(EngineLoad(0, 0, 50 if crowded else 10, 0), 1_000)
+        is_congested = engine.entry.endpoint in partition
+        engine.report(EngineLoad(0, 0, 50 if is_congested else 10, 0), 1_000)
 
-    assert not lane & set(choose_names(chooser, engines, need, 20))
+    assert not partition & set(choose_names(chooser, engines, requirements, 20))
 
 
 @pytest.mark.parametrize('waiting, leaves', [(60, True), (6, False)])
-def test_full_home_is_left_for_the_next_idle_one(engines, waiting, leaves):
-    """Instances leave a full home for the same engine, and a busy one not at all."""
-    need = Need(make_prompt('pump-7'), LONG_GAP_MS)
-    home = make_chooser().choose(engines, need, 1_000).record
+def test_full_home_is_left_for_next_idle_engine(engines, waiting, leaves):
+    """Instances leave a full home for the same engine, and do not leave a busy one."""
+    requirements = RequestRequirements(make_prompt('pump-7'), LONG_GAP_MS)
+    home = make_chooser().choose(engines, requirements, 1_000).record
     for engine in engines:
         engine.report(IDLE, 1_000)
     home.report(EngineLoad(waiting, 4, 20, 17_000), 1_000)
@@ -136,7 +142,7 @@
     chosen = {
         name
         for seed in range(8)
-        for name in choose_names(make_chooser(seed=seed), engines, need)
+        for name in choose_names(make_chooser(seed=seed), engines, requirements)
     }
 
     assert len(chosen) == 1
@@ -144,25 +150,26 @@
 
 
 def test_full_home_is_not_left_for_another_busy_engine(engines):
-    """An overload that fed itself.
+    """Guards against an overload that amplifies itself.
 
-    Everybody is busy, and prompts wander to whoever is a little less so.  Each is read
-    anew there, 17,000 tokens instead of 4,000, until all engines only read.
+    All engines are busy, and prompts move to slightly less busy ones.  Each is
+    prefilled anew there, 17,000 tokens instead of 4,000, until all engines only
+    prefill.
     """
-    need = Need(make_prompt('pump-7'), LONG_GAP_MS)
-    home = make_chooser().choose(engines, need, 1_000).record
+    requirements = RequestRequirements(make_prompt('pump-7'), LONG_GAP_MS)
+    home = make_chooser().choose(engines, requirements, 1_000).record
     for engine in engines:
         engine.report(EngineLoad(6, 2, 30, 17_000), 1_000)
     home.report(EngineLoad(60, 4, 30, 17_000), 1_000)
 
-    assert choose_names(make_chooser(), engines, need) == [home.entry.endpoint]
+    assert choose_names(make_chooser(), engines, requirements) == [home.entry.endpoint]
 
 
-def test_failing_endpoint_is_avoided_by_comparison_with_the_others():
-    """A grey server.
+def test_endpoint_that_fails_more_than_others_is_avoided():
+    """Guards against a gray failure: a healthy probe, but four of ten requests fail.
 
-    Its liveness check is good, and it fails four of ten requests.  One request in
-    seven fails at any endpoint by its own fault; that must block nobody.
+    One request in seven fails at any endpoint for reasons of its own; such failures
+    must not block an endpoint.
     """
     records = [EndpointRecord(make_entry(f'd{number}')) for number in range(3)]
     for _ in range(40):
@@ -171,7 +178,7 @@
         records[0].health.failed(1_000)
 
     chooser = make_chooser('least-outstanding')
-    chosen = Counter(choose_names(chooser, records, Need(), 100))
+    chosen = Counter(choose_names(chooser, records, RequestRequirements(), 100))
 
     assert chosen['d0'] < 5
 
@@ -179,57 +186,62 @@
 def test_blocked_endpoints_are_used_when_no_other_is_left():
     records = [EndpointRecord(make_entry(f'd{number}')) for number in range(2)]
     records[0].health.silent(1_000)
-    assert open_records(records, frozenset(), 1_001) == [records[1]]
+    assert available_records(records, frozenset(), 1_001) == [records[1]]
     records[1].health.silent(1_000)
 
-    assert open_records(records, frozenset(), 1_001) == records
+    assert available_records(records, frozenset(), 1_001) == records
 
 
-def test_one_crowded_engine_is_enough_to_leave_the_lane(engines):
-    """A lane of which an instance knew only a part.
+def test_one_congested_engine_is_enough_to_leave_partition(engines):
+    """Guards against a partition that is not left while partly unknown.
 
-    Each instance knows the load of the engines that it asked lately.  If it left its lane
-    only when it knew every engine of it to be crowded, it would hardly ever leave.
+    Each instance knows only the load of the engines that it queried recently.  If it
+    left its partition only when all engines there were known to be congested, it would
+    hardly ever leave.
     """
     chooser = make_chooser()
     short = make_prompt('s', shared=350, own=1_100, answer=170)
-    need = Need(short, STEADY_GAP_MS)
+    requirements = RequestRequirements(short, SENSITIVE_GAP_MS)
     for number in range(40):
-        steady = make_prompt(f's{number}', shared=350, own=1_100, answer=170)
-        chooser.choose(engines, Need(steady, STEADY_GAP_MS), 1_000)
-    home = chooser.choose(engines, need, 1_000).record
+        sensitive = make_prompt(f's{number}', shared=350, own=1_100, answer=170)
+        chooser.choose(engines, RequestRequirements(sensitive, SENSITIVE_GAP_MS), 1_000)
+    home = chooser.choose(engines, requirements, 1_000).record
     home.report(EngineLoad(0, 0, 60, 0), 1_000)
 
-    chosen = chooser.choose(engines, need, 1_001).record
+    chosen = chooser.choose(engines, requirements, 1_001).record
 
     assert chosen is not home
 
 
-def test_steady_streams_of_one_prompt_use_all_of_their_lane(engines):
-    """Urgent streams that waited for a place while the engine beside had ten.
+def test_sensitive_streams_of_one_prompt_use_whole_partition(engines):
+    """Guards against streams that wait for a slot while another engine has ten free.
 
-    A burst of diagnoses about one pump comes.  By its home each went to the same engine of
-    the lane until a report, half a second late, said that it was full: 32 streams there,
-    two on the next.
+    With homes, all diagnoses about one pump went to the same engine of the partition
+    until a report, half a second late, showed that it was full: 32 streams there, two
+    on the next engine.
     """
-    need = Need(make_prompt('pump-7', shared=350, own=1_100), STEADY_GAP_MS)
+    requirements = RequestRequirements(
+        make_prompt('pump-7', shared=350, own=1_100), SENSITIVE_GAP_MS
+    )
     chooser = make_chooser()
     for record in engines:
         record.report(IDLE, 1_000)
 
-    names = Counter(choose_names(chooser, engines, need, 40))
+    names = Counter(choose_names(chooser, engines, requirements, 40))
 
-    lane = len(names)
-    assert lane >= 1
-    assert max(names.values()) <= 40 / lane * 2.5
+    partition = len(names)
+    assert partition >= 1
+    assert max(names.values()) <= 40 / partition * 2.5
 
 
-def test_full_engine_gets_no_steady_stream_while_another_has_room(engines):
-    need = Need(make_prompt('pump-7', shared=350, own=1_100), STEADY_GAP_MS)
+def test_full_engine_gets_no_sensitive_stream_while_another_has_headroom(engines):
+    requirements = RequestRequirements(
+        make_prompt('pump-7', shared=350, own=1_100), SENSITIVE_GAP_MS
+    )
     chooser = make_chooser()
-    full = set(choose_names(chooser, engines, need, 40))
+    full = set(choose_names(chooser, engines, requirements, 40))
     for record in engines:
         taken = 60 if record.entry.endpoint in full else 0
         record.report(EngineLoad(0, 0, taken, 0), 1_000)
 
-    assert not set(choose_names(chooser, engines, need, 40)) & full
+    assert not set(choose_names(chooser, engines, requirements, 40)) & full
--- a/tests/test_gateway/test_endpoint_runs.py
+++ b/tests/test_gateway/test_endpoint_runs.py
@@ -45,8 +45,9 @@
 def test_drain_of_a_new_run_is_believed(roster):
     """A leaving endpoint that went on getting requests.
 
-    It crashes at its fiftieth report, starts again under its name, counts anew, and drains
-    at once.  Its report is the first of the new run and was taken for an old one.
+    It crashes at its fiftieth report, starts again under its name, counts anew, and
+    drains at once.  Its report is the first of the new run and was taken for an old
+    one.
     """
     roster.apply(
         make_entry('d0', born_ms=SECOND_MS, sequence=1, draining=True),
@@ -112,7 +113,8 @@
     """An endpoint that starts again and says that it is older than it was.
 
     Its clock was set back between the two starts.  One such report may be a late one of
-    an older run; reports that go on, while those of the other run have stopped, are not.
+    an older run; reports that go on, while those of the other run have stopped, are
+    not.
     """
     for sequence in (1, 2):
         roster.apply(make_entry('d0', born_ms=900, sequence=sequence))
@@ -208,8 +210,8 @@
 def test_request_at_a_run_that_is_over_is_decided_as_at_a_crash(scene):
     """A caller that waited for its deadline in vain.
 
-    Its engine has lost power and starts again at the same address, so that the connection
-    never breaks and probes find the new run alive.
+    Its engine has lost power and starts again at the same address, so that the
+    connection never breaks and probes find the new run alive.
     """
     prompt = make_prompt()
     _, caller = scene.start('/draft/1', prompt=prompt)
--- a/tests/test_gateway/test_engine_model.py
+++ b/tests/test_gateway/test_engine_model.py
@@ -1,4 +1,4 @@
-"""Tests of what is learned of engines, for two kinds that differ."""
+"""Tests of the engine model, for two different kinds of engines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from savorychute.gateway.dispatch.engine_model import EngineModel
 from savorychute.gateway.dispatch.engine_models import EngineModels
-from savorychute.gateway.dispatch.need import Need
+from savorychute.gateway.dispatch.request_requirements import RequestRequirements
 
 REQUESTS = 400
 OVERHEAD_MS = 90
 
 
 class EngineKind(NamedTuple):
-    """How engines of one kind behave."""
+    """Behaviour of engines of one kind."""
 
     tokens_per_ms: float
     reading_gap_ms: float
@@ -24,110 +24,113 @@
     events: int
 
 
-# Reads quickly and makes events of seven tokens; reads slowly and makes events of three.
-QUICK = EngineKind(94.0, 250.0, 45.0, 7)
+# A kind with fast prefill and events of seven tokens, and one with slow prefill and
+# events of three.
+FAST = EngineKind(94.0, 250.0, 45.0, 7)
 SLOW = EngineKind(60.0, 300.0, 25.0, 40)
 
 
-def show(model, kind, requests=REQUESTS, seed=1):
-    """Let a model see what engines of a kind do with some requests."""
+def observe_requests(model, kind, requests=REQUESTS, seed=1):
+    """Let a model observe some requests at engines of a kind."""
     rng = random.Random(seed)
     for _ in range(requests):
         tokens = rng.randint(1_500, 6_000)
-        model.note_sent(tokens, apart=False)
-        # Other streams make some readings slower than the engine's best.
-        slower = rng.choice((1.0, 1.0, 1.3, 2.0))
-        duration_ms = OVERHEAD_MS + slower * tokens / kind.tokens_per_ms
-        model.note_first_event(tokens, round(duration_ms))
-        model.note_first_event(200, OVERHEAD_MS)
+        model.record_sent(tokens, isolated=False)
+        # Other streams make some prefills slower than the engine's maximum rate.
+        slowdown = rng.choice((1.0, 1.0, 1.3, 2.0))
+        duration_ms = OVERHEAD_MS + slowdown * tokens / kind.tokens_per_ms
+        model.record_first_event(tokens, round(duration_ms))
+        model.record_first_event(200, OVERHEAD_MS)
         for _ in range(kind.events - 1):
             gap_ms = round(kind.reading_gap_ms * rng.uniform(0.4, 1.02))
-            model.note_gap(gap_ms, apart=False, reading=True)
-            rest_ms = round(kind.rest_gap_ms * rng.uniform(0.8, 1.2))
-            model.note_gap(rest_ms, apart=True, reading=False)
-        model.note_answer(kind.events, apart=False)
+            model.record_gap(gap_ms, isolated=False, prefilling=True)
+            rest_gap_ms = round(kind.rest_gap_ms * rng.uniform(0.8, 1.2))
+            model.record_gap(rest_gap_ms, isolated=True, prefilling=False)
+        model.record_answer(kind.events, isolated=False)
 
 
-@pytest.mark.parametrize('kind', [QUICK, SLOW], ids=['quick', 'slow'])
-def test_wrong_first_guess_is_left_within_some_hundred_requests(kind):
-    """Engines that were called full long before they were.
+@pytest.mark.parametrize('kind', [FAST, SLOW], ids=['quick', 'slow'])
+def test_initial_estimates_are_corrected_within_400_requests(kind):
+    """Guards against engines that are considered full too early.
 
-    The first guess is that of another kind of engine; an instance with two requests a
-    second leaves it within about three minutes, one with ten within 40 s.
+    The initial estimates are those of another kind of engine.  An instance with two
+    requests per second corrects them within about three minutes, one with ten within
+    40 s.
     """
     model = EngineModel()
-    show(model, kind)
-    figures = model.figures()
+    observe_requests(model, kind)
+    estimates = model.estimates()
 
-    assert figures.tokens_per_ms == pytest.approx(kind.tokens_per_ms, rel=0.25)
-    assert figures.reading_gap_ms == pytest.approx(kind.reading_gap_ms, rel=0.15)
-    assert figures.rest_gap_ms == pytest.approx(kind.rest_gap_ms, rel=0.2)
-    assert figures.events == pytest.approx(kind.events, rel=0.1)
+    assert estimates.tokens_per_ms == pytest.approx(kind.tokens_per_ms, rel=0.25)
+    assert estimates.reading_gap_ms == pytest.approx(kind.reading_gap_ms, rel=0.15)
+    assert estimates.rest_gap_ms == pytest.approx(kind.rest_gap_ms, rel=0.2)
+    assert estimates.events == pytest.approx(kind.events, rel=0.1)
 
 
-def test_streams_that_can_stand_the_reading_are_not_kept_apart():
-    """Refused summaries beside an engine that served a few short notes.
+def test_streams_that_tolerate_prefill_gaps_are_not_isolated():
+    """Guards against summaries refused while a dedicated engine serves few notes.
 
-    Notes may pause for 350 ms and their engines, while they read, pause for 250; kept
-    apart with the chatter that may pause for 200 they took its few places.
+    Notes tolerate gaps of 350 ms, and the gaps at their engines during prefill are 250
+    ms.  Isolated together with chats that tolerate 200 ms, they used up the few slots
+    there.
     """
     model = EngineModel()
-    show(model, QUICK)
+    observe_requests(model, FAST)
 
-    assert model.needs_apart(Need(gap_target_ms=200))
-    assert not model.needs_apart(Need(gap_target_ms=340))
-    assert not model.needs_apart(Need(gap_target_ms=0))
+    assert model.needs_isolation(RequestRequirements(gap_target_ms=200))
+    assert not model.needs_isolation(RequestRequirements(gap_target_ms=340))
+    assert not model.needs_isolation(RequestRequirements(gap_target_ms=0))
 
 
-def test_before_anything_is_seen_the_first_guess_holds():
+def test_initial_estimates_apply_before_observations():
     model = EngineModel()
 
-    assert model.needs_apart(Need(gap_target_ms=300))
-    assert not model.needs_apart(Need(gap_target_ms=400))
+    assert model.needs_isolation(RequestRequirements(gap_target_ms=300))
+    assert not model.needs_isolation(RequestRequirements(gap_target_ms=400))
 
 
-def test_pauses_without_a_queue_say_nothing_of_reading():
-    """A stream that lost its quiet engine on a calm day.
+def test_gaps_without_queue_do_not_change_reading_gap():
+    """Guards against streams that lose their isolation under light load.
 
-    While little is read pauses are short; taken for pauses beside reading they said that
-    every stream could stand it.
+    Gaps are short while little is prefilled.  If they counted as gaps during prefill,
+    no stream would seem to need isolation.
     """
     model = EngineModel()
-    before = model.figures().reading_gap_ms
+    before = model.estimates().reading_gap_ms
     for _ in range(5_000):
-        model.note_gap(30, apart=False, reading=False)
+        model.record_gap(30, isolated=False, prefilling=False)
 
-    assert model.figures().reading_gap_ms == before
+    assert model.estimates().reading_gap_ms == before
 
 
-def test_one_frozen_engine_moves_no_estimate_far():
+def test_one_frozen_engine_hardly_changes_estimates():
     model = EngineModel()
-    show(model, QUICK)
-    before = model.figures()
-    model.note_first_event(3_000, 60_000)
-    model.note_gap(60_000, apart=False, reading=True)
-    after = model.figures()
+    observe_requests(model, FAST)
+    before = model.estimates()
+    model.record_first_event(3_000, 60_000)
+    model.record_gap(60_000, isolated=False, prefilling=True)
+    after = model.estimates()
 
     assert after.tokens_per_ms == pytest.approx(before.tokens_per_ms, rel=0.05)
     assert after.reading_gap_ms == pytest.approx(before.reading_gap_ms, rel=0.05)
 
 
-def test_full_engine_with_few_places_makes_wait():
-    """A most urgent stream that was sent to an engine without a free place.
+def test_requests_beyond_slots_wait():
+    """Guards against a most urgent stream sent to an engine without a free slot.
 
-    All 12 places were taken and nothing was waiting to be read, so its wait was thought to
-    be that of the reading, none.
+    All 12 slots were in use and no prefill was waiting, so the predicted wait was that
+    of the prefill, none.
     """
     model = EngineModel()
 
-    assert model.place_wait_ms(12, 12) == 0
-    assert model.place_wait_ms(13, 12) > 0
-    assert model.place_wait_ms(16, 12) == pytest.approx(4 * model.place_wait_ms(13, 12))
+    assert model.slot_wait_ms(12, 12) == 0
+    assert model.slot_wait_ms(13, 12) > 0
+    assert model.slot_wait_ms(16, 12) == pytest.approx(4 * model.slot_wait_ms(13, 12))
 
 
-def test_services_do_not_share_what_their_engines_show():
+def test_services_have_separate_models():
     models = EngineModels()
-    show(models.of('quick'), QUICK)
+    observe_requests(models.for_service('quick'), FAST)
 
-    assert models.of('slow').figures() == EngineModel().figures()
-    assert set(models.figures()) == {'quick', 'slow'}
+    assert models.for_service('slow').estimates() == EngineModel().estimates()
+    assert set(models.estimates()) == {'quick', 'slow'}
--- a/tests/test_gateway/test_failing_engines.py
+++ b/tests/test_gateway/test_failing_engines.py
@@ -1,4 +1,4 @@
-"""Tests of engines that fail requests while they answer questions well."""
+"""Tests of engines that fail requests while their load reports look good."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 SHORT = make_prompt('s', shared=170, own=540, answer=280)
 
 
-def fail_lane(scene, times=12):
-    """Let the engine that serves diagnoses first fail all of them; return its name.
+def fail_first_engine(scene, times=12):
+    """Let the first engine chosen for diagnoses fail all of them; return its name.
 
     The other engines answer.
     """
@@ -27,51 +27,52 @@
     return failing
 
 
-def test_most_urgent_stream_is_not_refused_for_failures_of_one_engine(scene):
-    """The most urgent streams refused, the least urgent served.
+def test_failures_of_one_engine_do_not_refuse_most_urgent_stream(scene):
+    """Guards against refusal of the most urgent streams while others are served.
 
-    The engine of the steady lane fails half of its requests while its reports are good.
-    The failures counted as a wait of a second, beyond what the most urgent streams may
-    wait; refused, none succeeded any more, and they were refused for the rest of the day.
+    The dedicated engine fails half of its requests while its reports look good.  When
+    the failures counted as a wait of a second, longer than the most urgent streams may
+    wait, these were refused.  As none succeeded any more, they were refused for the
+    rest of the day.
     """
-    fail_lane(scene)
+    fail_first_engine(scene)
     _, caller = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
 
     assert caller.refusal is None
     assert caller.state == 'waiting'
 
 
-def test_stream_leaves_a_lane_whose_engine_fails(scene):
-    failing = fail_lane(scene)
+def test_stream_leaves_partition_whose_engine_fails(scene):
+    failing = fail_first_engine(scene)
     scene.start('/diagnosis/1', method='POST', prompt=SHORT)
 
     assert scene.last.endpoint != failing
 
 
-def test_engine_that_failed_is_tried_again_after_a_while(scene):
-    """An engine that got no more requests after it had recovered.
+def test_failed_engine_is_used_again_after_a_while(scene):
+    """Guards against an engine that gets no requests after it has recovered.
 
-    Only a success could take the blame away, and none was sent there.
+    Only a success reduced its failure share, and no request was sent there.
     """
-    failing = fail_lane(scene)
+    failing = fail_first_engine(scene)
     scene.advance(20_000)
     for record in scene.parts.roster:
         record.report(IDLE, scene.clock.now_ms())
     scene.parts.configuration.confirm(scene.clock.now_ms())
-    tried = set()
+    used = set()
     for _ in range(8):
         scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-        tried.add(scene.last.endpoint)
+        used.add(scene.last.endpoint)
 
-    assert failing in tried
+    assert failing in used
 
 
-def test_blame_fades():
+def test_failure_share_decays():
     health = EndpointHealth()
     for _ in range(10):
         health.failed(1_000)
-    first = health.failure_share(1_000)
+    initial = health.failure_share(1_000)
 
-    assert first > 0.5
-    assert health.failure_share(3_000) == pytest.approx(first / 2, rel=0.01)
+    assert initial > 0.5
+    assert health.failure_share(3_000) == pytest.approx(initial / 2, rel=0.01)
     assert health.failure_share(60_000) < 0.01
