--- a/tests/test_gateway/test_limited_endpoints.py
+++ b/tests/test_gateway/test_limited_endpoints.py
@@ -5,7 +5,7 @@
 import pytest
 from gateway_fakes import SUCCESS, make_prompt, make_scene
 
-from savorychute.gateway.dispatch.limited_endpoints import MOST_PERMITS
+from savorychute.gateway.dispatch.limited_endpoints import MAX_PERMIT_REQUESTS
 from savorychute.gateway.endpoints.endpoint_statement import EndpointStatement
 from savorychute.gateway.endpoints.engine_load import EngineLoad
 from savorychute.gateway.permits.permit import Permit
@@ -17,11 +17,11 @@
 from savorychute.ran import Ran
 from savorychute.result_code import ResultCode
 
-FULL_MS = 30_000
+ACCUMULATION_MS = 30_000
 
 
-def limit(scene, *endpoints, per_s=1.0):
-    """Let endpoints state a limit, or none."""
+def state_limit(scene, *endpoints, per_s=1.0):
+    """Let endpoints state a limit, or no limit."""
     scene.advance(1)
     now_ms = scene.clock.now_ms()
     for endpoint in endpoints:
@@ -30,19 +30,19 @@
         scene.parts.statements.take(run, statement, now_ms, now_ms)
 
 
-def fill(scene, *endpoints):
-    """Let the homes of limited endpoints save up calls."""
+def accumulate_calls(scene, *endpoints):
+    """Let the homes of limited endpoints accumulate calls."""
     for endpoint in endpoints:
         run = scene.parts.roster.get(endpoint).entry.run
         scene.parts.permits.request(run, 0, lambda outcome: None)  # noqa: ARG005
-    scene.advance(FULL_MS)
+    scene.advance(ACCUMULATION_MS)
     scene.parts.configuration.confirm(scene.clock.now_ms())
 
 
 def test_limited_endpoint_is_called_with_a_permit():
     scene = make_scene(desks=1)
-    limit(scene, 'd0')
-    fill(scene, 'd0')
+    state_limit(scene, 'd0')
+    accumulate_calls(scene, 'd0')
     _, caller = scene.start()
 
     assert isinstance(scene.last.attempt.permit, Permit)
@@ -50,10 +50,10 @@
     assert caller.status == 200
 
 
-def test_request_goes_to_another_endpoint_where_a_limit_is_used_up():
-    """Guards against refusals while another endpoint has room."""
+def test_request_uses_another_endpoint_where_a_limit_is_used_up():
+    """Guards against refusals while another endpoint has capacity."""
     scene = make_scene(desks=3)
-    limit(scene, 'd0', 'd1')
+    state_limit(scene, 'd0', 'd1')
     endpoints = set()
     for _ in range(20):
         scene.start()
@@ -64,9 +64,9 @@
 
 @pytest.mark.parametrize('path', ['/visit/1', '/draft/1'])
 def test_request_is_refused_at_once_where_all_limits_are_used_up(path):
-    """Guards against a caller that waits for its deadline, or comes back too soon."""
+    """Guards against a caller that waits for its deadline, or retries too soon."""
     scene = make_scene(desks=2, engines=2)
-    limit(scene, 'd0', 'd1', 'e0', 'e1', per_s=0.5)
+    state_limit(scene, 'd0', 'd1', 'e0', 'e1', per_s=0.5)
     _, caller = scene.start(path, prompt=make_prompt() if 'draft' in path else None)
 
     assert caller.refusal.code is ResultCode.OVERLOADED
@@ -75,52 +75,52 @@
     assert not scene.attempts.sent
 
 
-def test_limited_engine_is_not_asked_for_its_load():
-    """Guards against load reports that use up what an engine takes."""
+def test_limited_engine_is_not_queried_for_its_load():
+    """Guards against load reports that use up an engine's limit."""
     scene = make_scene(engines=1)
-    limit(scene, 'e0', per_s=20.0)
-    fill(scene, 'e0')
+    state_limit(scene, 'e0', per_s=20.0)
+    accumulate_calls(scene, 'e0')
     scene.start('/draft/1', prompt=make_prompt())
 
     assert len(scene.attempts.sent) == 1
     assert not scene.attempts.probes
 
 
-def test_attempt_whose_endpoint_states_a_limit_meanwhile_goes_elsewhere():
-    """Guards against a call that was chosen before the limit was known."""
+def test_attempt_moves_when_its_endpoint_states_a_limit_meanwhile():
+    """Guards against a call to an endpoint chosen before its limit was known."""
     scene = make_scene(desks=2)
-    course, caller = scene.start()
+    execution, caller = scene.start()
     first = scene.last
-    limit(scene, first.endpoint)
+    state_limit(scene, first.endpoint)
     first.listener.attempt_withheld()
 
     assert scene.last.endpoint != first.endpoint
     scene.last.answer(SUCCESS)
     assert caller.status == 200
-    assert course.possible_runs == 0
+    assert execution.possible_runs == 0
 
 
-def test_withheld_attempt_gets_a_permit_where_no_other_endpoint_is_there():
-    """Guards against a refusal by the only endpoint, which still takes the call."""
+def test_withheld_attempt_gets_a_permit_without_other_endpoints():
+    """Guards against a refusal although the only endpoint accepts the call."""
     scene = make_scene(desks=1)
-    limit(scene, 'd0')
-    fill(scene, 'd0')
-    limit(scene, 'd0', per_s=None)
+    state_limit(scene, 'd0')
+    accumulate_calls(scene, 'd0')
+    state_limit(scene, 'd0', per_s=None)
     _, caller = scene.start()
     assert scene.last.attempt.permit is None
-    limit(scene, 'd0')
+    state_limit(scene, 'd0')
     scene.last.listener.attempt_withheld()
 
     assert caller.state == 'waiting'
     assert isinstance(scene.last.attempt.permit, Permit)
 
 
-def test_silent_engine_is_not_left_while_it_may_not_be_asked():
-    """Guards against prompts read twice because an engine in need cannot be probed."""
+def test_unresponsive_engine_is_not_left_while_it_cannot_be_probed():
+    """Guards against a second prefill because a limited engine cannot be probed."""
     scene = make_scene(engines=2)
     scene.start('/diagnosis/1', prompt=make_prompt())
     scene.last.reach()
-    limit(scene, 'e0', 'e1')
+    state_limit(scene, 'e0', 'e1')
     scene.attempts.lives = False
     scene.advance(700)
 
@@ -128,11 +128,11 @@
     assert not scene.last.cancelled
 
 
-def test_limited_engine_serves_what_no_other_engine_takes():
-    """Guards against refusals while a limited engine still takes some calls."""
+def test_limited_engine_serves_what_no_other_engine_accepts():
+    """Guards against refusals while a limited engine still accepts calls."""
     scene = make_scene(engines=2)
-    limit(scene, 'e0', per_s=5.0)
-    fill(scene, 'e0')
+    state_limit(scene, 'e0', per_s=5.0)
+    accumulate_calls(scene, 'e0')
     for number in range(8):
         scene.start('/draft/1', prompt=make_prompt(f'p{number}'))
     scene.parts.roster.end(scene.parts.roster.get('e1').entry.run)
@@ -144,40 +144,40 @@
     assert scene.last.endpoint == 'e0'
 
 
-def make_scarce(scene, endpoint):
-    """Let an engine with a limit have denied a call, and saved up some since."""
-    limit(scene, endpoint)
-    fill(scene, endpoint)
+def deny_call(scene, endpoint):
+    """Let a limited engine have denied a call, and accumulated some calls since."""
+    state_limit(scene, endpoint)
+    accumulate_calls(scene, endpoint)
 
 
 @pytest.mark.parametrize('path', ['/draft/1', '/diagnosis/1'])
 @pytest.mark.parametrize('endpoint', ['e0', 'e1', 'e2'])
-def test_engine_that_denied_a_call_is_the_last_choice(endpoint, path):
-    """Guards against lanes and homes that move with each permit."""
+def test_engine_that_denied_a_call_is_the_last_resort(endpoint, path):
+    """Guards against partitions and homes that change with each permit."""
     for number in range(5):
         scene = make_scene(engines=3)
-        make_scarce(scene, endpoint)
-        limit(scene, endpoint)
+        deny_call(scene, endpoint)
+        state_limit(scene, endpoint)
         scene.start(path, prompt=make_prompt(f'p{number}'))
 
         assert scene.last.endpoint != endpoint
 
 
-def test_engine_that_is_denied_for_a_moment_is_asked_once():
-    """Guards against a caller that waits for one home again and again."""
+def test_engine_with_short_denial_is_asked_once():
+    """Guards against a caller that requests permits from one home repeatedly."""
     scene = make_scene(engines=2)
-    limit(scene, 'e0', 'e1', per_s=40.0)
+    state_limit(scene, 'e0', 'e1', per_s=40.0)
     _, caller = scene.start('/draft/1', prompt=make_prompt())
 
     assert caller.state == 'refused'
-    assert permits_asked(scene) == 2
+    assert count_permit_requests(scene) == 2
 
 
-def test_endpoint_that_leaves_while_its_permit_is_asked_for_gets_nothing():
-    """Guards against a call to a leaving endpoint, chosen before it was known."""
+def test_endpoint_that_leaves_during_permit_request_gets_no_call():
+    """Guards against a call to an endpoint that was chosen before it was leaving."""
     scene = make_scene(desks=2)
-    questions = ask_others(scene, 'd0')
-    limit(scene, 'd0')
+    questions = use_other_home(scene, 'd0')
+    state_limit(scene, 'd0')
     while not questions:
         scene.start()
     entry = scene.parts.roster.get('d0').entry
@@ -187,8 +187,8 @@
     assert scene.last.endpoint == 'd1'
 
 
-def ask_others(scene, endpoint):
-    """Let another instance be an endpoint's home; return the list of questions to it."""
+def use_other_home(scene, endpoint):
+    """Let another instance be the home of an endpoint; return the questions to it."""
     questions = []
     scene.parts.permits.send = questions.append
     own, other = make_address('kochi-1'), make_address('kochi-2')
@@ -205,11 +205,11 @@
     return MemberAddress(name, 0, 'kerala', 'kochi', '10.0.0.1', 80, 70)
 
 
-def test_limited_engine_takes_a_request_that_would_wait_elsewhere():
-    """Guards against calls that an engine takes and nobody sends, while others wait."""
+def test_limited_engine_serves_a_request_that_would_wait_elsewhere():
+    """Guards against unused calls of a limited engine while requests wait elsewhere."""
     scene = make_scene(engines=2)
-    make_scarce(scene, 'e0')
-    limit(scene, 'e0')
+    deny_call(scene, 'e0')
+    state_limit(scene, 'e0')
     scene.attempts.loads['e1'] = EngineLoad(
         waiting=3, reading=1, generating=4, next_tokens=17_000
     )
@@ -218,21 +218,21 @@
     assert scene.last.endpoint == 'e0'
 
 
-def test_limited_engine_is_called_in_a_while_to_see_whether_its_limit_stands():
-    """Guards against a limit that lasts because nobody calls the engine any more."""
+def test_limited_engine_is_called_regularly_to_confirm_its_limit():
+    """Guards against a limit that never ends because the engine is never called."""
     scene = make_scene(engines=2)
-    make_scarce(scene, 'e0')
+    deny_call(scene, 'e0')
     scene.start('/draft/1', prompt=make_prompt())
 
     assert scene.last.endpoint == 'e0'
 
 
-def test_plain_endpoint_is_called_for_all_that_it_takes():
-    """Guards against a limit that is hardly used, where no lanes are at stake."""
+def test_limit_of_plain_endpoint_is_fully_used():
+    """Guards against an underused limit although no partition depends on it."""
     scene = make_scene(desks=2)
-    limit(scene, 'd0')
-    fill(scene, 'd0')
-    limit(scene, 'd0')
+    state_limit(scene, 'd0')
+    accumulate_calls(scene, 'd0')
+    state_limit(scene, 'd0')
     for _ in range(30):
         scene.start()
 
@@ -241,17 +241,17 @@
     assert sent.count('d1') >= 20
 
 
-def test_request_asks_only_so_many_limited_endpoints():
+def test_permit_requests_are_limited_per_attempt():
     """Guards against a caller that waits for the homes of all endpoints in turn."""
-    scene = make_scene(desks=2 * MOST_PERMITS)
-    limit(scene, *(f'd{number}' for number in range(2 * MOST_PERMITS)))
+    scene = make_scene(desks=2 * MAX_PERMIT_REQUESTS)
+    state_limit(scene, *(f'd{number}' for number in range(2 * MAX_PERMIT_REQUESTS)))
     _, caller = scene.start()
 
     assert caller.state == 'refused'
-    assert permits_asked(scene) == MOST_PERMITS
+    assert count_permit_requests(scene) == MAX_PERMIT_REQUESTS
 
 
-def permits_asked(scene):
+def count_permit_requests(scene):
     """Return how many permits were granted or denied."""
     text = scene.parts.telemetry.metrics.render()[0].decode()
     lines = [each for each in text.splitlines() if 'permits_total{' in each]
--- a/tests/test_gateway/test_loads_by_rank.py
+++ b/tests/test_gateway/test_loads_by_rank.py
@@ -1,4 +1,4 @@
-"""Tests of what a request of a rank meets at an engine that serves by rank."""
+"""Tests of the load of an engine that serves by rank, as seen by each rank."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from savorychute.gateway.configuration.service_share import ServiceShare
 from savorychute.gateway.dispatch.engine_models import EngineModels
 from savorychute.gateway.dispatch.engine_state import (
-    is_crowded,
+    free_slots,
+    is_congested,
     is_full_for,
-    places_left,
 )
 from savorychute.gateway.dispatch.wait_forecast import WaitForecast
 from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
@@ -34,7 +34,7 @@
 from savorychute.wire.peer_keys import PeerKeys
 
 CHAT, NOTE, SUMMARY = 1, 4, 7
-# Two chats and ten summaries, of which one has just begun, and 20 prompts that wait.
+# Two chats and ten summaries, of which one has just started, and 20 waiting prompts.
 BUSY = EngineLoad(
     waiting=20,
     reading=2,
@@ -52,25 +52,25 @@
     return record
 
 
-def test_prompts_that_wait_are_not_ahead_of_what_is_more_urgent():
+def test_waiting_prompts_are_not_ahead_of_more_urgent_ranks():
     assert [BUSY.waiting_ahead(rank) for rank in (CHAT, NOTE, SUMMARY)] == [0, 0, 20]
     assert [BUSY.taken_ahead(rank) for rank in (CHAT, NOTE, SUMMARY)] == [4, 4, 34]
 
 
-def test_all_that_waits_may_be_ahead_while_nothing_less_urgent_is_begun():
+def test_all_waiting_prompts_may_be_ahead_without_less_urgent_start():
     notes = BUSY._replace(streams=(RunningStream(NOTE, 1),) * 12)
 
     assert notes.waiting_ahead(NOTE) == 20
 
 
-def test_engine_that_does_not_tell_ranks_is_taken_as_a_queue_in_order():
-    untold = BUSY._replace(streams=())
+def test_engine_without_ranks_is_treated_as_a_fifo_queue():
+    unranked = BUSY._replace(streams=())
 
-    assert untold.taken_ahead(CHAT) == 34
+    assert unranked.taken_ahead(CHAT) == 34
 
 
-def test_wait_is_foreseen_by_rank():
-    """A note that seemed to wait half a second and began after 0.2 s."""
+def test_wait_is_predicted_by_rank():
+    """Guards against a note predicted to wait 0.5 s that would start after 0.2 s."""
     forecast = WaitForecast('hall', random.Random(1), EngineModels())
     record = make_record(BUSY)
     note_ms = forecast.wait_ms(record, NOTE, START_MS)
@@ -80,7 +80,7 @@
     assert note_ms < 300
 
 
-def test_own_requests_that_are_less_urgent_do_not_count():
+def test_less_urgent_own_requests_do_not_count():
     record = make_record(EngineLoad(0, 0, 0, 0))
     record.begin(object(), 60_000, START_MS, rank=SUMMARY)
 
@@ -88,8 +88,8 @@
     assert record.unreported_tokens(SUMMARY) == 60_000
 
 
-def test_request_that_has_begun_since_the_report_still_takes_a_place():
-    """An engine that was filled by streams that began sooner than its report told."""
+def test_request_started_since_report_occupies_a_slot():
+    """Guards against engines filled by streams that started after the last report."""
     record = make_record(EngineLoad(0, 0, 0, 0))
     stream = object()
     record.begin(stream, 700, START_MS, rank=CHAT)
@@ -99,31 +99,32 @@
     assert record.unreported_tokens(CHAT) == 0
 
 
-def test_queue_of_summaries_crowds_no_engine_for_chats():
-    """Chats that all went to one engine, since the others had summaries waiting."""
+def test_queue_of_summaries_does_not_congest_engine_for_chats():
+    """Guards against chats that all use one engine because others queue summaries."""
     record = make_record(BUSY)
 
-    assert not is_crowded(record, CHAT, START_MS)
-    assert is_crowded(record, SUMMARY, START_MS)
+    assert not is_congested(record, CHAT, START_MS)
+    assert is_congested(record, SUMMARY, START_MS)
 
 
 @pytest.mark.parametrize('instances, left', [(1, 59.0), (8, 52.0), (80, 0.0)])
-def test_last_places_are_shared_with_the_other_instances(instances, left):
+def test_last_slots_are_shared_with_other_instances(instances, left):
     record = make_record(BUSY)
     record.begin(object(), 700, START_MS, rank=CHAT)
 
-    assert places_left(record, CHAT, START_MS, instances) == left
+    assert free_slots(record, CHAT, START_MS, instances) == left
 
 
 @pytest.mark.parametrize('rank, full', [(CHAT, False), (NOTE, False), (SUMMARY, True)])
-def test_engine_is_full_for_those_that_cannot_pass(rank, full):
+def test_engine_is_full_for_ranks_that_cannot_pass(rank, full):
     assert is_full_for(make_record(BUSY, slots=12), rank, START_MS) is full
 
 
-def test_note_whose_lane_is_full_is_sent_to_an_engine_kept_for_others():
-    """A note that was refused while the engine kept for chats was nearly idle.
+def test_note_with_full_partition_uses_dedicated_engine():
+    """Guards against refusal of a note while the engine dedicated to chats is idle.
 
-    All engines of the note's lane are full of what is at least as urgent.
+    All engines of the note's partition are full of requests that are at least as
+    urgent.
     """
     note = make_route(
         'note',
@@ -134,11 +135,15 @@
         tier=1,
     )
     scene = make_scene(deployment=make_deployment(routes=(note,)))
-    engines = sorted(scene.parts.roster.usable('pool'), key=lambda each: each.lane_key)
-    kept = engines[-1].entry.endpoint
-    full = EngineLoad(40, 2, 64, 4_000, streams=(RunningStream(CHAT, 9),) * 64)
+    engines = sorted(
+        scene.parts.roster.usable('pool'), key=lambda each: each.partition_key
+    )
+    dedicated = engines[-1].entry.endpoint
+    full_load = EngineLoad(40, 2, 64, 4_000, streams=(RunningStream(CHAT, 9),) * 64)
     scene.attempts.loads = {
-        each.entry.endpoint: full for each in engines if each.entry.endpoint != kept
+        each.entry.endpoint: full_load
+        for each in engines
+        if each.entry.endpoint != dedicated
     }
 
     _, caller = scene.start(
@@ -146,10 +151,10 @@
     )
 
     assert caller.refusal is None
-    assert scene.last.endpoint == kept
+    assert scene.last.endpoint == dedicated
 
 
-def test_shortages_travel_with_probes():
+def test_shortages_are_sent_with_probes():
     origin = MemberUpdate(MemberAddress('i1', 1, 'kerala', 'hall', '127.0.0.1', 1, 2))
     ping = Ping(7, origin, 3, shortages=(TierShortage('pool', 1, 2.5),))
     keys = PeerKeys(PeerKey(1, b'k' * 16))
--- a/tests/test_gateway/test_shortages.py
+++ b/tests/test_gateway/test_shortages.py
@@ -1,4 +1,4 @@
-"""Tests of tiers that get nothing, and of those below that are held back."""
+"""Tests of tiers with unserved requests, and of the shedding of lower tiers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from savorychute.membership.tier_shortage import TierShortage
 
 CHAT, NOTE, SUMMARY = 1, 4, 7
-FULL_MS = 5_000
+UNSERVED_MEMORY_MS = 5_000
 SHORT = make_prompt('s', shared=170, own=540, answer=280)
 
 
@@ -18,75 +18,75 @@
     shortages = Shortages()
     shortages.instances = instances
     for _ in range(offered):
-        shortages.offer('pool', rank, START_MS)
+        shortages.record_offered('pool', rank, START_MS)
     for _ in range(unserved):
-        shortages.got_nothing('pool', rank, START_MS)
+        shortages.record_unserved('pool', rank, START_MS)
     return shortages
 
 
-def held(shortages, rank, now_ms=START_MS, service='pool'):
-    return shortages.held_share(service, rank, now_ms)
+def shed_share(shortages, rank, now_ms=START_MS, service='pool'):
+    return shortages.shed_share(service, rank, now_ms)
 
 
 @pytest.mark.parametrize('unserved', [0, 1])
-def test_a_single_loss_holds_nothing_back(unserved):
-    assert held(make_shortages(unserved=unserved), SUMMARY) == 0.0
+def test_a_single_unserved_request_sheds_nothing(unserved):
+    assert shed_share(make_shortages(unserved=unserved), SUMMARY) == 0.0
 
 
-def test_a_tier_that_gets_nothing_holds_back_those_below_alone():
+def test_unserved_tier_sheds_only_lower_tiers():
     shortages = make_shortages(unserved=8)
 
-    assert held(shortages, SUMMARY) == 1.0
-    assert held(shortages, NOTE) == 0.0
-    assert held(shortages, CHAT) == 0.0
+    assert shed_share(shortages, SUMMARY) == 1.0
+    assert shed_share(shortages, NOTE) == 0.0
+    assert shed_share(shortages, CHAT) == 0.0
 
 
-def test_the_most_urgent_tier_holds_back_all_others():
+def test_most_urgent_tier_sheds_all_others():
     shortages = make_shortages(unserved=8, rank=CHAT)
 
-    assert held(shortages, SUMMARY) == held(shortages, NOTE) == 1.0
+    assert shed_share(shortages, SUMMARY) == shed_share(shortages, NOTE) == 1.0
 
 
-def test_a_few_losses_among_many_requests_hold_back_little():
-    assert held(make_shortages(offered=400, unserved=5), SUMMARY) < 0.5
+def test_few_unserved_among_many_requests_shed_little():
+    assert shed_share(make_shortages(offered=400, unserved=5), SUMMARY) < 0.5
 
 
-def test_another_service_has_room_of_its_own():
-    assert held(make_shortages(unserved=8), SUMMARY, service='other') == 0.0
+def test_services_have_separate_shortages():
+    assert shed_share(make_shortages(unserved=8), SUMMARY, service='other') == 0.0
 
 
-def test_what_was_lost_is_forgotten_after_five_seconds():
+def test_unserved_requests_expire_after_five_seconds():
     shortages = make_shortages(unserved=8)
 
-    assert held(shortages, SUMMARY, START_MS + FULL_MS) == 0.0
+    assert shed_share(shortages, SUMMARY, START_MS + UNSERVED_MEMORY_MS) == 0.0
 
 
-def test_losses_elsewhere_hold_back_here():
-    """Summaries that one half of a fleet began while the other half refused notes."""
-    here, there = make_shortages(instances=2), make_shortages(unserved=8, instances=2)
-    here.hear(there.advertised(START_MS), START_MS)
+def test_shortages_of_other_instances_shed_locally():
+    """Guards against instances that start summaries while others refuse notes."""
+    local, remote = make_shortages(instances=2), make_shortages(unserved=8, instances=2)
+    local.record_reported(remote.advertised(START_MS), START_MS)
 
-    assert held(here, SUMMARY) == 1.0
+    assert shed_share(local, SUMMARY) == 1.0
 
 
-def test_nothing_is_told_on_a_calm_day():
+def test_nothing_is_reported_without_shortages():
     assert make_shortages().advertised(START_MS) == ()
 
 
-def test_one_loss_in_a_large_fleet_holds_nothing_back():
-    """Summaries refused by a dozen of 195 instances, for one note that was refused at one.
+def test_one_unserved_request_in_a_large_fleet_sheds_nothing():
+    """Guards against summaries refused by 12 of 195 instances for one refused note.
 
-    Few instances are heard, so each of them stands for many others.
+    Few instances report at a time, so each of them represents many others.
     """
     shortages = make_shortages(offered=3, instances=195)
-    for said in [(TierShortage('pool', 1, 1.0),), *[()] * 11]:
-        shortages.hear(said, START_MS)
+    for reported in [(TierShortage('pool', 1, 1.0),), *[()] * 11]:
+        shortages.record_reported(reported, START_MS)
 
-    assert held(shortages, SUMMARY) == 0.0
+    assert shed_share(shortages, SUMMARY) == 0.0
 
 
-def report_full(scene):
-    """Let all engines say that streams of the most urgent rank take all places."""
+def report_full_engines(scene):
+    """Let all engines report that the most urgent streams use all slots."""
     streams = (RunningStream(0, 30),) * 64
     for record in scene.parts.roster:
         load = EngineLoad(20, 0, 64, 700, streams=streams)
@@ -94,9 +94,9 @@
     scene.attempts.holds_probes = True
 
 
-def unserved(scene):
-    said = scene.parts.shortages.advertised(scene.clock.now_ms())
-    return {each.tier: round(each.unserved) for each in said}
+def count_unserved(scene):
+    reported = scene.parts.shortages.advertised(scene.clock.now_ms())
+    return {each.tier: round(each.unserved) for each in reported}
 
 
 def test_refused_request_counts(scene):
@@ -110,51 +110,51 @@
     _, caller = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
 
     assert caller.state == 'refused'
-    assert unserved(scene) == {0: 1}
+    assert count_unserved(scene) == {0: 1}
 
 
-def test_refused_request_of_the_last_tier_is_not_told(scene):
+def test_refused_request_of_the_last_tier_is_not_reported(scene):
     for record in scene.parts.roster:
         record.report(EngineLoad(120, 4, 40, 9_000), scene.clock.now_ms())
 
     _, caller = scene.start('/draft/1', prompt=make_prompt())
 
     assert caller.state == 'refused'
-    assert unserved(scene) == {}
+    assert count_unserved(scene) == {}
 
 
-def test_caller_that_waited_in_vain_at_a_full_engine_counts(scene):
-    course, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+def test_caller_that_leaves_a_full_engine_without_answer_counts(scene):
+    execution, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
     scene.advance(2_000)
-    report_full(scene)
-    course.caller_left()
+    report_full_engines(scene)
+    execution.caller_left()
 
-    assert unserved(scene) == {0: 1}
+    assert count_unserved(scene) == {0: 1}
 
 
 def test_caller_that_leaves_early_does_not_count(scene):
-    course, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+    execution, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
     scene.advance(500)
-    report_full(scene)
-    course.caller_left()
+    report_full_engines(scene)
+    execution.caller_left()
 
-    assert unserved(scene) == {}
+    assert count_unserved(scene) == {}
 
 
-def test_caller_that_leaves_a_silent_engine_with_room_does_not_count(scene):
-    """Summaries held back for an engine that hangs while the others are idle."""
-    course, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+def test_caller_that_leaves_unresponsive_engine_with_free_slots_does_not_count(scene):
+    """Guards against summaries shed for a hanging engine while the others are idle."""
+    execution, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
     scene.advance(2_000)
-    course.caller_left()
+    execution.caller_left()
 
-    assert unserved(scene) == {}
+    assert count_unserved(scene) == {}
 
 
-def test_caller_that_leaves_a_stream_does_not_count(scene):
-    course, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+def test_caller_that_leaves_a_started_stream_does_not_count(scene):
+    execution, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
     scene.last.begin(STREAM, b'id: 1\ndata: x\n\n')
     scene.advance(2_000)
-    report_full(scene)
-    course.caller_left()
+    report_full_engines(scene)
+    execution.caller_left()
 
-    assert unserved(scene) == {}
+    assert count_unserved(scene) == {}
