--- a/benches/stated_limits.py
+++ b/benches/stated_limits.py
@@ -14,7 +14,7 @@
 
 sys.path.append(str(Path(__file__).parents[1] / 'tests' / 'test_gateway'))
 
-from permit_rig import START_MS, PermitFleet
+from permit_simulation import START_MS, PermitFleet
 
 if TYPE_CHECKING:
     import random
--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -25,7 +25,7 @@
 from savorychute.gateway.endpoints.statement_table import StatementTable
 from savorychute.gateway.metric_rows import GATEWAY_METRICS
 from savorychute.gateway.parts import GatewayParts
-from savorychute.gateway.permits.permit_desk import PermitDesk
+from savorychute.gateway.permits.permit_handler import PermitHandler
 from savorychute.gateway.recovery.crash_book import CrashBook
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance
 from savorychute.gateway.requests.intake import Intake
@@ -205,7 +205,7 @@
     of_endpoints = EndpointTelemetry(telemetry)
     statements = StatementTable(of_endpoints)
     timers = LoopTimers()
-    permits = PermitDesk(statements.limits, clock, timers)
+    permits = PermitHandler(statements.limits, clock, timers)
     attempts = AttemptSender(
         around.endpoints, around.adapter, statements, permits, of_endpoints, clock
     )
--- a/savorychute/gateway/daemon/attempt_sender.py
+++ b/savorychute/gateway/daemon/attempt_sender.py
@@ -18,7 +18,7 @@
     from savorychute.gateway.endpoints.engine_load import EngineLoad
     from savorychute.gateway.endpoints.statement_table import StatementTable
     from savorychute.gateway.permits.permit import Permit
-    from savorychute.gateway.permits.permit_desk import PermitDesk
+    from savorychute.gateway.permits.permit_handler import PermitHandler
     from savorychute.gateway.platform_adapter import PlatformAdapter
     from savorychute.gateway.requests.attempt_port import AttemptListener
     from savorychute.gateway.requests.outbound_attempt import OutboundAttempt
@@ -49,7 +49,7 @@
         pool: ClientPool,
         adapter: PlatformAdapter,
         statements: StatementTable,
-        permits: PermitDesk,
+        permits: PermitHandler,
         telemetry: EndpointTelemetry,
         clock: Clock,
     ) -> None:
@@ -128,7 +128,7 @@
             return False
         if self._statements.pauses.remaining_ms(run, now_ms):
             return False
-        if not self._permits.may_send(run, permit, now_ms):
+        if not self._permits.can_send(run, permit, now_ms):
             return False
         limit_per_s = self._statements.limits.limit_per_s(run)
         if limit_per_s is not None:
--- a/savorychute/gateway/daemon/peer_messages.py
+++ b/savorychute/gateway/daemon/peer_messages.py
@@ -30,7 +30,7 @@
     from savorychute.gateway.duties.true_time import TrueTime
     from savorychute.gateway.duties.usage_spread import UsageSpread
     from savorychute.gateway.endpoints.statement_table import StatementTable
-    from savorychute.gateway.permits.permit_desk import PermitDesk
+    from savorychute.gateway.permits.permit_handler import PermitHandler
     from savorychute.gateway.recovery.crash_book import CrashBook
     from savorychute.gateway.store.reading_plan import ReadingPlan
     from savorychute.gateway.store.shared_reading import SharedReading
@@ -49,7 +49,7 @@
     demand: PartitionDemand
     shortages: Shortages
     statements: StatementTable
-    permits: PermitDesk
+    permits: PermitHandler
     count_streams: Callable[[], int]
     plan: ReadingPlan
     reading: SharedReading
@@ -92,7 +92,7 @@
         """
         parts = self.parts
         parts.plan.follow(view)
-        parts.permits.follow(view)
+        parts.permits.set_view(view)
         parts.demand.observe(parts.count_streams(), len(view.alive), now_ms)
         parts.shortages.instances = max(1, len(view.alive))
         parts.candidates.follow(view)
@@ -126,9 +126,9 @@
                 answer = parts.reading.answer(message, now_ms)
                 return _reply(view, sender, answer)
             case PermitAnswer():
-                parts.permits.take_answer(message)
+                parts.permits.handle_answer(message)
             case PermitQuestion():
-                return _reply(view, sender, parts.permits.answer(message))
+                return _reply(view, sender, parts.permits.handle_question(message))
             case UsageTold():
                 if parts.usage is not None:
                     parts.usage.take(sender, message)
--- a/savorychute/gateway/dispatch/limited_endpoints.py
+++ b/savorychute/gateway/dispatch/limited_endpoints.py
@@ -89,7 +89,9 @@
         """
         available = self.find_available(records, now_ms)
         return [
-            each for each in available if self._permits.is_due(each.entry.run, now_ms)
+            each
+            for each in available
+            if self._permits.needs_confirmation(each.entry.run, now_ms)
         ]
 
     def _is_available(self, record: EndpointRecord, now_ms: int) -> bool:
--- a/savorychute/gateway/endpoint_telemetry.py
+++ b/savorychute/gateway/endpoint_telemetry.py
@@ -57,7 +57,7 @@
             LogLevel.WARNING, 'leaving-stated', '', endpoint=run.endpoint
         )
 
-    def pause_stated(self, run: EndpointRun, rest_ms: int) -> None:
+    def pause_stated(self, run: EndpointRun, pause_ms: int) -> None:
         """Log that an endpoint wants nothing of this instance for a while."""
         self._telemetry.metrics.count('rests_total')
         self._telemetry.write(
@@ -65,7 +65,7 @@
             'rest-stated',
             '',
             endpoint=run.endpoint,
-            retry_after_ms=rest_ms,
+            retry_after_ms=pause_ms,
         )
 
     def statement_unreadable(
--- a/savorychute/gateway/endpoints/load_monitor.py
+++ b/savorychute/gateway/endpoints/load_monitor.py
@@ -17,7 +17,7 @@
     from savorychute.gateway.endpoints.engine_load import EngineLoad
     from savorychute.gateway.endpoints.statement_table import StatementTable
     from savorychute.gateway.permits.permit import Outcome
-    from savorychute.gateway.permits.permit_desk import PermitDesk
+    from savorychute.gateway.permits.permit_handler import PermitHandler
     from savorychute.gateway.requests.attempt_port import AttemptPort
 
 
@@ -41,7 +41,7 @@
         attempts: AttemptPort,
         roster: EndpointRoster,
         statements: StatementTable,
-        permits: PermitDesk,
+        permits: PermitHandler,
         clock: Clock,
     ) -> None:
         self._attempts = attempts
--- a/savorychute/gateway/parts.py
+++ b/savorychute/gateway/parts.py
@@ -19,7 +19,7 @@
     from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
     from savorychute.gateway.endpoints.load_monitor import LoadMonitor
     from savorychute.gateway.endpoints.statement_table import StatementTable
-    from savorychute.gateway.permits.permit_desk import PermitDesk
+    from savorychute.gateway.permits.permit_handler import PermitHandler
     from savorychute.gateway.recovery.crash_book import CrashBook
     from savorychute.gateway.recovery.retry_allowance import RetryAllowance
     from savorychute.gateway.requests.attempt_port import AttemptPort, TimerPort
@@ -41,7 +41,7 @@
     engines: EngineModels
     loads: LoadMonitor
     statements: StatementTable
-    permits: PermitDesk
+    permits: PermitHandler
     allowance: RetryAllowance
     crashes: CrashBook
     usage: UsageLedger
--- a/savorychute/gateway/permits/__init__.py
+++ b/savorychute/gateway/permits/__init__.py
@@ -1,1 +1,1 @@
-"""Permits for calls to endpoints that take only so many a second."""
+"""Permits for calls to endpoints that state a limit of calls per second."""
--- a/savorychute/gateway/permits/permit.py
+++ b/savorychute/gateway/permits/permit.py
@@ -1,4 +1,4 @@
-"""Permission to call an endpoint that states a limit."""
+"""Permits to call an endpoint that states a limit, and their denial."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Permit(NamedTuple):
-    """One call to a run of an endpoint, to be sent until ``ends_ms``."""
+    """One call to a run of an endpoint, to be sent until ``expires_ms``."""
 
     run: EndpointRun
-    ends_ms: int
+    expires_ms: int
 
 
 class Denial(NamedTuple):
-    """No call now; ``wait_ms`` is the time until one may be had."""
+    """No call at present; ``wait_ms`` is the time until a permit may be granted."""
 
     wait_ms: int
 
--- a/savorychute/gateway/permits/permit_answer.py
+++ b/savorychute/gateway/permits/permit_answer.py
@@ -1,4 +1,4 @@
-"""The answer to a question for a permit."""
+"""The answer to a permit question."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @peer_message(96)
 class PermitAnswer(NamedTuple):
-    """Whether the call of this sequence number may be made.
+    """Whether the call with this sequence number is permitted.
 
-    ``wait_ms`` is how long it takes until one may, 0 if it is granted.
+    ``wait_ms`` is the time until one may be permitted, 0 if the permit is granted.
     """
 
     sequence: int
--- a/savorychute/gateway/permits/permit_question.py
+++ b/savorychute/gateway/permits/permit_question.py
@@ -1,4 +1,4 @@
-"""A question for a permit."""
+"""A question for a permit to the home of an endpoint."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class PermitQuestion(NamedTuple):
     """Ask the home of a run for a permit.
 
-    ``limit_per_s`` is the limit that the asker knows of, stated ``age_ms`` ago; ``tier`` is
-    how urgent the call is, 0 first.
+    ``limit_per_s`` is the limit that the asking instance knows, stated ``age_ms`` ago;
+    ``tier`` is the urgency of the call, 0 first.
     """
 
     sequence: int
--- a/tests/test_fleet/test_attempt_sender.py
+++ b/tests/test_fleet/test_attempt_sender.py
@@ -13,7 +13,7 @@
 from savorychute.gateway.endpoints.statement_table import StatementTable
 from savorychute.gateway.metric_rows import GATEWAY_METRICS
 from savorychute.gateway.permits.permit import Permit
-from savorychute.gateway.permits.permit_desk import PermitDesk
+from savorychute.gateway.permits.permit_handler import PermitHandler
 from savorychute.gateway.telemetry import GatewayTelemetry
 from savorychute.logs import InstanceLog
 from savorychute.metrics import Metrics
@@ -62,7 +62,7 @@
         telemetry = GatewayTelemetry(InstanceLog('k1'), metrics, clock)
         of_endpoints = EndpointTelemetry(telemetry)
         self.statements = StatementTable(of_endpoints)
-        permits = PermitDesk(self.statements.limits, clock, None)
+        permits = PermitHandler(self.statements.limits, clock, None)
         self.pool = Pool()
         self.listener = Listener()
         self.sender = AttemptSender(
--- a/tests/test_gateway/gateway_fakes.py
+++ b/tests/test_gateway/gateway_fakes.py
@@ -29,7 +29,7 @@
 from savorychute.gateway.endpoints.statement_table import StatementTable
 from savorychute.gateway.metric_rows import GATEWAY_METRICS
 from savorychute.gateway.parts import GatewayParts
-from savorychute.gateway.permits.permit_desk import PermitDesk
+from savorychute.gateway.permits.permit_handler import PermitHandler
 from savorychute.gateway.recovery.crash_book import CrashBook
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance, RetryBounds
 from savorychute.gateway.requests.endpoint_answer import AnswerKind, EndpointAnswer
@@ -376,7 +376,7 @@
     telemetry = make_telemetry(clock)
     of_endpoints = EndpointTelemetry(telemetry)
     statements = StatementTable(of_endpoints)
-    permits = PermitDesk(statements.limits, clock, timers)
+    permits = PermitHandler(statements.limits, clock, timers)
     roster = EndpointRoster(crashes.endpoint_ended, clock, statements.leaving)
     for number in range(desks):
         roster.apply(make_entry(f'd{number}'))
--- a/tests/test_gateway/permit_rig.py
+++ b/tests/test_gateway/permit_simulation.py
@@ -1,4 +1,4 @@
-"""Instances that call one endpoint with a limit, on one clock, and a judge of its calls."""
+"""Simulation of instances that call one limited endpoint, and a check of its calls."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from savorychute.gateway.endpoints.limit_table import LimitTable
 from savorychute.gateway.permits.permit import Permit
 from savorychute.gateway.permits.permit_answer import PermitAnswer
-from savorychute.gateway.permits.permit_desk import PermitDesk
+from savorychute.gateway.permits.permit_handler import PermitHandler
 from savorychute.gateway.permits.permit_question import PermitQuestion
 from savorychute.member_address import MemberAddress
 from savorychute.membership.member_view import MemberView
 
 RUN = EndpointRun('e1', 7)
-# The rule: calls within a span that ends some time after the first statement, of
-# instances that had been told half a second before.
+# The checked rule: it applies to calls within a span that ends some time after the
+# first statement, from instances that were notified half a second before.
 SPAN_MS = 4_000
 NOTICE_MS = 3_000
-TOLD_MS = 500
-# Until an instance that was started, frozen or cut off counts as in touch again.
+NOTIFIED_MS = 500
+# Time until an instance that was started, frozen or cut off is up to date again.
 EXCUSED_MS = 3_000
 DELAY_MS = 2
 WORK_MS = 20
-# From a change of the members until all have seen it.
+# Time until all instances have detected a change of the members.
 DETECTION_MS = 1_000
 GOSSIP_MS = 500
 LEAST_URGENT_RANK = 8
@@ -43,10 +43,10 @@
         self.name = name
         self.alive = True
         self.frozen = False
-        self.held = []
+        self.queued_messages = []
         self.limits = LimitTable(ignore_limit)
-        self.desk = PermitDesk(self.limits, fleet.clock, fleet.timers)
-        self.desk.send = self._send
+        self.handler = PermitHandler(self.limits, fleet.clock, fleet.timers)
+        self.handler.send = self._send
 
     def _send(self, action):
         self.fleet.deliver(self, action.instance, action.message)
@@ -55,11 +55,11 @@
         if not self.alive:
             return
         if self.frozen:
-            self.held.append((sender, message))
+            self.queued_messages.append((sender, message))
         elif isinstance(message, PermitAnswer):
-            self.desk.take_answer(message)
+            self.handler.handle_answer(message)
         elif isinstance(message, PermitQuestion):
-            self._send_to(sender, self.desk.answer(message))
+            self._send_to(sender, self.handler.handle_question(message))
         else:
             self.limits.record_reported(message, self.fleet.now_ms)
 
@@ -68,29 +68,31 @@
 
     def wake(self):
         self.frozen = False
-        held, self.held = self.held, []
-        for sender, message in held:
+        queued_messages, self.queued_messages = self.queued_messages, []
+        for sender, message in queued_messages:
             self.receive(sender, message)
 
-    def see(self, names):
+    def set_members(self, names):
         addresses = sorted(self.fleet.instances[name].address for name in names)
-        self.desk.follow(MemberView(self.address, tuple(addresses)))
+        self.handler.set_view(MemberView(self.address, tuple(addresses)))
 
-    def want(self, rank):
-        """Take a request that the endpoint would serve."""
+    def handle_request(self, rank):
+        """Handle a request that the endpoint would serve."""
         if not self.alive or self.frozen:
             return
-        outcome = self.desk.request(RUN, rank, lambda found: self._go(found, rank))
+        outcome = self.handler.request(
+            RUN, rank, lambda decided: self._send_call(decided, rank)
+        )
         if outcome is not None:
-            self._go(outcome, rank)
+            self._send_call(outcome, rank)
 
-    def _go(self, outcome, rank):
+    def _send_call(self, outcome, rank):
         permit = outcome if isinstance(outcome, Permit) else None
         is_up = self.alive and not self.frozen
-        if is_up and self.desk.may_send(RUN, permit, self.fleet.now_ms):
+        if is_up and self.handler.can_send(RUN, permit, self.fleet.now_ms):
             self.fleet.call(self, rank)
 
-    def take_answer(self, limit_per_s, sent_ms):
+    def handle_endpoint_answer(self, limit_per_s, sent_ms):
         if not self.alive or self.frozen:
             return
         if limit_per_s is None:
@@ -100,7 +102,7 @@
 
 
 class PermitFleet:
-    """Instances by name, the endpoint, and what it got."""
+    """The instances by name, the endpoint, and the calls that it received."""
 
     def __init__(self, instances, per_s, limit_per_s, seed=1, loss_share=0.0):
         self.clock = ManualClock(START_MS)
@@ -110,17 +112,17 @@
         self._next_request = None
         self._loss_share = loss_share
         self.limits = [(START_MS, limit_per_s)]
-        self.cut = set()
-        self.excused = {}
-        self.told_ms = {}
-        # When a call came, from whom, how urgent.
+        self.cut_off_names = set()
+        self.excused_until_ms = {}
+        self.notified_ms = {}
+        # Time, sender and rank of each call.
         self.calls = []
-        # That were asked of homes.
+        # Number of questions sent to homes.
         self.questions = 0
         self.instances = {}
         for number in range(instances):
             self._add(f'k{number}')
-        self._see()
+        self._update_views()
         self._arm_request()
         self._gossip()
 
@@ -139,72 +141,74 @@
     def run(self, duration_ms):
         self.timers.advance(duration_ms)
 
-    # -- what happens to instances
+    # -- events at instances
 
     def _add(self, name):
         self.instances[name] = Instance(self, name)
 
     def kill(self, name):
         self.instances[name].alive = False
-        self._changed()
+        self._schedule_updates()
 
     def start(self, name):
         if name in self.instances and self.instances[name].alive:
             return
         self._add(name)
-        self.told_ms.pop(name, None)
+        self.notified_ms.pop(name, None)
         self._excuse(name)
-        self._changed()
+        self._schedule_updates()
 
     def freeze(self, name):
         self.instances[name].frozen = True
-        self._changed()
+        self._schedule_updates()
 
     def wake(self, name):
         if self.instances[name].frozen:
             self._excuse(name)
             self.instances[name].wake()
-            self._changed()
+            self._schedule_updates()
 
     def cut_off(self, name):
-        self.cut.add(name)
-        self._changed()
+        self.cut_off_names.add(name)
+        self._schedule_updates()
 
     def join(self, name):
-        if name in self.cut:
-            self.cut.discard(name)
+        if name in self.cut_off_names:
+            self.cut_off_names.discard(name)
             self._excuse(name)
-            self._changed()
+            self._schedule_updates()
 
     def _excuse(self, name):
-        self.excused[name] = self.now_ms + EXCUSED_MS
+        self.excused_until_ms[name] = self.now_ms + EXCUSED_MS
 
-    def _changed(self):
-        """Let each see the change at a time of its own."""
+    def _schedule_updates(self):
+        """Let each instance detect the change at a random time."""
         for name in self.instances:
             delay_ms = self._rng.randint(DETECTION_MS // 2, DETECTION_MS)
-            self.timers.call_later(delay_ms, lambda name=name: self._see_one(name))
+            self.timers.call_later(delay_ms, lambda name=name: self._update_view(name))
 
-    def _see(self):
+    def _update_views(self):
         for name in self.instances:
-            self._see_one(name)
+            self._update_view(name)
 
-    def _see_one(self, name):
+    def _update_view(self, name):
         instance = self.instances[name]
         if instance.alive and not instance.frozen:
-            instance.see([each for each in self.instances if self._sees(name, each)])
+            instance.set_members(
+                [each for each in self.instances if self._is_visible(name, each)]
+            )
 
-    def _sees(self, name, other):
+    def _is_visible(self, name, other):
         instance = self.instances[other]
-        reaches = name == other or not {name, other} & self.cut
-        return instance.alive and not instance.frozen and reaches
+        is_reachable = name == other or not {name, other} & self.cut_off_names
+        return instance.alive and not instance.frozen and is_reachable
 
     # -- messages
 
     def deliver(self, sender, name, message):
         self.questions += isinstance(message, PermitQuestion)
-        lost = self._rng.random() < self._loss_share
-        if lost or {sender.name, name} & self.cut:
+        is_lost = self._rng.random() < self._loss_share
+        if is_lost or {sender.name, name} & self.cut_off_names:
             return
         delay_ms = self._rng.randint(1, 2 * DELAY_MS)
         self.timers.call_later(
@@ -212,23 +216,23 @@
         )
 
     def _gossip(self):
-        """Let each instance probe another one; both tell what they know."""
+        """Let each instance probe another one; both announce their limits."""
         names = sorted(self.instances)
         for instance in list(self.instances.values()):
             other = self.instances[self._rng.choice(names)]
-            self._tell(instance, other)
-            self._tell(other, instance)
+            self._announce(instance, other)
+            self._announce(other, instance)
         self.timers.call_later(GOSSIP_MS, self._gossip)
 
-    def _tell(self, teller, hearer):
-        told = teller.limits.announcements(self.now_ms)
-        if told and teller.alive and not teller.frozen:
-            self.deliver(teller, hearer.name, told)
+    def _announce(self, announcer, listener):
+        announcements = announcer.limits.announcements(self.now_ms)
+        if announcements and announcer.alive and not announcer.frozen:
+            self.deliver(announcer, listener.name, announcements)
 
     # -- requests and the endpoint
 
     def ask_for(self, per_s):
-        """Let callers send another number of requests a second."""
+        """Change the number of requests per second that callers send."""
         self._per_s = per_s
         self._next_request.cancel()
         self._arm_request()
@@ -240,7 +244,7 @@
     def _request(self):
         self._arm_request()
         name = self._rng.choice(sorted(self.instances))
-        self.instances[name].want(self._rng.randint(0, LEAST_URGENT_RANK))
+        self.instances[name].handle_request(self._rng.randint(0, LEAST_URGENT_RANK))
 
     def call(self, instance, rank):
         sent_ms = self.now_ms
@@ -255,60 +259,61 @@
 
     def _is_excused(self, name):
         instance = self.instances[name]
-        out_of_touch = instance.frozen or name in self.cut
-        return out_of_touch or self.now_ms < self.excused.get(name, 0)
+        is_disconnected = instance.frozen or name in self.cut_off_names
+        return is_disconnected or self.now_ms < self.excused_until_ms.get(name, 0)
 
     def _answer(self, instance, sent_ms):
         if self.limit_per_s is not None:
-            self.told_ms.setdefault(instance.name, self.now_ms)
-        instance.take_answer(self.limit_per_s, sent_ms)
+            self.notified_ms.setdefault(instance.name, self.now_ms)
+        instance.handle_endpoint_answer(self.limit_per_s, sent_ms)
 
-    # -- the judge
+    # -- checks
 
     def find_excess(self):
-        """Return by how much the worst span passes what the endpoint takes."""
+        """Return by how many calls the worst span exceeds what the endpoint accepts."""
         counted = [
             at_ms
             for at_ms, name, _ in self.calls
-            if at_ms >= self.told_ms.get(name, at_ms) + TOLD_MS
+            if at_ms >= self.notified_ms.get(name, at_ms) + NOTIFIED_MS
         ]
         first_ms = self.limits[0][0] + NOTICE_MS
         excess = float('-inf')
         for index, at_ms in enumerate(counted):
-            begin_ms = at_ms - SPAN_MS
-            allowed = self._find_allowed(begin_ms, at_ms)
+            start_ms = at_ms - SPAN_MS
+            allowed = self._find_allowed(start_ms, at_ms)
             if at_ms >= first_ms and allowed is not None:
-                calls = index + 1 - bisect_left(counted, begin_ms)
+                calls = index + 1 - bisect_left(counted, start_ms)
                 excess = max(excess, calls - allowed)
         return excess
 
-    def _find_allowed(self, begin_ms, end_ms):
-        """Return what a span may have; None for any number.
+    def _find_allowed(self, start_ms, end_ms):
+        """Return the number of calls that a span may have; None for any number.
 
-        Whoever states another limit has to be heard first.
+        A changed limit applies only once it has been received.
         """
         times_ms = [at_ms for at_ms, _ in self.limits]
-        first = max(0, bisect_right(times_ms, begin_ms - NOTICE_MS) - 1)
+        first_index = max(0, bisect_right(times_ms, start_ms - NOTICE_MS) - 1)
         stated = [
-            per_s for _, per_s in self.limits[first : bisect_right(times_ms, end_ms)]
+            per_s
+            for _, per_s in self.limits[first_index : bisect_right(times_ms, end_ms)]
         ]
         if None in stated:
             return None
         return 1.5 * max(stated) * SPAN_MS / MS_PER_S + 5
 
     def use_share(self, from_ms):
-        """Return the part of the limit that was used."""
+        """Return the share of the limit that was used."""
         calls = sum(at_ms >= from_ms for at_ms, _, _ in self.calls)
         return calls / (self.limit_per_s * (self.now_ms - from_ms) / MS_PER_S)
 
     def served_shares(self):
-        """Return the part of the calls of each tier, the most urgent first."""
+        """Return each tier's share of the calls, the most urgent tier first."""
         ranks = [rank // 3 for _, _, rank in self.calls]
         return [ranks.count(tier) / len(ranks) for tier in range(3)]
 
 
 def apply_step(fleet, step, names):
-    """Do something to some instances."""
+    """Apply a step to some instances."""
     for name in names:
         with suppress(KeyError):
             getattr(fleet, step)(name)
--- a/tests/test_gateway/test_limited_endpoints.py
+++ b/tests/test_gateway/test_limited_endpoints.py
@@ -10,7 +10,7 @@
 from savorychute.gateway.endpoints.engine_load import EngineLoad
 from savorychute.gateway.permits.permit import Permit
 from savorychute.gateway.permits.permit_answer import PermitAnswer
-from savorychute.gateway.permits.permit_desk import PERMIT_MS
+from savorychute.gateway.permits.permit_handler import PERMIT_LIFETIME_MS
 from savorychute.member_address import MemberAddress
 from savorychute.membership.member_view import MemberView
 from savorychute.membership.rendezvous import score_member
@@ -136,7 +136,7 @@
     for number in range(8):
         scene.start('/draft/1', prompt=make_prompt(f'p{number}'))
     scene.parts.roster.record_end(scene.parts.roster.get('e1').entry.run)
-    scene.advance(PERMIT_MS)
+    scene.advance(PERMIT_LIFETIME_MS)
     sent = len(scene.attempts.sent)
     scene.start('/draft/1', prompt=make_prompt())
 
@@ -182,7 +182,7 @@
         scene.start()
     entry = scene.parts.roster.get('d0').entry
     scene.parts.roster.apply(entry._replace(draining=True, sequence=2))
-    scene.parts.permits.take_answer(PermitAnswer(questions[-1].message.sequence, 0))
+    scene.parts.permits.handle_answer(PermitAnswer(questions[-1].message.sequence, 0))
 
     assert scene.last.endpoint == 'd1'
 
@@ -197,7 +197,7 @@
     while score_member(key, other) < score_member(key, own):
         number += 1
         other = make_address(f'kochi-{number}')
-    scene.parts.permits.follow(MemberView(own, (own, other)))
+    scene.parts.permits.set_view(MemberView(own, (own, other)))
     return questions
 
 
