--- a/savorychute/admission/__init__.py
+++ b/savorychute/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: what waits, what starts next, what is shed."""
+"""Admission control: queueing, start order and load shedding of requests."""
 
 from __future__ import annotations
 
--- a/savorychute/admission/admission.py
+++ b/savorychute/admission/admission.py
@@ -1,4 +1,4 @@
-"""The registry of admission policies and what they have in common."""
+"""The registry of admission policies and their common interface."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     def set_limits(self, limits: dict[str, OrganisationLimits]) -> None:
         """Replace the limits of all organisations.
 
-        :param limits: by organisation.
+        :param limits: the limits by organisation.
         """
 
     def offer(
@@ -35,59 +35,60 @@
         *,
         can_preempt: bool = False,
     ) -> OfferOutcome:
-        """Take a request into the queue, or refuse it.
+        """Add a request to the queue, or refuse it.
 
         :param request: the request.
-        :param predicted_wait_ms: the time from a start to the first token at
-            the best endpoint, or ``None`` if it is unknown.
-        :param now_ms: the time.
+        :param predicted_wait_ms: the predicted time from the start to the
+            first token at the best endpoint, or ``None`` if it is unknown.
+        :param now_ms: the current time.
         :param can_preempt: whether a resumable request of a lower tier runs
             in the same pool.
         """
         ...
 
     def restore(self, request: QueuedRequest, now_ms: int) -> None:
-        """Take back a request that was started or running, at its old place.
+        """Return a started or running request to its former queue position.
 
-        It is not refused: it was preempted, or its start failed before
-        anything was sent, and its caller was promised nothing less.
+        The request is never refused: it was admitted before, and was then
+        preempted or failed to start before anything was sent.
 
-        :param request: as it was when it left the queue.
-        :param now_ms: the time.
+        :param request: the request as it was when it left the queue.
+        :param now_ms: the current time.
         """
 
     def next_start(
         self,
         pool: str,
         now_ms: int,
-        may_start: Callable[[QueuedRequest], bool],
+        can_start: Callable[[QueuedRequest], bool],
     ) -> QueuedRequest | None:
-        """Remove and return the request that starts next, if any may.
+        """Remove and return the request that starts next, if any can.
 
-        :param pool: where a start is possible.
-        :param now_ms: the time.
-        :param may_start: says whether limits and credits permit a start.
+        :param pool: the pool in which a start is possible.
+        :param now_ms: the current time.
+        :param can_start: returns whether limits and credits permit the start
+            of a request.
         """
         ...
 
     def remove(self, request_id: str) -> QueuedRequest | None:
-        """Remove a request, for example because its caller left.
+        """Remove a request, for example because its caller disconnected.
 
-        :param request_id: the request.
+        :param request_id: the id of the request.
         """
         ...
 
     def expire(self, now_ms: int) -> list[ShedRequest]:
-        """Remove what has waited too long.
+        """Remove and return the requests that have waited too long.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         ...
 
     def waiting(self, pool: str) -> dict[int, int]:
-        """Return how many requests wait, by tier.
+        """Return the number of waiting requests by tier.
 
-        :param pool: where they wait.
+        :param pool: the pool in which they wait.
         """
         ...
 
@@ -100,21 +101,21 @@
         pool: str,
         running: Sequence[RunningRequest],
         now_ms: int,
-        may_start: Callable[[QueuedRequest], bool] | None = None,
+        can_start: Callable[[QueuedRequest], bool] | None = None,
     ) -> str | None:
-        """Return the running request to preempt, if any.
+        """Return the id of the running request to preempt, if any.
 
-        :param pool: where requests wait and run.
-        :param running: what runs there.
-        :param now_ms: the time.
-        :param may_start: says whether the waiting request could start if it
-            had an endpoint; any could if there is no such function.
+        :param pool: the pool in which requests wait and run.
+        :param running: the requests that run in the pool.
+        :param now_ms: the current time.
+        :param can_start: returns whether a waiting request could start if it
+            had an endpoint; without this function, every request could.
         """
         ...
 
 
 class AdmissionFactory(Protocol):
-    """What the registry holds: a class or function that makes a policy."""
+    """A class or function that creates an admission policy."""
 
     def __call__(self, settings: AdmissionSettings, rng: random.Random) -> Admission:
         """Return a new, empty queue."""
--- a/savorychute/admission/class_key.py
+++ b/savorychute/admission/class_key.py
@@ -1,4 +1,4 @@
-"""What names a class within a pool."""
+"""The key of a class within a pool."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ClassKey(NamedTuple):
-    """A class of an organisation, in the tier that its requests carry."""
+    """A class of an organisation, with the tier of its requests."""
 
     tier: int
     organisation: str
--- a/savorychute/admission/class_queue.py
+++ b/savorychute/admission/class_queue.py
@@ -10,26 +10,28 @@
 
     from savorychute.admission.queued_request import QueuedRequest
 
-#: How far a start looks past requests that may not start now.  A single
-#: request may be held back for reasons of its own; it must not hold up all
-#: that wait behind it.
+#: How many requests that cannot start now are passed over in the search for
+#: one that can.  A request that is blocked for its own reasons must not block
+#: the requests behind it.
 LOOK_AHEAD_REQUESTS = 4
 
-#: Heaps are rebuilt when they hold this many entries more than requests.
+#: The heaps are rebuilt when their stale entries outnumber the waiting
+#: requests by more than this.
 MAX_STALE_ENTRIES = 64
 
 
 class ClassQueue:
-    """Earliest target first; what has missed its target comes after the rest.
+    """Orders requests by earliest target; late requests come last.
 
-    Plain earliest-deadline-first collapses under overload, because each start
-    then goes to the request that is just missing its target.  Requests that
-    have missed theirs are therefore moved to a second heap, which is served
-    when the first is empty.  Patient requests are never moved.
+    Plain earliest-deadline-first scheduling collapses under overload, because
+    each start then goes to the request that is just missing its target.
+    Requests that have missed their target are therefore moved to a second
+    heap, which is served when the first is empty.  Patient requests are never
+    moved.
 
-    :param organisation: whose requests these are.
-    :param class_name: their class.
-    :param tier: their tier.
+    :param organisation: the organisation of the requests.
+    :param class_name: the class of the requests.
+    :param tier: the tier of the requests.
     """
 
     def __init__(self, organisation: str, class_name: str, tier: int) -> None:
@@ -44,18 +46,18 @@
         return len(self._requests)
 
     def add(self, request: QueuedRequest) -> None:
-        """Let *request* wait.
+        """Add *request* to the queue.
 
-        :param request: of this queue's organisation, class and tier.
+        :param request: a request of this queue's organisation, class and tier.
         """
         self._requests[request.request_id] = request
         target_ms = request.arrival_ms + request.first_token_target_ms
         heapq.heappush(self._on_time, (target_ms, request.request_id))
 
     def remove(self, request_id: str) -> QueuedRequest:
-        """Remove and return a request that waits here.
+        """Remove and return a request of this queue.
 
-        :param request_id: the request.
+        :param request_id: the id of the request.
         """
         request = self._requests.pop(request_id)
         stale = len(self._on_time) + len(self._late) - len(self._requests)
@@ -68,11 +70,13 @@
         return next(reversed(self._requests.values()))
 
     def peek(self, now_ms: int) -> tuple[bool, int, str] | None:
-        """Return whether the first request is late, its time and its id.
+        """Return the first entry: whether it is late, its time and its id.
 
-        :param now_ms: the time.
+        The time is the request's target, or its deadline if it is late.
+
+        :param now_ms: the current time.
         """
-        self._settle(now_ms)
+        self._update_heaps(now_ms)
         if self._on_time:
             return False, *self._on_time[0]
         if self._late:
@@ -82,37 +86,37 @@
     def head(self, now_ms: int) -> QueuedRequest | None:
         """Return the request that would start first.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         first = self.peek(now_ms)
         return None if first is None else self._requests[first[2]]
 
-    def take(
-        self, now_ms: int, may_start: Callable[[QueuedRequest], bool]
+    def pop_startable(
+        self, now_ms: int, can_start: Callable[[QueuedRequest], bool]
     ) -> QueuedRequest | None:
-        """Remove and return the first request that may start.
+        """Remove and return the first request that can start.
 
-        :param now_ms: the time.
-        :param may_start: says whether a request may start now.
+        :param now_ms: the current time.
+        :param can_start: returns whether a request can start now.
         """
-        refused: list[tuple[list[tuple[int, str]], tuple[int, str]]] = []
-        taken = None
-        while taken is None and len(refused) < LOOK_AHEAD_REQUESTS:
-            self._settle(now_ms)
+        blocked: list[tuple[list[tuple[int, str]], tuple[int, str]]] = []
+        popped = None
+        while popped is None and len(blocked) < LOOK_AHEAD_REQUESTS:
+            self._update_heaps(now_ms)
             heap = self._on_time or self._late
             if not heap:
                 break
             request = self._requests[heap[0][1]]
-            if may_start(request):
-                taken = self.remove(request.request_id)
+            if can_start(request):
+                popped = self.remove(request.request_id)
             else:
-                refused.append((heap, heapq.heappop(heap)))
-        for heap, entry in refused:
+                blocked.append((heap, heapq.heappop(heap)))
+        for heap, entry in blocked:
             heapq.heappush(heap, entry)
-        return taken
+        return popped
 
-    def _settle(self, now_ms: int) -> None:
-        """Bring valid entries to the top of both heaps."""
+    def _update_heaps(self, now_ms: int) -> None:
+        """Move late requests and drop stale entries at the top of both heaps."""
         while self._on_time:
             target_ms, request_id = self._on_time[0]
             request = self._requests.get(request_id)
--- a/savorychute/admission/fifo.py
+++ b/savorychute/admission/fifo.py
@@ -1,4 +1,4 @@
-"""The baseline: first come, first served."""
+"""The baseline admission policy: first come, first served."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     from savorychute.admission.settings import AdmissionSettings
     from savorychute.contracts.organisation_limits import OrganisationLimits
 
-#: How far a start looks past requests that may not start now.
+#: How many requests are examined in the search for one that can start now.
 LOOK_AHEAD_REQUESTS = 32
 
 
 @ADMISSIONS.register('fifo')
 class FifoAdmission:
-    """One queue per pool in order of arrival, bounded by count and bytes.
+    """One queue per pool in order of arrival, limited in count and bytes.
 
-    It knows no tiers and no fairness, sheds only newcomers and never preempts.
+    It ignores tiers and fairness, sheds only new requests and never preempts.
 
-    :param settings: the bounds.
+    :param settings: the limits of the queue.
     :param rng: the source of jitter.
     """
 
@@ -41,7 +41,7 @@
         self._bytes = 0
 
     def set_limits(self, limits: dict[str, OrganisationLimits]) -> None:
-        """Ignore contracts; the baseline knows none."""
+        """Ignore the limits, because the baseline does not use contracts."""
 
     def offer(
         self,
@@ -51,10 +51,10 @@
         *,
         can_preempt: bool = False,  # noqa: ARG002
     ) -> OfferOutcome:
-        """Take the request if it fits."""
-        has_count = len(self._pool_of) < self.settings.max_requests
-        has_bytes = self._bytes + request.size_bytes <= self.settings.max_bytes
-        if not (has_count and has_bytes):
+        """Add the request if it fits."""
+        fits_count = len(self._pool_of) < self.settings.max_requests
+        fits_bytes = self._bytes + request.size_bytes <= self.settings.max_bytes
+        if not (fits_count and fits_bytes):
             retry_after_ms = choose_retry_after_ms(self.settings, 0, self._rng)
             return OfferOutcome(False, ResultCode.QUEUE_FULL, retry_after_ms)
         self._queues.setdefault(request.pool, {})[request.request_id] = request
@@ -63,7 +63,7 @@
         return OfferOutcome(True)
 
     def restore(self, request: QueuedRequest, now_ms: int) -> None:  # noqa: ARG002
-        """Take a request back, in front of the others."""
+        """Return a request to the front of its queue."""
         queue = self._queues.pop(request.pool, {})
         self._queues[request.pool] = {request.request_id: request, **queue}
         self._pool_of[request.request_id] = request.pool
@@ -73,14 +73,14 @@
         self,
         pool: str,
         now_ms: int,  # noqa: ARG002
-        may_start: Callable[[QueuedRequest], bool],
+        can_start: Callable[[QueuedRequest], bool],
     ) -> QueuedRequest | None:
-        """Return the oldest request that may start."""
+        """Remove and return the oldest request that can start."""
         queue = self._queues.get(pool, {})
         for number, request in enumerate(queue.values()):
             if number >= LOOK_AHEAD_REQUESTS:
                 return None
-            if may_start(request):
+            if can_start(request):
                 return self.remove(request.request_id)
         return None
 
@@ -96,7 +96,7 @@
         return request
 
     def expire(self, now_ms: int) -> list[ShedRequest]:
-        """Remove what is past its deadline."""
+        """Remove and return the requests whose deadline has passed."""
         expired = [
             request
             for queue in self._queues.values()
@@ -115,7 +115,7 @@
         ]
 
     def waiting(self, pool: str) -> dict[int, int]:
-        """Return how many requests wait, by tier."""
+        """Return the number of waiting requests by tier."""
         counts: dict[int, int] = {}
         for request in self._queues.get(pool, {}).values():
             counts[request.tier] = counts.get(request.tier, 0) + 1
@@ -130,7 +130,7 @@
         pool: str,  # noqa: ARG002
         running: Sequence[RunningRequest],  # noqa: ARG002
         now_ms: int,  # noqa: ARG002
-        may_start: Callable[[QueuedRequest], bool] | None = None,  # noqa: ARG002
+        can_start: Callable[[QueuedRequest], bool] | None = None,  # noqa: ARG002
     ) -> str | None:
         """Preempt nothing."""
         return None
--- a/savorychute/admission/guaranteed_starts.py
+++ b/savorychute/admission/guaranteed_starts.py
@@ -1,4 +1,4 @@
-"""The guaranteed minimum of starts of each class."""
+"""The guaranteed minimum number of starts of each class."""
 
 from __future__ import annotations
 
@@ -11,77 +11,79 @@
 
 
 class GuaranteedStarts:
-    """Says which class is due a start in one pool, whatever its tier.
+    """Selects the class that is due a start in one pool, whatever its tier.
 
-    A class with guaranteed share *q* of the starts is due ``ceil(1 / q)``
+    A class with a guaranteed share *q* of the starts is due ``ceil(1 / q)``
     starts after its last one, or after it first had work.  Due classes are
-    served earliest first, by one start in ``one_in``.  So a class that may
-    start is started within ``ceil(1 / q) + one_in * classes`` starts of its
-    pool: until it is due, and then after the classes that were due before
-    it, each of which is overtaken by it once served.
+    served in the order in which they became due, with one start in
+    ``one_in``.  A class that can start is therefore started within
+    ``ceil(1 / q) + one_in * classes`` starts of its pool: the first term is the
+    time until it is due, the second the time for the classes that were due
+    before it, each of which falls behind it once served.
 
-    :param one_in: at most one start in that many is paid for a guarantee.
+    :param one_in: at most one of this many starts is made for a guarantee.
     """
 
     def __init__(self, one_in: int) -> None:
         self.one_in = one_in
         self.start_count = 0
-        self._last_paid = -one_in
-        self._due: dict[ClassKey, int] = {}
-        self._gap: dict[ClassKey, int] = {}
+        self._last_guaranteed = -one_in
+        self._due_at: dict[ClassKey, int] = {}
+        self._interval: dict[ClassKey, int] = {}
         self._heap: list[tuple[int, ClassKey]] = []
         self._in_heap: set[ClassKey] = set()
 
     def add(self, key: ClassKey, share: float) -> None:
-        """Note that a class has waiting work.
+        """Record that a class has waiting requests.
 
-        A class that ran out of work without a start keeps its claim.  Else a
-        class whose requests time out one by one would never be due.
+        A class that ran out of requests without a start keeps its due time.
+        Otherwise a class whose requests time out one by one would never be due.
 
         :param key: the class.
-        :param share: its guaranteed part of the starts.
+        :param share: the guaranteed share of the starts.
         """
-        self._gap[key] = math.ceil(1 / share)
-        due = self._due.setdefault(key, self.start_count + self._gap[key])
+        self._interval[key] = math.ceil(1 / share)
+        due_at = self._due_at.setdefault(key, self.start_count + self._interval[key])
         if key not in self._in_heap:
             self._in_heap.add(key)
-            heapq.heappush(self._heap, (due, key))
+            heapq.heappush(self._heap, (due_at, key))
 
-    def started(self, key: ClassKey, *, paid: bool) -> None:
-        """Note a start.
+    def record_start(self, key: ClassKey, *, is_guaranteed: bool) -> None:
+        """Record a start.
 
-        :param key: the class that was started.
-        :param paid: whether its guarantee was the reason.
+        :param key: the class of the request that was started.
+        :param is_guaranteed: whether it was started because of its guarantee.
         """
         self.start_count += 1
-        self._due[key] = self.start_count + self._gap[key]
-        if paid:
-            self._last_paid = self.start_count
+        self._due_at[key] = self.start_count + self._interval[key]
+        if is_guaranteed:
+            self._last_guaranteed = self.start_count
 
     def pop_due(self) -> ClassKey | None:
-        """Return the class that is to be started now, if any.
+        """Remove and return the class whose guarantee is due now, if any.
 
-        The caller gives it back with :meth:`put_back` if it still waits.
+        The caller returns it with :meth:`put_back` if it still has waiting
+        requests.
         """
-        if self.start_count - self._last_paid < self.one_in - 1:
+        if self.start_count - self._last_guaranteed < self.one_in - 1:
             return None
         while self._heap:
-            noted, key = self._heap[0]
-            if noted > self.start_count:
+            queued_at, key = self._heap[0]
+            if queued_at > self.start_count:
                 return None
             heapq.heappop(self._heap)
-            due = self._due[key]
-            if due <= self.start_count:
+            due_at = self._due_at[key]
+            if due_at <= self.start_count:
                 self._in_heap.discard(key)
                 return key
-            heapq.heappush(self._heap, (due, key))
+            heapq.heappush(self._heap, (due_at, key))
         return None
 
     def put_back(self, key: ClassKey) -> None:
-        """Consider a class again.
+        """Make a class available to :meth:`pop_due` again.
 
         :param key: a class that :meth:`pop_due` returned.
         """
         if key not in self._in_heap:
             self._in_heap.add(key)
-            heapq.heappush(self._heap, (self._due[key], key))
+            heapq.heappush(self._heap, (self._due_at[key], key))
--- a/savorychute/admission/offer_outcome.py
+++ b/savorychute/admission/offer_outcome.py
@@ -1,4 +1,4 @@
-"""What became of an offered request."""
+"""The outcome of offering a request to admission."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class OfferOutcome(NamedTuple):
-    """Whether a request waits now, and who had to make room for it.
+    """Whether a request was admitted, and which requests were shed for it.
 
-    ``code`` and ``retry_after_ms`` say why and for how long it was refused.
+    For a refused request, ``code`` is the reason and ``retry_after_ms`` the
+    time after which its caller may retry.
     """
 
     admitted: bool
--- a/savorychute/admission/organisation_flow.py
+++ b/savorychute/admission/organisation_flow.py
@@ -1,4 +1,4 @@
-"""One organisation's waiting requests in one tier of one pool."""
+"""The waiting requests of one organisation in one tier of one pool."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 
 class OrganisationFlow:
-    """The classes of an organisation that share a tier, earliest target first.
+    """The classes of an organisation in one tier, earliest target first.
 
-    ``start_tag`` is its place in the fair order.  ``is_limited`` is true after
-    others of the tier could start and this flow could not, which tells a
-    organisation at its own limits from a pool without capacity.
+    ``start_tag`` is the position of the flow in the fair order.  ``is_limited``
+    is true after others of the tier could start and this flow could not, which
+    distinguishes an organisation at its own limits from a pool without
+    capacity.
 
     :param organisation: the organisation.
-    :param weight: its share against other organisations.
-    :param start_tag: its first place in the fair order.
+    :param weight: the share of the organisation relative to the others.
+    :param start_tag: the initial position in the fair order.
     """
 
     def __init__(self, organisation: str, weight: float, start_tag: float) -> None:
@@ -33,9 +34,9 @@
         self._classes: dict[str, ClassQueue] = {}
 
     def add(self, request: QueuedRequest) -> ClassQueue:
-        """Let *request* wait and return the queue of its class.
+        """Add *request* and return the queue of its class.
 
-        :param request: of this organisation and tier.
+        :param request: a request of this organisation and tier.
         """
         queue = self._classes.get(request.class_name)
         if queue is None:
@@ -46,12 +47,12 @@
         return queue
 
     def remove(self, request: QueuedRequest) -> None:
-        """Remove a request that waits here.
+        """Remove a request of this flow.
 
         :param request: the request.
         """
         self._classes[request.class_name].remove(request.request_id)
-        self._forget(request)
+        self._update_counts(request)
 
     def class_queue(self, class_name: str) -> ClassQueue | None:
         """Return the queue of a class if it has waiting requests.
@@ -68,51 +69,51 @@
     def head(self, now_ms: int) -> QueuedRequest | None:
         """Return the request that would start first.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        queues = self._ordered(now_ms)
+        queues = self._sorted_queues(now_ms)
         return queues[0].head(now_ms) if queues else None
 
-    def take(
-        self, now_ms: int, may_start: Callable[[QueuedRequest], bool]
+    def pop_startable(
+        self, now_ms: int, can_start: Callable[[QueuedRequest], bool]
     ) -> QueuedRequest | None:
-        """Remove and return the first request that may start.
+        """Remove and return the first request that can start.
 
-        :param now_ms: the time.
-        :param may_start: says whether a request may start now.
+        :param now_ms: the current time.
+        :param can_start: returns whether a request can start now.
         """
-        for queue in self._ordered(now_ms):
-            request = queue.take(now_ms, may_start)
+        for queue in self._sorted_queues(now_ms):
+            request = queue.pop_startable(now_ms, can_start)
             if request is not None:
-                self._forget(request)
+                self._update_counts(request)
                 return request
         return None
 
-    def take_class(
+    def pop_startable_of_class(
         self,
         class_name: str,
         now_ms: int,
-        may_start: Callable[[QueuedRequest], bool],
+        can_start: Callable[[QueuedRequest], bool],
     ) -> QueuedRequest | None:
-        """Remove and return the first request of one class that may start.
+        """Remove and return the first request of one class that can start.
 
         :param class_name: the class.
-        :param now_ms: the time.
-        :param may_start: says whether a request may start now.
+        :param now_ms: the current time.
+        :param can_start: returns whether a request can start now.
         """
         queue = self._classes.get(class_name)
-        request = None if queue is None else queue.take(now_ms, may_start)
+        request = None if queue is None else queue.pop_startable(now_ms, can_start)
         if request is not None:
-            self._forget(request)
+            self._update_counts(request)
         return request
 
-    def _ordered(self, now_ms: int) -> list[ClassQueue]:
+    def _sorted_queues(self, now_ms: int) -> list[ClassQueue]:
         queues = list(self._classes.values())
         if len(queues) > 1:
             queues.sort(key=lambda queue: queue.peek(now_ms) or (True, 0, ''))
         return queues
 
-    def _forget(self, request: QueuedRequest) -> None:
+    def _update_counts(self, request: QueuedRequest) -> None:
         self.request_count -= 1
         if not self._classes[request.class_name]:
             del self._classes[request.class_name]
--- a/savorychute/admission/pool_queue.py
+++ b/savorychute/admission/pool_queue.py
@@ -1,4 +1,4 @@
-"""All that waits for one pool."""
+"""The waiting requests of one pool."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class PoolQueue:
-    """Tiers in strict order, but for starts that guarantees are due.
+    """Serves tiers in strict order, except for guaranteed starts.
 
-    :param guaranteed_one_in: at most one start in that many is paid for a
+    :param guaranteed_one_in: at most one of this many starts is made for a
         guarantee.
     """
 
@@ -33,7 +33,7 @@
         return sum(queue.request_count for queue in self.tiers.values())
 
     def waiting(self) -> dict[int, int]:
-        """Return how many requests wait, by tier, the highest first."""
+        """Return the number of waiting requests by tier, the highest first."""
         return {
             tier: self.tiers[tier].request_count
             for tier in sorted(self.tiers)
@@ -41,51 +41,53 @@
         }
 
     def add(self, request: QueuedRequest, weight: float, share: float) -> None:
-        """Let *request* wait.
+        """Add *request* to the queue.
 
-        :param request: for this pool.
-        :param weight: the organisation's share against others.
-        :param share: the class's guaranteed part of the starts.
+        :param request: a request for this pool.
+        :param weight: the share of its organisation relative to the others.
+        :param share: the guaranteed share of the starts of its class.
         """
         queue = self.tiers.get(request.tier)
         if queue is None:
             queue = self.tiers[request.tier] = TierQueue(request.tier)
         if queue.add(request, weight):
-            self._guaranteed.add(_key_of(request), share)
+            self._guaranteed.add(_class_key_of(request), share)
 
     def remove(self, request: QueuedRequest) -> None:
-        """Remove a request that waits here.
+        """Remove a request of this queue.
 
         :param request: the request.
         """
         self.tiers[request.tier].remove(request)
 
-    def take(
-        self, now_ms: int, may_start: Callable[[QueuedRequest], bool]
+    def pop_startable(
+        self, now_ms: int, can_start: Callable[[QueuedRequest], bool]
     ) -> QueuedRequest | None:
         """Remove and return the request that starts next.
 
-        :param now_ms: the time.
-        :param may_start: says whether a request may start now.
+        :param now_ms: the current time.
+        :param can_start: returns whether a request can start now.
         """
-        request = self._take_due(now_ms, may_start)
-        paid = request is not None
+        request = self._pop_guaranteed(now_ms, can_start)
+        is_guaranteed = request is not None
         if request is None:
-            request = self._take_by_tier(now_ms, may_start)
+            request = self._pop_by_tier(now_ms, can_start)
         if request is None:
             return None
-        self._guaranteed.started(_key_of(request), paid=paid)
-        self._rate.started(request.tier, now_ms, still_waiting=self._has_waiting())
+        self._guaranteed.record_start(
+            _class_key_of(request), is_guaranteed=is_guaranteed
+        )
+        self._rate.record_start(request.tier, now_ms, still_waiting=self._has_waiting())
         return request
 
     def estimate_wait_ms(self, request: QueuedRequest, weight: float) -> float:
-        """Return how long a newcomer would wait for its start.
+        """Return how long a new request would wait for its start.
 
-        Work of lower tiers is left out: it starts later, and what its
-        guarantee takes is not to be the reason for giving up higher work.
+        Requests of lower tiers are not counted: they start later, and their
+        guaranteed starts must not cause requests of higher tiers to be shed.
 
-        :param request: the newcomer.
-        :param weight: its organisation's share against others.
+        :param request: the new request.
+        :param weight: the share of its organisation relative to the others.
         """
         interval_ms = self._rate.interval_ms(request.tier)
         if interval_ms is None:
@@ -97,10 +99,10 @@
         )
         return (higher + self._count_ahead(request, weight)) * interval_ms
 
-    def highest_head(self, now_ms: int) -> QueuedRequest | None:
+    def head_of_highest_tier(self, now_ms: int) -> QueuedRequest | None:
         """Return the first request of the highest tier that has any.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         for tier in sorted(self.tiers):
             head = self.tiers[tier].head(now_ms)
@@ -109,10 +111,11 @@
         return None
 
     def _count_ahead(self, request: QueuedRequest, weight: float) -> float:
-        """Return how much of its own tier starts before a newcomer.
+        """Return how many requests of its own tier start before a new request.
 
-        In fair order an organisation waits for its own requests, stretched by the
-        weights of the others, and never for more than all that wait.
+        In fair order an organisation waits for its own requests, multiplied by
+        the ratio of all weights to its own, and never for more requests than
+        are waiting.
         """
         queue = self.tiers.get(request.tier)
         if queue is None:
@@ -124,14 +127,14 @@
             if other is not flow and not other.is_limited
         )
         own_count = 0 if flow is None else flow.request_count
-        stretched = own_count * (weight + others) / weight
-        return min(stretched, queue.request_count)
+        weighted_count = own_count * (weight + others) / weight
+        return min(weighted_count, queue.request_count)
 
-    def _take_due(
-        self, now_ms: int, may_start: Callable[[QueuedRequest], bool]
+    def _pop_guaranteed(
+        self, now_ms: int, can_start: Callable[[QueuedRequest], bool]
     ) -> QueuedRequest | None:
         request = None
-        refused: list[ClassKey] = []
+        blocked: list[ClassKey] = []
         while request is None:
             key = self._guaranteed.pop_due()
             if key is None:
@@ -139,20 +142,20 @@
             queue = self.tiers.get(key.tier)
             if queue is None or not _has_class(queue, key):
                 continue
-            request = queue.take_class(
-                key.organisation, key.class_name, now_ms, may_start
+            request = queue.pop_startable_of_class(
+                key.organisation, key.class_name, now_ms, can_start
             )
             if request is None or _has_class(queue, key):
-                refused.append(key)
-        for key in refused:
+                blocked.append(key)
+        for key in blocked:
             self._guaranteed.put_back(key)
         return request
 
-    def _take_by_tier(
-        self, now_ms: int, may_start: Callable[[QueuedRequest], bool]
+    def _pop_by_tier(
+        self, now_ms: int, can_start: Callable[[QueuedRequest], bool]
     ) -> QueuedRequest | None:
         for tier in sorted(self.tiers):
-            request = self.tiers[tier].take(now_ms, may_start)
+            request = self.tiers[tier].pop_startable(now_ms, can_start)
             if request is not None:
                 return request
         return None
@@ -161,7 +164,7 @@
         return any(_count_unlimited(queue) for queue in self.tiers.values())
 
 
-def _key_of(request: QueuedRequest) -> ClassKey:
+def _class_key_of(request: QueuedRequest) -> ClassKey:
     return ClassKey(request.tier, request.organisation, request.class_name)
 
 
--- a/savorychute/admission/queued_request.py
+++ b/savorychute/admission/queued_request.py
@@ -1,4 +1,4 @@
-"""A request that waits for its start."""
+"""A request that waits to be started."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class QueuedRequest(NamedTuple):
-    """What admission needs to know of a request.
+    """The attributes of a request that admission uses.
 
-    ``pool`` is a model's name or ``service:`` and a service's name.  ``tier``
-    counts from 0, the highest.
+    ``pool`` is the name of a model, or ``service:`` followed by the name of a
+    service.  ``tier`` starts at 0, the highest.
     """
 
     request_id: str
--- a/savorychute/admission/retry_after.py
+++ b/savorychute/admission/retry_after.py
@@ -1,4 +1,4 @@
-"""How long a refused caller is asked to stay away."""
+"""The Retry-After time of refused requests."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
     from savorychute.admission.settings import AdmissionSettings
 
-#: Callers that were refused together must not come back together.
+#: Spreads the retries of callers that were refused at the same time.
 JITTER_SHARE = 0.25
 
 
 def choose_retry_after_ms(
     settings: AdmissionSettings, wait_ms: float, rng: random.Random
 ) -> int:
-    """Return a Retry-After within the settings' bounds, with jitter.
+    """Return a Retry-After time within the configured limits, with jitter.
 
-    :param settings: the bounds.
-    :param wait_ms: when the queue is expected to have drained.
+    :param settings: the limits.
+    :param wait_ms: the time until the queue is expected to have drained.
     :param rng: the source of the jitter.
     """
     bounded_ms = min(
--- a/savorychute/admission/running_request.py
+++ b/savorychute/admission/running_request.py
@@ -1,4 +1,4 @@
-"""A request that runs at an endpoint."""
+"""A request that runs on an endpoint."""
 
 from __future__ import annotations
 
--- a/savorychute/admission/settings.py
+++ b/savorychute/admission/settings.py
@@ -1,4 +1,4 @@
-"""Settings of admission."""
+"""Settings of admission control."""
 
 from __future__ import annotations
 
@@ -6,15 +6,14 @@
 
 
 class AdmissionSettings(NamedTuple):
-    """Bounds of the queue of one instance.
+    """Limits of the queue of one instance.
 
-    ``late_share`` says from which estimate on a request is shed: 0 when it
-    would miss its first token target, 1 when it would not be started at all.
-    ``guaranteed_one_in`` bounds the
-    starts that go to guaranteed minimums: one in that many.
-    ``guarantee_floor`` is the least part of a pool's starts that a class with
-    waiting work is guaranteed.  ``preempt_after_share`` is the part of its
-    first token target that a request waits before others are preempted.
+    ``late_share`` sets the estimate from which a request is shed: 0 if it
+    would miss its first token target, 1 if it would not be started at all.
+    ``guaranteed_one_in`` limits guaranteed starts to one start in that many.
+    ``guarantee_floor`` is the minimum share of a pool's starts that a class
+    with waiting requests is guaranteed.  ``preempt_after_share`` is the share
+    of its first token target that a request waits before others are preempted.
     """
 
     max_requests: int = 4096
--- a/savorychute/admission/shed_request.py
+++ b/savorychute/admission/shed_request.py
@@ -1,4 +1,4 @@
-"""A request that admission has given up."""
+"""A request that admission has shed."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ShedRequest(NamedTuple):
-    """A waiting request that is answered 'not run' at once."""
+    """A waiting request whose caller is told at once that it was not run."""
 
     request_id: str
     code: ResultCode
--- a/savorychute/admission/start_rate.py
+++ b/savorychute/admission/start_rate.py
@@ -1,61 +1,65 @@
-"""How fast a pool starts requests while work waits."""
+"""The rate at which a pool starts requests while others wait."""
 
 from __future__ import annotations
 
 import math
 
-#: Older starts count less by a factor e for each of these.
-MEMORY_MS = 5_000
+#: The time constant of the decay: the weight of a start falls by a factor of e
+#: in this time.
+DECAY_TIME_MS = 5_000
 
-#: Fewer starts than these say nothing yet.
+#: With fewer starts the rate is unknown.
 MIN_STARTS = 8.0
 
-#: Even lower tiers get some part of the starts, by their guarantee.
-MIN_SHARE = 0.02
+#: The minimum share of the starts that is left for a lower tier, because each
+#: tier has guaranteed starts.
+MIN_TIER_SHARE = 0.02
 
 
 class StartRate:
-    """Decaying sums of starts, by tier, and of the time they took.
+    """Decaying sums of starts by tier, and of the time in which they occurred.
 
-    Only time in which requests waited counts, since an idle pool says nothing
-    about its capacity.
+    Only time in which requests were waiting counts, because the start rate of
+    an idle pool does not show its capacity.
     """
 
     def __init__(self) -> None:
-        self._starts: dict[int, float] = {}
+        self._decayed_starts: dict[int, float] = {}
         self._busy_ms = 0.0
         self._last_ms = 0
         self._is_busy = False
 
-    def started(self, tier: int, now_ms: int, *, still_waiting: bool) -> None:
+    def record_start(self, tier: int, now_ms: int, *, still_waiting: bool) -> None:
         """Count a start.
 
-        :param tier: of the request.
-        :param now_ms: the time.
+        :param tier: the tier of the request.
+        :param now_ms: the current time.
         :param still_waiting: whether other requests wait for capacity.
         """
         if self._is_busy:
             self._decay(now_ms)
-            self._starts[tier] = self._starts.get(tier, 0.0) + 1
+            self._decayed_starts[tier] = self._decayed_starts.get(tier, 0.0) + 1
         self._last_ms = now_ms
         self._is_busy = still_waiting
 
     def interval_ms(self, tier: int) -> float | None:
-        """Return the time between starts that are left for a tier.
+        """Return the time between the starts that are left for a tier.
 
-        :param tier: higher tiers' starts are taken off first.
+        :param tier: the tier; starts of higher tiers are subtracted.
         """
-        total = sum(self._starts.values())
+        total = sum(self._decayed_starts.values())
         if total < MIN_STARTS:
             return None
-        higher = sum(count for other, count in self._starts.items() if other < tier)
-        return self._busy_ms / max(total - higher, total * MIN_SHARE)
+        higher = sum(
+            count for other, count in self._decayed_starts.items() if other < tier
+        )
+        return self._busy_ms / max(total - higher, total * MIN_TIER_SHARE)
 
     def _decay(self, now_ms: int) -> None:
         elapsed_ms = now_ms - self._last_ms
         if elapsed_ms <= 0:
             return
-        factor = math.exp(-elapsed_ms / MEMORY_MS)
-        for tier in self._starts:
-            self._starts[tier] *= factor
+        factor = math.exp(-elapsed_ms / DECAY_TIME_MS)
+        for tier in self._decayed_starts:
+            self._decayed_starts[tier] *= factor
         self._busy_ms = self._busy_ms * factor + elapsed_ms
--- a/savorychute/admission/tier_queue.py
+++ b/savorychute/admission/tier_queue.py
@@ -1,4 +1,4 @@
-"""One tier of one pool: organisations in fair order."""
+"""The waiting requests of one tier of one pool, in fair order."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 
     from savorychute.admission.queued_request import QueuedRequest
 
-#: Finish tags of idle organisations are dropped when there are more than these.
+#: Obsolete tags of idle organisations are dropped when there are more than this.
 MAX_IDLE_TAGS = 64
 
 
 class TierQueue:
-    """Start-time fair queuing between organisations, by their shares of the pool.
+    """Start-time fair queueing of organisations by their shares of the pool.
 
-    Each start moves its organisation's tag on by expected tokens over weight, and
-    the smallest tag is served.  Source: Goyal, Vin and Cheng, "Start-time fair
-    queuing" (SIGCOMM 1996).  A start costs O(log organisations), and more only
-    for organisations that are at their own limits.
+    The organisation with the smallest tag is served, and each start advances
+    its tag by the expected tokens divided by its weight.  Source: Goyal, Vin
+    and Cheng, "Start-time fair queuing" (SIGCOMM 1996).  A start costs
+    O(log organisations), and more only for organisations that are at their own
+    limits.
 
     :param tier: the tier.
     """
@@ -31,15 +32,15 @@
         self.tier = tier
         self.flows: dict[str, OrganisationFlow] = {}
         self.request_count = 0
-        self._virtual = 0.0
-        self._order: list[tuple[float, str]] = []
+        self._virtual_time = 0.0
+        self._tag_heap: list[tuple[float, str]] = []
         self._idle_tags: dict[str, float] = {}
 
     def add(self, request: QueuedRequest, weight: float) -> bool:
-        """Let *request* wait; return whether its class had none waiting.
+        """Add *request*; return whether its class had no waiting requests.
 
-        :param request: of this tier.
-        :param weight: the organisation's share against others.
+        :param request: a request of this tier.
+        :param weight: the share of its organisation relative to the others.
         """
         flow = self.flows.get(request.organisation)
         if flow is None:
@@ -49,7 +50,7 @@
         return len(flow.add(request)) == 1
 
     def remove(self, request: QueuedRequest) -> None:
-        """Remove a request that waits here.
+        """Remove a request of this queue.
 
         :param request: the request.
         """
@@ -61,88 +62,89 @@
     def head(self, now_ms: int) -> QueuedRequest | None:
         """Return the request that would start first.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        while self._order:
-            tag, organisation = self._order[0]
+        while self._tag_heap:
+            tag, organisation = self._tag_heap[0]
             flow = self.flows.get(organisation)
             if flow is not None and flow.start_tag == tag:
                 return flow.head(now_ms)
-            heapq.heappop(self._order)
+            heapq.heappop(self._tag_heap)
         return None
 
-    def take(
-        self, now_ms: int, may_start: Callable[[QueuedRequest], bool]
+    def pop_startable(
+        self, now_ms: int, can_start: Callable[[QueuedRequest], bool]
     ) -> QueuedRequest | None:
-        """Remove and return the first request that may start.
+        """Remove and return the first request that can start.
 
-        :param now_ms: the time.
-        :param may_start: says whether a request may start now.
+        :param now_ms: the current time.
+        :param can_start: returns whether a request can start now.
         """
-        refused: list[OrganisationFlow] = []
+        blocked: list[OrganisationFlow] = []
         request = None
-        while self._order and request is None:
-            tag, organisation = heapq.heappop(self._order)
+        while self._tag_heap and request is None:
+            tag, organisation = heapq.heappop(self._tag_heap)
             flow = self.flows.get(organisation)
             if flow is None or flow.start_tag != tag:
                 continue
-            request = flow.take(now_ms, may_start)
+            request = flow.pop_startable(now_ms, can_start)
             if request is None:
-                refused.append(flow)
+                blocked.append(flow)
             else:
-                self._virtual = max(self._virtual, tag)
+                self._virtual_time = max(self._virtual_time, tag)
                 self._charge(flow, request)
-        self._put_back(refused, is_limited=request is not None)
+        self._requeue(blocked, is_limited=request is not None)
         return request
 
-    def take_class(
+    def pop_startable_of_class(
         self,
         organisation: str,
         class_name: str,
         now_ms: int,
-        may_start: Callable[[QueuedRequest], bool],
+        can_start: Callable[[QueuedRequest], bool],
     ) -> QueuedRequest | None:
-        """Remove and return the first request of one class that may start.
+        """Remove and return the first request of one class that can start.
 
         :param organisation: the organisation.
         :param class_name: the class.
-        :param now_ms: the time.
-        :param may_start: says whether a request may start now.
+        :param now_ms: the current time.
+        :param can_start: returns whether a request can start now.
         """
         flow = self.flows.get(organisation)
         if flow is None:
             return None
-        request = flow.take_class(class_name, now_ms, may_start)
+        request = flow.pop_startable_of_class(class_name, now_ms, can_start)
         if request is not None:
             self._charge(flow, request)
         return request
 
     def _open_flow(self, organisation: str, weight: float) -> OrganisationFlow:
-        start_tag = max(self._virtual, self._idle_tags.pop(organisation, 0.0))
+        start_tag = max(self._virtual_time, self._idle_tags.pop(organisation, 0.0))
         flow = OrganisationFlow(organisation, weight, start_tag)
         self.flows[organisation] = flow
-        heapq.heappush(self._order, (start_tag, organisation))
+        heapq.heappush(self._tag_heap, (start_tag, organisation))
         return flow
 
     def _charge(self, flow: OrganisationFlow, request: QueuedRequest) -> None:
-        """Move the flow on by what *request* costs."""
+        """Advance the tag of the flow by the cost of *request*."""
         flow.is_limited = False
         flow.start_tag += max(1, request.expected_tokens) / flow.weight
         self.request_count -= 1
         if flow.request_count:
-            heapq.heappush(self._order, (flow.start_tag, flow.organisation))
+            heapq.heappush(self._tag_heap, (flow.start_tag, flow.organisation))
         self._close_if_empty(flow)
 
-    def _put_back(self, refused: list[OrganisationFlow], *, is_limited: bool) -> None:
-        """Queue flows again that could not start.
+    def _requeue(self, blocked: list[OrganisationFlow], *, is_limited: bool) -> None:
+        """Queue the flows again that could not start.
 
-        An organisation held back by its own limits must not save up turns and then
-        shut out the others, so its tag moves on with the served ones.
+        An organisation that is blocked by its own limits must not accumulate
+        starts and then starve the others, so its tag advances with the virtual
+        time of the served flows.
         """
-        for flow in refused:
+        for flow in blocked:
             flow.is_limited = flow.is_limited or is_limited
-            flow.start_tag = max(flow.start_tag, self._virtual)
-            heapq.heappush(self._order, (flow.start_tag, flow.organisation))
+            flow.start_tag = max(flow.start_tag, self._virtual_time)
+            heapq.heappush(self._tag_heap, (flow.start_tag, flow.organisation))
 
     def _close_if_empty(self, flow: OrganisationFlow) -> None:
         if flow.request_count:
@@ -153,5 +155,5 @@
             self._idle_tags = {
                 organisation: tag
                 for organisation, tag in self._idle_tags.items()
-                if tag > self._virtual
+                if tag > self._virtual_time
             }
--- a/tests/test_admission/conftest.py
+++ b/tests/test_admission/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of admission tests."""
+"""Fixtures of the admission tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def make_request():
-    """Return a function that builds requests with ids counted up."""
+    """Return a function that builds requests with ascending ids."""
     count = 0
 
     def make(organisation='a', tier=0, arrival_ms=0, **changes):
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def start_all():
-    """Return a function that starts all that waits and returns the order."""
+    """Return a function that starts all waiting requests and lists them in order."""
 
     def start(queue, pool='m', now_ms=0):
         started = []
--- a/tests/test_admission/limits_factory.py
+++ b/tests/test_admission/limits_factory.py
@@ -1,4 +1,4 @@
-"""Limits for admission tests."""
+"""Limits for the admission tests."""
 
 from __future__ import annotations
 
--- a/tests/test_admission/test_tiered.py
+++ b/tests/test_admission/test_tiered.py
@@ -42,12 +42,10 @@
     assert start_all(queue) == [sooner, later]
 
 
-def test_request_past_its_target_yields_to_one_in_time(
-    make_queue, make_request, start_all
-):
-    """Under overload each start goes to a request that has just missed its
-    target, and no class meets any target, although half could.  Cause: the
-    earliest deadline always belongs to the request that is already late.
+def test_late_request_starts_after_one_in_time(make_queue, make_request, start_all):
+    """Guards against missing every target under overload, although half of
+    the requests could meet theirs.  It happens if each start goes to the
+    earliest target, which always belongs to a request that is already late.
     """
     queue = make_queue()
     late = make_request(arrival_ms=0)
@@ -58,12 +56,12 @@
     assert start_all(queue, now_ms=310) == [in_time, late]
 
 
-def test_organisation_at_its_limit_holds_up_nobody_and_saves_no_turns(
+def test_organisation_at_its_limit_neither_blocks_others_nor_accumulates_starts(
     make_queue, make_request, start_all
 ):
-    """An organisation reaches its contract's concurrency while its queue is long.
-    The others go on; once it may start again it must not take every start
-    in return for the ones that it was refused.
+    """An organisation reaches the concurrency limit of its contract while its
+    queue is long.  The others continue.  Once it can start again it must not
+    get every start to make up for the starts that it missed.
     """
     queue = make_queue({'a': 0.1, 'b': 0.1})
     for _ in range(30):
@@ -78,7 +76,7 @@
     assert 4 <= after.count('a') <= 6
 
 
-def test_full_queue_evicts_the_lowest_tier_for_higher_work(make_queue, make_request):
+def test_full_queue_evicts_the_lowest_tier_for_a_higher_one(make_queue, make_request):
     queue = make_queue(max_requests=2)
     first, second = make_request(tier=2), make_request(tier=2)
     queue.offer(first, None, 0)
@@ -115,11 +113,12 @@
     assert queue.waiting('m') == {0: 1, 2: 1}
 
 
-def test_longest_organisation_of_a_tier_makes_room_for_the_others(
+def test_organisation_with_the_longest_queue_is_evicted_for_others(
     make_queue, make_request
 ):
-    """One organisation fills the whole queue in a burst and every other one is
-    refused until it has drained.  Cause: a bound without shares.
+    """Guards against one organisation filling the whole queue in a burst, so
+    that all others are refused until it has drained.  It happens if the limit
+    of the queue is not divided into shares.
     """
     queue = make_queue({'a': 0.1, 'b': 0.1}, max_requests=10)
     for _ in range(10):
@@ -129,14 +128,14 @@
     assert not queue.offer(make_request('a'), None, 0).admitted
 
 
-def test_class_queue_is_bounded(make_queue, make_request):
+def test_class_queue_is_limited(make_queue, make_request):
     queue = make_queue(limit_options={'queue_requests': 2})
     outcomes = [queue.offer(make_request(), None, 0) for _ in range(3)]
 
     assert [outcome.admitted for outcome in outcomes] == [True, True, False]
 
 
-def test_expired_request_is_told_its_deadline_passed(make_queue, make_request):
+def test_expired_request_is_shed_with_deadline_passed(make_queue, make_request):
     queue = make_queue()
     request = make_request(deadline_ms=500)
     queue.offer(request, None, 0)
@@ -148,7 +147,7 @@
     assert queue.pools() == []
 
 
-def test_request_is_given_up_when_a_start_would_come_too_late(make_queue, make_request):
+def test_request_is_shed_after_the_maximum_wait_of_its_class(make_queue, make_request):
     queue = make_queue()
     queue.offer(make_request(), None, 0)
 
@@ -158,7 +157,7 @@
 
 
 def measure_backlog(queue, make_request, count=60, interval_ms=100):
-    """Let the queue learn that the pool starts ten requests a second."""
+    """Let the queue measure that the pool starts ten requests a second."""
     for _ in range(count):
         queue.offer(make_request('a', deadline_ms=10**6), None, 0)
     for number in range(20):
@@ -176,8 +175,8 @@
 
 
 def test_request_that_would_not_start_at_all_is_shed_early(make_queue, make_request):
-    """Callers wait until their deadline for an answer that a look at the queue
-    would have ruled out at once.
+    """Guards against letting callers wait until their deadline for an answer
+    that the length of the queue rules out at once.
     """
     queue = make_queue()
     measure_backlog(queue, make_request, count=150)
@@ -197,7 +196,7 @@
     assert queue.offer(patient, 50.0, 2_000).admitted
 
 
-def test_request_is_not_shed_while_lower_work_could_be_preempted(
+def test_request_is_not_shed_while_a_lower_tier_could_be_preempted(
     make_queue, make_request
 ):
     queue = make_queue(late_share=0.0)
@@ -208,9 +207,9 @@
     assert queue.offer(request, 50.0, 2_000, can_preempt=True).admitted
 
 
-def test_slow_endpoints_alone_shed_nothing(make_queue, make_request):
-    """All endpoints of a model are slower than a class's target.  Refusing its
-    requests would leave them idle and answer nobody.
+def test_slow_endpoints_alone_cause_no_shedding(make_queue, make_request):
+    """All endpoints of a model are slower than the target of a class.  Refusing
+    the requests would leave the endpoints idle and answer no request at all.
     """
     queue = make_queue()
 
@@ -226,7 +225,7 @@
         ([('x', 2, False, 5)], None),
     ],
 )
-def test_preemption_takes_the_youngest_of_the_lowest_tier(
+def test_preemption_chooses_the_last_started_of_the_lowest_tier(
     make_queue, make_request, running, expected
 ):
     queue = make_queue()
@@ -237,9 +236,9 @@
     assert queue.preemption('m', entries, 100) == expected
 
 
-def test_one_waiting_request_preempts_one(make_queue, make_request):
-    """Each pass of the loop preempts one more stream for the same waiting
-    request, because the first victim has not left its endpoint yet.
+def test_one_waiting_request_preempts_one_stream(make_queue, make_request):
+    """Guards against preempting one more stream for the same waiting request
+    on each call, because the first victim has not left its endpoint yet.
     """
     queue = make_queue()
     queue.offer(make_request(tier=0), None, 0)
@@ -249,11 +248,11 @@
     assert queue.preemption('m', entries, 110) is None
 
 
-def test_stream_that_is_being_preempted_is_passed_over(make_queue, make_request):
-    """Two diagnoses wait, and the lowest stream has been told to stop already.
+def test_stream_that_is_being_preempted_is_skipped(make_queue, make_request):
+    """Two requests wait, and the stream of the lowest tier is being stopped.
 
-    It is still listed as running until it has stopped.  The next one to stop is of the
-    next tier; the same one would free a place only once.
+    It is listed as running until it has stopped.  The next victim is of the
+    next tier, because stopping the same stream twice frees only one slot.
     """
     queue = make_queue()
     queue.offer(make_request(tier=0), None, 0)
@@ -271,12 +270,13 @@
     queue.offer(make_request(tier=0), None, 0)
     entries = [RunningRequest('x', 2, True, 0)]
 
-    assert queue.preemption('m', entries, 100, may_start=lambda _: False) is None
+    assert queue.preemption('m', entries, 100, can_start=lambda _: False) is None
 
 
-def test_class_whose_requests_time_out_is_still_due(make_queue, make_request):
-    """Each request of a low class times out shortly before the class is due a
-    start, and the next one begins to wait anew: the class never starts.
+def test_class_whose_requests_time_out_stays_due(make_queue, make_request):
+    """Guards against a low class that never starts, because each of its
+    requests times out shortly before the class is due a start and the next one
+    starts to wait from zero.
     """
     queue = make_queue({'a': 0.1, 'b': 0.1}, guarantee_floor=0.1)
     for _ in range(30):
@@ -295,9 +295,9 @@
 
 @pytest.mark.parametrize('name', ['tiered', 'fifo'])
 def test_restored_request_is_never_refused(make_request, name):
-    """A preempted stream comes back to a queue that has filled up meanwhile.
-    Its caller already holds a part of the answer and must not be told that
-    the request was not run.
+    """A preempted stream returns to a queue that has become full meanwhile.
+    Its caller has already received a part of the answer and must not be told
+    that the request was not run.
     """
     queue = ADMISSIONS.get(name)(AdmissionSettings(max_requests=1), random.Random(1))
     request = make_request()
@@ -310,13 +310,11 @@
     assert queue.next_start('m', 10, lambda _: True) == request
 
 
-def test_request_that_is_taken_back_may_wait_until_its_deadline(
-    make_queue, make_request
-):
-    """An answer that has begun would be cut with 'shed'.
+def test_restored_request_can_wait_until_its_deadline(make_queue, make_request):
+    """Guards against shedding a request whose answer has started.
 
-    A stream waits, starts, is preempted for higher work after more than the
-    longest wait of its class, and waits again.
+    A stream waits, starts, is preempted for a request of a higher tier after
+    more than the maximum wait of its class, and waits again.
     """
     queue = make_queue()
     request = make_request(deadline_ms=1_000_000)
