--- a/benches/capacity_roles/polls_role.py
+++ b/benches/capacity_roles/polls_role.py
@@ -16,7 +16,7 @@
 from savorychute.actions import PollEndpoint
 from savorychute.clock import MS_PER_S
 from savorychute.endpoints import DIALECTS
-from savorychute.routing import EndpointBook, RoutingSettings
+from savorychute.routing import EndpointTable, RoutingSettings
 
 if TYPE_CHECKING:
     from savorychute.contracts.endpoint_document import EndpointDocument
@@ -56,12 +56,12 @@
 
     def poll_all() -> None:
         polls.clear()
-        book = EndpointBook(
+        book = EndpointTable(
             RoutingSettings(), Random(1), own.failure_domain, own.region
         )
         book.set_endpoints(endpoints)
         for number, name in enumerate(used):
-            book.started(f'attempt-{number}', name, 100, 200, (), 0)
+            book.record_start(f'attempt-{number}', name, 100, 200, (), 0)
         for now_ms in range(0, WINDOW_MS, TICK_MS):
             for action in book.due_polls(now_ms):
                 if not isinstance(action, PollEndpoint):
@@ -69,10 +69,10 @@
                 polls.append(action)
                 report = dialect.read_load(action.endpoint, answer)
                 if report is not None:
-                    book.report(report, now_ms)
+                    book.apply_report(report, now_ms)
 
     def build_only() -> None:
-        book = EndpointBook(
+        book = EndpointTable(
             RoutingSettings(), Random(1), own.failure_domain, own.region
         )
         book.set_endpoints(endpoints)
--- a/benches/routing.py
+++ b/benches/routing.py
@@ -10,7 +10,7 @@
 from benches.bench_row import BenchRow, make_row
 from benches.retry_rig import run_outage
 from benches.routing_rig import RigPlan, RoutingRig
-from savorychute.routing import ROUTERS, EndpointBook, RoutingRequest, RoutingSettings
+from savorychute.routing import ROUTERS, EndpointTable, RoutingRequest, RoutingSettings
 
 if TYPE_CHECKING:
     from savorychute.routing import Router
@@ -89,8 +89,8 @@
     return statistics.median(samples)
 
 
-def _make_book(rng: random.Random) -> tuple[EndpointBook, tuple[str, ...]]:
-    book = EndpointBook(RoutingSettings(), rng, 'domain-0', 'region')
+def _make_book(rng: random.Random) -> tuple[EndpointTable, tuple[str, ...]]:
+    book = EndpointTable(RoutingSettings(), rng, 'domain-0', 'region')
     names = tuple(f'endpoint-{number}' for number in range(CANDIDATES))
     book.set_endpoints(
         {
@@ -110,5 +110,7 @@
     )
     for number in range(3 * CANDIDATES):
         hashes = tuple(range(number, number + HASHES))
-        book.started(str(number), names[number % CANDIDATES], 5_000, 100, hashes, 0)
+        book.record_start(
+            str(number), names[number % CANDIDATES], 5_000, 100, hashes, 0
+        )
     return book, names
--- a/benches/routing_rig.py
+++ b/benches/routing_rig.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from savorychute.inputs.load_reported import LoadReported
-from savorychute.routing import ROUTERS, EndpointBook, RoutingRequest, RoutingSettings
+from savorychute.routing import ROUTERS, EndpointTable, RoutingRequest, RoutingSettings
 from savorychute.testing.engine import ModelEngine
 from savorychute.testing.engine_events import StreamEnded, StreamTokens
 from savorychute.testing.engine_request import EngineRequest
@@ -85,7 +85,7 @@
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._order = itertools.count()
         self._first_ms: dict[str, float] = {}
-        self._started: dict[str, tuple[float, EndpointBook, float]] = {}
+        self._started: dict[str, tuple[float, EndpointTable, float]] = {}
         self._last_ms: dict[str, float] = {}
         self._gaps: list[float] = []
         self._in_time = 0
@@ -123,7 +123,7 @@
         self.routers = []
         for number in range(self.plan.instances):
             rng = random.Random(self.rng.getrandbits(32))
-            book = EndpointBook(settings, rng, DOMAINS[number % 3], 'kerala')
+            book = EndpointTable(settings, rng, DOMAINS[number % 3], 'kerala')
             book.set_endpoints(self.documents)
             self.books.append(book)
             self.routers.append(ROUTERS.get(router)(settings, book, rng))
@@ -160,7 +160,7 @@
             self.at(now_ms, lambda at_ms, number=number: self._arrive(number, at_ms))
             self._arrivals += 1
 
-    def _plan_polls(self, book: EndpointBook, first_ms: float) -> None:
+    def _plan_polls(self, book: EndpointTable, first_ms: float) -> None:
         def tick(now_ms: float) -> None:
             for poll in book.due_polls(int(now_ms)):
                 self._poll(book, poll, now_ms)
@@ -168,11 +168,13 @@
 
         self.at(first_ms, tick)
 
-    def _poll(self, book: EndpointBook, poll: object, now_ms: float) -> None:
+    def _poll(self, book: EndpointTable, poll: object, now_ms: float) -> None:
         load = self.engines[poll.endpoint].report(poll.cache_cursor, now_ms)
         report = LoadReported(poll.endpoint, *load)
         distance_ms = book.state_of(poll.endpoint).distance_ms
-        self.at(now_ms + distance_ms, lambda at_ms: book.report(report, int(at_ms)))
+        self.at(
+            now_ms + distance_ms, lambda at_ms: book.apply_report(report, int(at_ms))
+        )
 
     def _slow_down(self, now_ms: float) -> None:
         events = self.engines['engine-0'].set_straggle(self.plan.straggler, now_ms)
@@ -190,7 +192,7 @@
         name = choice.endpoint
         attempt_id = str(number)
         distance_ms = book.state_of(name).distance_ms
-        book.started(attempt_id, name, tokens, 150, hashes, int(now_ms))
+        book.record_start(attempt_id, name, tokens, 150, hashes, int(now_ms))
         self._started[attempt_id] = (now_ms, book, distance_ms)
         send = EngineRequest(attempt_id, attempt_id, POOL, prompt, 0)
         self.at(
@@ -235,9 +237,9 @@
         attempt_id = event.attempt_id
         started_ms, book, _ = self._started[attempt_id]
         if isinstance(event, StreamEnded):
-            book.finished(attempt_id, True, int(now_ms))
+            book.record_finish(attempt_id, True, int(now_ms))
             return
-        book.progress(attempt_id, event.token_count, int(now_ms))
+        book.record_progress(attempt_id, event.token_count, int(now_ms))
         if attempt_id not in self._first_ms:
             self._first_ms[attempt_id] = now_ms - started_ms
         else:
--- a/savorychute/instance/attempt_desk.py
+++ b/savorychute/instance/attempt_desk.py
@@ -178,7 +178,7 @@
             gap_ms = now_ms - tracked.token_ms
             tracked.gap_sum_ms += gap_ms
         tracked.token_ms = now_ms
-        self._parts.book.progress(attempt.attempt_id, tokens, now_ms)
+        self._parts.book.record_progress(attempt.attempt_id, tokens, now_ms)
 
     def _abandon(
         self, attempt: Attempt, reason: str, now_ms: int, is_silent: bool = False
@@ -228,7 +228,7 @@
                 tracked.fingerprint, attempt.attempt_id, False, now_ms
             )
         parts.credits.give_back(attempt.attempt_id, now_ms)
-        parts.book.finished(attempt.attempt_id, False, now_ms)
+        parts.book.record_finish(attempt.attempt_id, False, now_ms)
         parts.limiter.finish(tracked.request_id, 0, now_ms)
         if not tracked.request.stream:
             tracked.wasted_tokens += attempt.tokens
--- a/savorychute/instance/dispatcher.py
+++ b/savorychute/instance/dispatcher.py
@@ -203,7 +203,7 @@
         parts.limiter.start(
             queued.organisation, tracked.request_id, queued.expected_tokens, now_ms
         )
-        parts.book.started(
+        parts.book.record_start(
             attempt_id,
             endpoint,
             tracked.request.prompt_tokens,
@@ -311,7 +311,7 @@
             attempt.endpoint, attempt.stream_id, tracked.delivered_tokens
         )
         parts.credits.give_back(attempt.attempt_id, now_ms)
-        parts.book.finished(attempt.attempt_id, True, now_ms)
+        parts.book.record_finish(attempt.attempt_id, True, now_ms)
         parts.limiter.finish(tracked.request_id, 0, now_ms)
         parts.table.detach(tracked)
         cancel = CancelAttempt(attempt.attempt_id, keep_stream=True)
--- a/savorychute/instance/housekeeping.py
+++ b/savorychute/instance/housekeeping.py
@@ -77,7 +77,7 @@
     def note_load(self, report: LoadReported, now_ms: int) -> list[Action]:
         """Take in an endpoint's load report."""
         parts = self._parts
-        parts.book.report(report, now_ms)
+        parts.book.apply_report(report, now_ms)
         parts.ejector.report(report, now_ms)
         parts.credits.observe(report)
         self._placement_desk.note_load(report, now_ms)
@@ -115,7 +115,7 @@
         """Take over load reports that came with grants of credit."""
         for report in self._parts.credits.take_reports():
             # A relayed report does not say which models are loaded.
-            self._parts.book.report(report._replace(models=()), now_ms)
+            self._parts.book.apply_report(report._replace(models=()), now_ms)
 
     def _follow_members(self, now_ms: int) -> None:
         parts = self._parts
--- a/savorychute/instance/parts.py
+++ b/savorychute/instance/parts.py
@@ -19,7 +19,7 @@
 from savorychute.membership import Membership
 from savorychute.recovery import Ejector, LeavingSpread, Quarantine, RetryBudget
 from savorychute.requests import KeyKeeper
-from savorychute.routing import ROUTERS, EndpointBook, OutputLengths, Router
+from savorychute.routing import ROUTERS, EndpointTable, OutputLengths, Router
 
 if TYPE_CHECKING:
     from savorychute.instance.instance_settings import InstanceSettings
@@ -40,7 +40,7 @@
     admission: Admission
     credits: CreditLedger
     limiter: OrganisationLimiter
-    book: EndpointBook
+    book: EndpointTable
     router: Router
     lengths: OutputLengths
     budget: RetryBudget
@@ -74,7 +74,7 @@
     keys = KeyKeeper(settings.keys, address, fork())
     keys.set_wall_clock(epoch_offset_ms, 0)
     leases = LeaseKeeper(settings.leases, name, fork(), log_budget)
-    book = EndpointBook(
+    book = EndpointTable(
         settings.routing, fork(), address.failure_domain, address.region
     )
     return Parts(
--- a/savorychute/instance/placement_desk.py
+++ b/savorychute/instance/placement_desk.py
@@ -7,7 +7,7 @@
 from savorychute.instance.placement_demand import DemandGatherer
 from savorychute.leases.order_request import OrderRequest
 from savorychute.placement import EngineState, PlacementPlanner
-from savorychute.routing.endpoint_book import make_poll
+from savorychute.routing.endpoint_table import make_poll
 
 if TYPE_CHECKING:
     from savorychute.actions import Action
--- a/savorychute/instance/responder.py
+++ b/savorychute/instance/responder.py
@@ -235,7 +235,7 @@
                 code is ResultCode.OK,
                 now_ms,
             )
-            parts.book.finished(attempt.attempt_id, code is ResultCode.OK, now_ms)
+            parts.book.record_finish(attempt.attempt_id, code is ResultCode.OK, now_ms)
         parts.limiter.finish(tracked.request_id, tracked.delivered_tokens, now_ms)
         parts.admission.remove(tracked.request_id)
         parts.table.remove(tracked)
--- a/savorychute/routing/__init__.py
+++ b/savorychute/routing/__init__.py
@@ -1,9 +1,9 @@
-"""Which endpoint runs a request."""
+"""Routing: the choice of the endpoint that runs a request."""
 
 from __future__ import annotations
 
-from savorychute.routing.endpoint_book import EndpointBook
 from savorychute.routing.endpoint_state import EndpointState
+from savorychute.routing.endpoint_table import EndpointTable
 from savorychute.routing.least_outstanding_router import LeastOutstandingRouter
 from savorychute.routing.length_settings import LengthSettings
 from savorychute.routing.output_lengths import OutputLengths
@@ -16,8 +16,8 @@
 
 __all__ = [
     'ROUTERS',
-    'EndpointBook',
     'EndpointState',
+    'EndpointTable',
     'LeastOutstandingRouter',
     'LengthSettings',
     'OutputLengths',
--- a/savorychute/routing/endpoint_group.py
+++ b/savorychute/routing/endpoint_group.py
@@ -1,4 +1,4 @@
-"""Endpoints that serve the same, and so are comparable."""
+"""Groups of comparable endpoints, which serve the same models or service."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
     from savorychute.routing.routing_settings import RoutingSettings
 
 SUMMARY_LIFETIME_MS = 100
-LEARNING_SHARE = 0.1
+PREFILL_SMOOTHING_SHARE = 0.1
 MIN_PREFILL_TOKENS_PER_STEP = 16.0
 MAX_PREFILL_TOKENS_PER_STEP = 65_536.0
 
 
 class EndpointGroup:
-    """What the endpoints of one kind have in common.
+    """Endpoints that serve the same, and the figures that they share.
 
-    :param settings: the values to start from.
+    :param settings: the initial values.
     """
 
     def __init__(self, settings: RoutingSettings) -> None:
         self.members: list[EndpointState] = []
         self.prefill_tokens_per_step = settings.prefill_tokens_per_step
-        self._own_weight_max = settings.own_weight
+        self._max_own_weight = settings.own_weight
         self._summary = GroupSummary(settings.step_ms, 0.0, 1.0)
         self._refresh_at_ms = 0
 
     def summary(self, now_ms: int) -> GroupSummary:
-        """Return figures over all members.
+        """Return the figures over all members.
 
-        They are computed at most ten times a second: decisions are more
-        frequent.
+        They are computed at most ten times a second, because routing decisions
+        are more frequent than that.
         """
         if now_ms >= self._refresh_at_ms and self.members:
             self._refresh_at_ms = now_ms + SUMMARY_LIFETIME_MS
@@ -42,22 +42,23 @@
         return self._summary
 
     def _summarise(self, now_ms: int) -> GroupSummary:
-        steps = [member.measured_step_ms(now_ms) for member in self.members]
-        known = [step_ms for step_ms in steps if step_ms > 0]
-        step_ms = median(known) if known else self._summary.median_step_ms
-        others = sum(member.others for member in self.members)
-        own = sum(member.outstanding for member in self.members)
-        weight = min(1 + others / max(own, 1), self._own_weight_max)
-        return GroupSummary(step_ms, others / len(self.members), weight)
-
-    def learn_prefill(self, tokens: float, steps: float) -> None:
-        """Take note of a prompt that was computed without waiting.
-
-        :param tokens: prompt tokens that had to be computed, others' included.
-        :param steps: steps that passed before the first token.
+        step_times_ms = [member.measured_step_ms(now_ms) for member in self.members]
+        known_ms = [step_ms for step_ms in step_times_ms if step_ms > 0]
+        step_ms = median(known_ms) if known_ms else self._summary.median_step_ms
+        peer_requests = sum(member.peer_requests for member in self.members)
+        own_requests = sum(member.outstanding for member in self.members)
+        own_weight = min(1 + peer_requests / max(own_requests, 1), self._max_own_weight)
+        return GroupSummary(step_ms, peer_requests / len(self.members), own_weight)
+
+    def record_prefill(self, tokens: float, steps: float) -> None:
+        """Record the prefill of a prompt that did not wait for a slot.
+
+        :param tokens: the prompt tokens that had to be computed, including
+            those of prompts ahead of it.
+        :param steps: the number of steps before the first token.
         """
         sample = tokens / max(steps, 1.0)
-        learned = self.prefill_tokens_per_step
-        learned += LEARNING_SHARE * (sample - learned)
-        learned = max(learned, MIN_PREFILL_TOKENS_PER_STEP)
-        self.prefill_tokens_per_step = min(learned, MAX_PREFILL_TOKENS_PER_STEP)
+        tokens_per_step = self.prefill_tokens_per_step
+        tokens_per_step += PREFILL_SMOOTHING_SHARE * (sample - tokens_per_step)
+        tokens_per_step = max(tokens_per_step, MIN_PREFILL_TOKENS_PER_STEP)
+        self.prefill_tokens_per_step = min(tokens_per_step, MAX_PREFILL_TOKENS_PER_STEP)
--- a/savorychute/routing/endpoint_book.py
+++ b/savorychute/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""What an instance knows of all endpoints that it uses."""
+"""The table of all endpoints that an instance uses."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 RECENT_USE_MS = 2_000
 
 
-class EndpointBook:
+class EndpointTable:
     """Load, speed and cache of every endpoint, from reports and own traffic.
 
-    :param settings: how to measure and poll.
-    :param rng: spreads the polls.
-    :param failure_domain: where this instance is.
+    :param settings: how endpoints are measured and polled.
+    :param rng: spreads the first polls over an interval.
+    :param failure_domain: the failure domain of this instance.
     :param region: the region of that failure domain.
     """
 
@@ -47,18 +47,18 @@
         self._groups: dict[tuple[str, ...], EndpointGroup] = {}
         self._attempts: dict[str, EndpointState] = {}
         self._poll_allowance = 1.0
-        self._polled_ms = 0
+        self._allowance_filled_ms = 0
 
     def set_endpoints(self, documents: Mapping[str, EndpointDocument]) -> None:
-        """Take over the configured endpoints; what is known of them is kept."""
+        """Set the configured endpoints; the state of unchanged ones is retained."""
         for name in [name for name in self._states if name not in documents]:
             self._remove(name)
-        entries = self._settings.prefix_entries // max(1, len(documents))
+        prefix_entries = self._settings.prefix_entries // max(1, len(documents))
         for name, document in documents.items():
-            known = self._states.get(name)
-            if known is not None and known.document == document:
+            old_state = self._states.get(name)
+            if old_state is not None and old_state.document == document:
                 continue
-            self._replace(name, document, max(MIN_PREFIX_ENTRIES, entries))
+            self._replace(name, document, max(MIN_PREFIX_ENTRIES, prefix_entries))
 
     def _remove(self, name: str) -> None:
         state = self._states.pop(name)
@@ -66,17 +66,19 @@
         for attempt_id in state.attempts:
             self._attempts.pop(attempt_id, None)
 
-    def _replace(self, name: str, document: EndpointDocument, entries: int) -> None:
-        old = self._states.get(name)
-        if old is not None:
-            old.group.members.remove(old)
+    def _replace(
+        self, name: str, document: EndpointDocument, prefix_entries: int
+    ) -> None:
+        replaced = self._states.get(name)
+        if replaced is not None:
+            replaced.group.members.remove(replaced)
         group = self._group_of(document)
         state = EndpointState(
-            self._settings, document, group, self._distance_ms(document), entries
+            self._settings, document, group, self._distance_ms(document), prefix_entries
         )
         state.next_poll_ms = self._rng.randrange(self._settings.poll_interval_ms)
-        if old is not None:
-            for attempt in old.attempts.values():
+        if replaced is not None:
+            for attempt in replaced.attempts.values():
                 state.adopt(attempt)
                 self._attempts[attempt.attempt_id] = state
         group.members.append(state)
@@ -99,17 +101,19 @@
         return 0.0
 
     def state_of(self, endpoint: str) -> EndpointState:
-        """Return what is known of *endpoint*.
+        """Return the state of *endpoint*.
 
         :raises KeyError: if it is not configured.
         """
         return self._states[endpoint]
 
     def is_loaded(self, endpoint: str, model: str) -> bool:
-        """Return whether *endpoint* may have the model loaded, as far as is known.
+        """Return whether *endpoint* has the model loaded, or may have it.
+
+        It may have it if the endpoint is unknown or has not reported its models.
 
-        :param endpoint: a name.
-        :param model: what is to be served.
+        :param endpoint: the name of the endpoint.
+        :param model: the model to be served.
         """
         state = self._states.get(endpoint)
         return state is None or state.loaded is None or model in state.loaded
@@ -117,13 +121,13 @@
     def __contains__(self, endpoint: object) -> bool:
         return endpoint in self._states
 
-    def report(self, report: LoadReported, now_ms: int) -> None:
-        """Take in an endpoint's load report."""
+    def apply_report(self, report: LoadReported, now_ms: int) -> None:
+        """Apply the load report of an endpoint."""
         state = self._states.get(report.endpoint)
         if state is not None:
-            state.take_report(report, now_ms)
+            state.apply_report(report, now_ms)
 
-    def started(
+    def record_start(
         self,
         attempt_id: str,
         endpoint: str,
@@ -134,9 +138,9 @@
     ) -> None:
         """Count an attempt from the moment at which it is sent.
 
-        :param prompt_tokens: the prompt's length.
-        :param expected_tokens: the answer's expected length.
-        :param prefix_hashes: the prompt's hash chain; the endpoint will hold
+        :param prompt_tokens: the length of the prompt.
+        :param expected_tokens: the expected length of the answer.
+        :param prefix_hashes: the hash chain of the prompt; the endpoint caches
             these prefixes as soon as it has computed them.
         """
         state = self._states.get(endpoint)
@@ -149,37 +153,37 @@
             started_ms=now_ms,
             uncached_tokens=uncached,
             prefill_tokens=uncached + state.backlog_tokens,
-            waited=state.load >= state.capacity,
+            had_to_wait=state.load >= state.capacity,
         )
-        state.start(attempt, now_ms)
+        state.record_start(attempt, now_ms)
         state.prefixes.add(prefix_hashes, now_ms)
         self._attempts[attempt_id] = state
 
-    def progress(self, attempt_id: str, token_count: int, now_ms: int) -> None:
-        """Take note of tokens of an attempt; the first call is the first token.
+    def record_progress(self, attempt_id: str, token_count: int, now_ms: int) -> None:
+        """Record tokens of an attempt; the first call stands for the first token.
 
-        :param token_count: how many tokens arrived together.
+        :param token_count: the number of tokens that arrived together.
         """
         state = self._attempts.get(attempt_id)
         if state is not None:
-            state.progress(state.attempts[attempt_id], token_count, now_ms)
+            state.record_progress(state.attempts[attempt_id], token_count, now_ms)
 
-    def finished(self, attempt_id: str, ok: bool, now_ms: int) -> None:
+    def record_finish(self, attempt_id: str, ok: bool, now_ms: int) -> None:
         """Stop counting an attempt.
 
-        :param ok: whether its answer came whole.
+        :param ok: whether its answer was complete.
         """
         state = self._attempts.pop(attempt_id, None)
         if state is not None:
-            state.finish(state.attempts[attempt_id], ok, now_ms)
+            state.record_finish(state.attempts[attempt_id], ok, now_ms)
 
     def due_polls(self, now_ms: int) -> list[Action]:
         """Return the polls that are due, within the allowance per second.
 
-        Endpoints in use are polled often, idle ones seldom: an instance may
-        know hundreds of endpoints, and control traffic is bounded.
+        Endpoints in use are polled more often than idle ones, because an
+        instance may know hundreds of endpoints, and control traffic is limited.
         """
-        self._fill_allowance(now_ms)
+        self._refill_allowance(now_ms)
         due = [state for state in self._states.values() if state.next_poll_ms <= now_ms]
         due.sort(key=lambda state: state.next_poll_ms)
         polls: list[Action] = []
@@ -191,23 +195,23 @@
             polls.append(make_poll(state))
         return polls
 
-    def _fill_allowance(self, now_ms: int) -> None:
-        elapsed_ms = max(0, now_ms - self._polled_ms)
-        self._polled_ms = now_ms
+    def _refill_allowance(self, now_ms: int) -> None:
+        elapsed_ms = max(0, now_ms - self._allowance_filled_ms)
+        self._allowance_filled_ms = now_ms
         allowance = self._poll_allowance
         allowance += elapsed_ms * self._settings.polls_per_s / MS_PER_S
         self._poll_allowance = min(allowance, self._settings.polls_per_s)
 
     def _poll_interval_ms(self, state: EndpointState, now_ms: int) -> int:
-        if state.outstanding or now_ms - state.used_ms <= RECENT_USE_MS:
+        if state.outstanding or now_ms - state.last_used_ms <= RECENT_USE_MS:
             return self._settings.poll_interval_ms
         return self._settings.idle_poll_interval_ms
 
 
 def make_poll(state: EndpointState) -> PollEndpoint:
-    """Return the action that asks an endpoint for its load and cache events.
+    """Return the action that polls an endpoint for its load and cache events.
 
-    :param state: the endpoint to ask.
+    :param state: the endpoint to poll.
     """
     document = state.document
     return PollEndpoint(
--- a/savorychute/routing/least_outstanding_router.py
+++ b/savorychute/routing/least_outstanding_router.py
@@ -1,4 +1,4 @@
-"""The endpoint with the fewest own requests in progress: a baseline."""
+"""A baseline router: the endpoint with the fewest own requests in progress."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
     import random
     from collections.abc import Sequence
 
-    from savorychute.routing.endpoint_book import EndpointBook
+    from savorychute.routing.endpoint_table import EndpointTable
     from savorychute.routing.routing_request import RoutingRequest
     from savorychute.routing.routing_settings import RoutingSettings
 
 
 @ROUTERS.register('least-outstanding')
 class LeastOutstandingRouter:
-    """Takes the candidate that runs the fewest requests of this instance.
+    """Chooses the candidate that runs the fewest requests of this instance.
 
-    :param settings: unused but for the prediction that admission asks for.
-    :param book: what is known of the endpoints.
+    :param settings: the settings of routing, which this router does not use.
+    :param table: the state of the endpoints.
     :param rng: breaks ties.
     """
 
     def __init__(
-        self, settings: RoutingSettings, book: EndpointBook, rng: random.Random
+        self, settings: RoutingSettings, table: EndpointTable, rng: random.Random
     ) -> None:
         self._settings = settings
-        self._book = book
+        self._table = table
         self._rng = rng
 
     def choose(
@@ -42,7 +42,7 @@
         endpoint = min(
             candidates,
             key=lambda name: (
-                self._book.state_of(name).outstanding,
+                self._table.state_of(name).outstanding,
                 self._rng.random(),
             ),
         )
@@ -59,4 +59,4 @@
         now_ms: int,
     ) -> float | None:
         """Return the best predicted time to first token, in ms."""
-        return predict_best(self._book, candidates, prompt_tokens, now_ms)
+        return predict_best(self._table, candidates, prompt_tokens, now_ms)
--- a/savorychute/routing/length_settings.py
+++ b/savorychute/routing/length_settings.py
@@ -6,7 +6,7 @@
 
 
 class LengthSettings(NamedTuple):
-    """The length to start from, and how many classes are remembered."""
+    """The initial output length, and the maximum number of classes."""
 
     output_tokens: int = 128
     classes: int = 8_192
--- a/savorychute/routing/output_lengths.py
+++ b/savorychute/routing/output_lengths.py
@@ -1,4 +1,4 @@
-"""Learned lengths of answers."""
+"""Learned output lengths of answers."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 if TYPE_CHECKING:
     from savorychute.routing.length_settings import LengthSettings
 
-MIN_WEIGHT = 8
+MIN_TOTAL_WEIGHT = 8
 
 
 class OutputLengths:
     """Quantiles of output tokens per organisation and class.
 
-    A histogram is made at the first answer of a class; the least recently
-    used is dropped beyond ``classes``.  Until a class has answered a
-    few times, the lengths of all classes together stand in.
+    A histogram is created at the first answer of a class; beyond ``classes``
+    the one updated least recently is dropped.  Until a class has had a few
+    answers, the lengths of all classes together are used.
 
-    :param settings: the bound on classes and the length to start from.
+    :param settings: the maximum number of classes and the initial length.
     """
 
     def __init__(self, settings: LengthSettings) -> None:
         self._settings = settings
         self._classes: OrderedDict[tuple[str, str], TokenQuantiles] = OrderedDict()
-        self._all = TokenQuantiles()
+        self._all_classes = TokenQuantiles()
 
     def __len__(self) -> int:
         return len(self._classes)
 
     def observe(self, organisation: str, class_name: str, tokens: int) -> None:
-        """Learn from a whole answer.
+        """Record the length of a complete answer.
 
-        :param organisation: whose answer it was.
+        :param organisation: the organisation that received the answer.
         :param class_name: the class of the request.
-        :param tokens: how long it was.
+        :param tokens: the length of the answer.
         """
         key = (organisation, class_name)
         quantiles = self._classes.get(key)
@@ -46,20 +46,21 @@
                 self._classes.popitem(last=False)
         self._classes.move_to_end(key)
         quantiles.observe(tokens)
-        self._all.observe(tokens)
+        self._all_classes.observe(tokens)
 
     def expect(
         self, organisation: str, class_name: str, max_tokens: int, quantile: float = 0.5
     ) -> int:
         """Return the expected output of a request, in tokens.
 
-        :param max_tokens: the request's own bound, 0 without one.
-        :param quantile: which part of the answers is to be no longer.
+        :param max_tokens: the limit that the request sets, or 0 without one.
+        :param quantile: the share of answers that are to be no longer than the
+            result.
         """
-        quantiles = self._classes.get((organisation, class_name), self._all)
-        if quantiles.total < MIN_WEIGHT:
-            quantiles = self._all
-        if quantiles.total < MIN_WEIGHT:
+        quantiles = self._classes.get((organisation, class_name), self._all_classes)
+        if quantiles.total_weight < MIN_TOTAL_WEIGHT:
+            quantiles = self._all_classes
+        if quantiles.total_weight < MIN_TOTAL_WEIGHT:
             expected = self._settings.output_tokens
         else:
             expected = round(quantiles.quantile(quantile))
--- a/savorychute/routing/predicted_router.py
+++ b/savorychute/routing/predicted_router.py
@@ -1,4 +1,4 @@
-"""The endpoint with the least predicted time to first token."""
+"""The router that minimises the predicted time to first token."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
     import random
     from collections.abc import Sequence
 
-    from savorychute.routing.endpoint_book import EndpointBook
     from savorychute.routing.endpoint_state import EndpointState
+    from savorychute.routing.endpoint_table import EndpointTable
     from savorychute.routing.routing_request import RoutingRequest
     from savorychute.routing.routing_settings import RoutingSettings
 
-#: Below this multiple of the peers' median a measured step time is noise.
+#: A measured step time below this multiple of the group's median is treated as
+#: noise.
 SLOW_RATIO = 1.5
 
 
@@ -26,28 +27,28 @@
 class PredictedRouter:
     """Scores candidates by predicted time to first token and slow decoding.
 
-    :param settings: the weights.
-    :param book: what is known of the endpoints.
-    :param rng: samples candidates and draws what is uncertain of reports, so
+    :param settings: the weights of the score.
+    :param table: the state of the endpoints.
+    :param rng: samples candidates and draws the uncertain part of reports, so
         that instances with the same reports do not all choose the same endpoint.
     """
 
     def __init__(
-        self, settings: RoutingSettings, book: EndpointBook, rng: random.Random
+        self, settings: RoutingSettings, table: EndpointTable, rng: random.Random
     ) -> None:
         self._settings = settings
-        self._book = book
+        self._table = table
         self._rng = rng
 
     def choose(
         self, request: RoutingRequest, candidates: Sequence[str], now_ms: int
     ) -> RoutingChoice | None:
-        """Return the candidate with the least score."""
+        """Return the candidate with the lowest score."""
         best: EndpointState | None = None
         best_score_ms = 0.0
         best_uncached = 0.0
         for name in self._sample(candidates):
-            state = self._book.state_of(name)
+            state = self._table.state_of(name)
             uncached: float = request.prompt_tokens
             if request.prefix_hashes:
                 uncached = state.uncached_tokens(
@@ -73,11 +74,12 @@
     ) -> float:
         """Return a predicted time to first token that is safe to minimise.
 
-        The best prediction by itself makes all instances choose the endpoint
-        that one report shows to be idle.  So the others' load is drawn from
-        what is believed of it, own requests, which no one else knows of, weigh
-        more, and a taken place counts a little though no one waits yet,
-        because it will be missed when more requests come.
+        Minimising the plain prediction makes all instances choose the endpoint
+        that one report shows to be idle.  The load of the other instances is
+        therefore drawn from its estimated distribution, own requests, of which
+        the others do not know, have a higher weight, and an occupied slot adds
+        a small cost even if no request waits yet, because it will be lacking
+        when more requests arrive.
         """
         settings = self._settings
         median_ms, _, own_weight = state.group.summary(now_ms)
@@ -86,25 +88,27 @@
         if not is_slow:
             step_ms = median_ms
         holding_ms = state.holding_ms(step_ms)
-        others, variance = state.estimate_others(holding_ms, now_ms)
+        peer_requests, variance = state.estimate_peer_requests(holding_ms, now_ms)
         if not is_slow:
-            doubt = settings.doubt_weight * sqrt(variance)
-            others += doubt * self._rng.gauss(0.0, 1.0)
-        own = len(state.attempts)
-        places = settings.congestion_weight * (own_weight * own + others)
-        excess = own + others + 1 - state.capacity
-        if excess > 0:
-            places += excess
-        score_ms = state.round_trip_ms + places * holding_ms / state.capacity
+            deviation = settings.doubt_weight * sqrt(variance)
+            peer_requests += deviation * self._rng.gauss(0.0, 1.0)
+        own_requests = len(state.attempts)
+        weighted_requests = settings.congestion_weight * (
+            own_weight * own_requests + peer_requests
+        )
+        excess_requests = own_requests + peer_requests + 1 - state.capacity
+        if excess_requests > 0:
+            weighted_requests += excess_requests
+        score_ms = state.round_trip_ms + weighted_requests * holding_ms / state.capacity
         if state.is_service:
             return score_ms + state.service_ms
         tokens = uncached_tokens + state.backlog_tokens
         score_ms += step_ms * (1 + tokens / state.group.prefill_tokens_per_step)
         if is_slow:
-            # A straggler with no queue would win by first token alone, and then
-            # miss the target between tokens for the whole answer.
-            excess_ms = step_ms - median_ms
-            score_ms += settings.slow_decode_weight * expected_tokens * excess_ms
+            # By its first token alone a straggler without a queue would be
+            # chosen, and then miss the token gap target for the whole answer.
+            excess_step_ms = step_ms - median_ms
+            score_ms += settings.slow_decode_weight * expected_tokens * excess_step_ms
         return score_ms
 
     def _sample(self, candidates: Sequence[str]) -> Sequence[str]:
@@ -121,4 +125,4 @@
         now_ms: int,
     ) -> float | None:
         """Return the best predicted time to first token, in ms."""
-        return predict_best(self._book, candidates, prompt_tokens, now_ms)
+        return predict_best(self._table, candidates, prompt_tokens, now_ms)
--- a/savorychute/routing/prefix_view.py
+++ b/savorychute/routing/prefix_view.py
@@ -1,4 +1,4 @@
-"""What an endpoint's prefix cache is believed to hold."""
+"""The presumed content of the prefix cache of an endpoint."""
 
 from __future__ import annotations
 
@@ -9,60 +9,60 @@
 
 
 class PrefixView:
-    """Prefix hashes in two generations, bounded in number and in age.
+    """Prefix hashes in two generations, limited in number and in age.
 
-    A set of hashes per generation costs no time stamp per entry: the younger
-    generation becomes the older one after half a lifetime, or when it is full,
-    and the older one is dropped.  An entry lives between half a lifetime and a
-    whole one after its last use.
+    A set of hashes per generation needs no time stamp per entry.  After half a
+    lifetime, or when it is full, the younger generation becomes the older one,
+    and the older one is dropped.  An entry is retained for between half a
+    lifetime and a whole one after its last use.
 
-    :param capacity: how many hashes to hold at most.
-    :param lifetime_ms: after how long an unused hash is forgotten.
+    :param capacity: the maximum number of hashes.
+    :param lifetime_ms: the time after which an unused hash is discarded.
     """
 
-    __slots__ = ('_capacity', '_half_life_ms', '_older', '_turned_ms', '_younger')
+    __slots__ = ('_capacity', '_half_life_ms', '_older', '_rotated_ms', '_younger')
 
     def __init__(self, capacity: int, lifetime_ms: int) -> None:
         self._capacity = max(2, capacity)
         self._half_life_ms = lifetime_ms // 2
         self._younger: set[int] = set()
         self._older: set[int] = set()
-        self._turned_ms = 0
+        self._rotated_ms = 0
 
     def __len__(self) -> int:
         return len(self._younger) + len(self._older)
 
     def add(self, hashes: Iterable[int], now_ms: int) -> None:
-        """Remember that the endpoint holds *hashes*."""
-        self._turn(now_ms)
+        """Record that the endpoint has cached *hashes*."""
+        self._rotate_if_due(now_ms)
         for prefix_hash in hashes:
             if len(self._younger) * 2 >= self._capacity:
                 self._start_generation(now_ms)
             self._younger.add(prefix_hash)
 
     def discard(self, hashes: Iterable[int]) -> None:
-        """Forget *hashes*, which the endpoint has evicted."""
+        """Remove *hashes*, which the endpoint has evicted."""
         for prefix_hash in hashes:
             self._younger.discard(prefix_hash)
             self._older.discard(prefix_hash)
 
     def clear(self) -> None:
-        """Forget everything.
+        """Remove all hashes.
 
-        After a gap in the endpoint's events an eviction may have been missed;
-        believing in evicted prefixes would draw requests to an endpoint that
-        has to compute all of them.
+        After a gap in the cache events of the endpoint an eviction may have been
+        missed.  Evicted prefixes that are presumed to be cached would attract
+        requests to an endpoint that has to compute all of them.
         """
         self._younger.clear()
         self._older.clear()
 
-    def overlap(self, hashes: tuple[int, ...], now_ms: int) -> int:
-        """Return how many blocks at the start of *hashes* are held.
+    def count_cached_blocks(self, hashes: tuple[int, ...], now_ms: int) -> int:
+        """Return how many blocks at the start of *hashes* are cached.
 
-        Bisects: a hash covers all blocks before it and engines evict a chain
-        from its end, so that what is held is a prefix of the chain.
+        Uses bisection: a hash covers all blocks before it and engines evict a
+        chain from its end, so that the cached blocks are a prefix of the chain.
         """
-        self._turn(now_ms)
+        self._rotate_if_due(now_ms)
         younger = self._younger
         older = self._older
         if not hashes or (hashes[0] not in younger and hashes[0] not in older):
@@ -78,8 +78,8 @@
                 high = middle - 1
         return low
 
-    def _turn(self, now_ms: int) -> None:
-        elapsed_ms = now_ms - self._turned_ms
+    def _rotate_if_due(self, now_ms: int) -> None:
+        elapsed_ms = now_ms - self._rotated_ms
         if elapsed_ms < self._half_life_ms:
             return
         if elapsed_ms >= 2 * self._half_life_ms:
@@ -89,4 +89,4 @@
     def _start_generation(self, now_ms: int) -> None:
         self._older = self._younger
         self._younger = set()
-        self._turned_ms = now_ms
+        self._rotated_ms = now_ms
--- a/savorychute/routing/round_robin_router.py
+++ b/savorychute/routing/round_robin_router.py
@@ -1,4 +1,4 @@
-"""Each endpoint in turn: a baseline."""
+"""A baseline router: each endpoint in turn."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
     import random
     from collections.abc import Sequence
 
-    from savorychute.routing.endpoint_book import EndpointBook
+    from savorychute.routing.endpoint_table import EndpointTable
     from savorychute.routing.routing_request import RoutingRequest
     from savorychute.routing.routing_settings import RoutingSettings
 
 
 @ROUTERS.register('round-robin')
 class RoundRobinRouter:
-    """Takes the candidates of a pool in turn, whatever their load.
+    """Chooses the candidates of a pool in turn, regardless of their load.
 
-    :param settings: unused but for the prediction that admission asks for.
-    :param book: what is known of the endpoints.
-    :param rng: where the first turn starts, so that instances do not agree.
+    :param settings: the settings of routing, which this router does not use.
+    :param table: the state of the endpoints.
+    :param rng: chooses the first position, so that instances differ.
     """
 
     def __init__(
-        self, settings: RoutingSettings, book: EndpointBook, rng: random.Random
+        self, settings: RoutingSettings, table: EndpointTable, rng: random.Random
     ) -> None:
         self._settings = settings
-        self._book = book
+        self._table = table
         self._rng = rng
-        self._turns: dict[str, int] = {}
+        self._positions: dict[str, int] = {}
 
     def choose(
         self, request: RoutingRequest, candidates: Sequence[str], now_ms: int
@@ -40,11 +40,11 @@
         """Return the next candidate in turn."""
         if not candidates:
             return None
-        turn = self._turns.get(request.pool)
-        if turn is None:
-            turn = self._rng.randrange(len(candidates))
-        self._turns[request.pool] = turn + 1
-        endpoint = sorted(candidates)[turn % len(candidates)]
+        position = self._positions.get(request.pool)
+        if position is None:
+            position = self._rng.randrange(len(candidates))
+        self._positions[request.pool] = position + 1
+        endpoint = sorted(candidates)[position % len(candidates)]
         predicted_ms = self.predict(
             request.pool, (endpoint,), request.prompt_tokens, now_ms
         )
@@ -58,4 +58,4 @@
         now_ms: int,
     ) -> float | None:
         """Return the best predicted time to first token, in ms."""
-        return predict_best(self._book, candidates, prompt_tokens, now_ms)
+        return predict_best(self._table, candidates, prompt_tokens, now_ms)
--- a/savorychute/routing/router.py
+++ b/savorychute/routing/router.py
@@ -1,4 +1,4 @@
-"""The registry of routers."""
+"""The registry of routers and their common interface."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     import random
     from collections.abc import Sequence
 
-    from savorychute.routing.endpoint_book import EndpointBook
+    from savorychute.routing.endpoint_table import EndpointTable
     from savorychute.routing.routing_choice import RoutingChoice
     from savorychute.routing.routing_request import RoutingRequest
     from savorychute.routing.routing_settings import RoutingSettings
 
 
 class Router(Protocol):
-    """Chooses an endpoint for one request at a time."""
+    """Chooses the endpoint of a request."""
 
     def __init__(
-        self, settings: RoutingSettings, book: EndpointBook, rng: random.Random
+        self, settings: RoutingSettings, table: EndpointTable, rng: random.Random
     ) -> None: ...
 
     def choose(
@@ -28,8 +28,8 @@
     ) -> RoutingChoice | None:
         """Return the choice among *candidates*, or ``None`` if there are none.
 
-        :param request: the request about to be started.
-        :param candidates: endpoints that may run it.
+        :param request: the request to be started.
+        :param candidates: the endpoints that can run it.
         """
         ...
 
@@ -38,9 +38,10 @@
     ) -> float | None:
         """Return the best predicted time to first token, in ms.
 
-        :param pool: the model, or ``service:`` and the service's name.
-        :param candidates: endpoints that may run the request.
-        :param prompt_tokens: the prompt's length; nothing of it is cached.
+        :param pool: the model, or ``service:`` followed by the name of the
+            service.
+        :param candidates: the endpoints that can run the request.
+        :param prompt_tokens: the length of the prompt; no part of it is cached.
         """
         ...
 
--- a/savorychute/routing/routing_request.py
+++ b/savorychute/routing/routing_request.py
@@ -1,4 +1,4 @@
-"""What a router needs to know of a request."""
+"""The attributes of a request that routers use."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class RoutingRequest(NamedTuple):
-    """A request about to be started.
+    """A request to be started.
 
-    ``prefix_hashes`` is a chain over the prompt's blocks, each hash covering
-    all blocks before it.
+    ``prefix_hashes`` is a hash chain over the blocks of the prompt; each hash
+    covers all blocks before it.
     """
 
     request_id: str
--- a/savorychute/routing/routing_settings.py
+++ b/savorychute/routing/routing_settings.py
@@ -8,14 +8,15 @@
 class RoutingSettings(NamedTuple):
     """How endpoints are measured, polled and chosen.
 
-    ``prefix_block_tokens`` is how many tokens of a prompt one prefix hash
-    covers beyond the hash before it.  ``step_ms`` and ``prefill_tokens_per_step`` hold only until they are
-    measured.  ``sampled`` is how many candidates the predicted router scores;
-    0 scores all of them.  ``own_weight`` is at most what a request of this
-    instance counts against one that a report tells of, ``congestion_weight`` what a taken
-    place counts against a request ahead in the queue, ``doubt_weight`` how much of
-    a report's uncertainty is drawn at random; docs/design/routing.rst has the
-    measurements that chose them.
+    ``prefix_block_tokens`` is the number of prompt tokens that one prefix hash
+    covers beyond the hash before it.  ``step_ms`` and
+    ``prefill_tokens_per_step`` are used only until they are measured.
+    ``sampled`` is the number of candidates that the predicted router scores;
+    0 scores all of them.  ``own_weight`` is the maximum weight of a request of
+    this instance relative to a reported one, ``congestion_weight`` the weight
+    of an occupied slot relative to a request ahead in the queue, and
+    ``doubt_weight`` the share of a report's uncertainty that is drawn at
+    random; docs/design/routing.rst has the measurements behind them.
     """
 
     domain_distance_ms: float = 0.5
--- a/tests/test_routing/conftest.py
+++ b/tests/test_routing/conftest.py
@@ -7,7 +7,7 @@
 import pytest
 
 from savorychute.inputs import LoadReported
-from savorychute.routing import EndpointBook, RoutingSettings
+from savorychute.routing import EndpointTable, RoutingSettings
 
 
 @pytest.fixture
@@ -31,13 +31,13 @@
 
 
 @pytest.fixture
-def make_book(make_document):
+def make_table(make_document):
     def make(names=('e1', 'e2'), **settings):
-        book = EndpointBook(
+        table = EndpointTable(
             RoutingSettings(**settings), random.Random(7), 'kochi-hall', 'kerala'
         )
-        book.set_endpoints({name: make_document(name) for name in names})
-        return book
+        table.set_endpoints({name: make_document(name) for name in names})
+        return table
 
     return make
 
--- a/tests/test_routing/test_output_lengths.py
+++ b/tests/test_routing/test_output_lengths.py
@@ -13,16 +13,16 @@
 def test_quantile_is_within_a_bucket(share):
     rng = random.Random(5)
     lengths = OutputLengths(LengthSettings())
-    seen = [int(rng.lognormvariate(5, 0.8)) for _ in range(2_000)]
-    for tokens in seen:
+    observed = [int(rng.lognormvariate(5, 0.8)) for _ in range(2_000)]
+    for tokens in observed:
         lengths.observe('idukki-pumps', 'diagnosis', tokens)
 
-    truth = sorted(seen)[int(share * len(seen))]
-    learned = lengths.expect('idukki-pumps', 'diagnosis', 0, share)
-    assert truth / 1.7 < learned < truth * 1.7
+    expected = sorted(observed)[int(share * len(observed))]
+    estimated = lengths.expect('idukki-pumps', 'diagnosis', 0, share)
+    assert expected / 1.7 < estimated < expected * 1.7
 
 
-def test_unknown_class_takes_what_all_classes_need():
+def test_unknown_class_uses_the_lengths_of_all_classes():
     lengths = OutputLengths(LengthSettings(output_tokens=128))
     assert lengths.expect('a', 'new', 0) == 128
     for _ in range(20):
@@ -30,11 +30,11 @@
     assert 800 < lengths.expect('a', 'new', 0) < 1_250
 
 
-def test_request_bound_caps_the_expectation():
+def test_max_tokens_limits_the_expected_length():
     assert OutputLengths(LengthSettings()).expect('a', 'b', 16) == 16
 
 
-def test_lengths_that_change_are_followed():
+def test_estimate_follows_changing_lengths():
     lengths = OutputLengths(LengthSettings())
     for _ in range(500):
         lengths.observe('a', 'b', 1_000)
