--- a/savorychute/instance/placement_desk.py
+++ b/savorychute/instance/placement_desk.py
@@ -79,7 +79,7 @@
         if order is None or self._planner is None:
             return
         if finished.outcome in WITHOUT_EFFECT:
-            self._planner.order_refused(order.endpoint, order.target, now_ms)
+            self._planner.record_refused_order(order.endpoint, order.target, now_ms)
 
     def _plan(self, now_ms: int) -> list[Action]:
         if self._planner is None:
@@ -95,7 +95,7 @@
         ]
         demand = self._gatherer.gather(reports)
         orders = self._planner.plan(demand, engines, now_ms)
-        actions = self._poll(engines, self._planner.questions, now_ms)
+        actions = self._poll(engines, self._planner.stale_engines, now_ms)
         for order in orders:
             actions += self._send(order, now_ms)
         return actions
@@ -117,7 +117,7 @@
         actions = self._lease_desk.request_order(request, now_ms)
         if not actions and self._planner is not None:
             del self._open[order_id]
-            self._planner.order_refused(order.endpoint, order.target, now_ms)
+            self._planner.record_refused_order(order.endpoint, order.target, now_ms)
         return actions
 
     def _poll(
--- a/savorychute/placement/__init__.py
+++ b/savorychute/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which models are loaded on which engines."""
+"""Placement: which models are loaded on which engines."""
 
 from __future__ import annotations
 
--- a/savorychute/placement/demand_average.py
+++ b/savorychute/placement/demand_average.py
@@ -12,95 +12,99 @@
 
 
 class SmoothedDemand(NamedTuple):
-    """How many requests a model is sized for, and whether it must be there.
+    """The requests that a model is sized for, and whether it must be loaded.
 
-    ``is_wanted`` is set while there is any demand, be it one request of this
-    moment, or a contract names the model.
+    ``is_required`` is set while there is any demand, even a single current
+    request, or while a contract names the model.
     """
 
     requests: float
     has_demand: bool
-    is_wanted: bool
+    is_required: bool
 
 
-NO_DEMAND = SmoothedDemand(0.0, has_demand=False, is_wanted=False)
+NO_DEMAND = SmoothedDemand(0.0, has_demand=False, is_required=False)
 
 
 class _Averages(NamedTuple):
     mean: float
-    held: float
+    peak: float
 
 
 class DemandAverage:
-    """Two averages of each model's demand.
+    """Two averages of the demand for each model.
 
-    The *mean* follows the demand with one half-life both ways and says whether
-    there is any.  The *held* demand rises with the mean but falls with a much
-    longer half-life, and says how many copies are due: of two models between
-    which demand swings to and fro, each is sized for its peaks, and neither
-    gives up a copy that it will want back a minute later.
+    The *mean* follows the demand with the same half-life in both directions and
+    decides whether there is any.  The *peak* rises with the mean but falls with
+    a much longer half-life, and decides how many replicas are needed.  If the
+    demand alternates between two models, each is sized for its peaks, and
+    neither loses a replica that it needs again a minute later.
 
-    :param settings: half-lives and the least demand.
+    :param settings: half-lives and the minimum demand.
     """
 
     def __init__(self, settings: PlacementSettings) -> None:
         self._settings = settings
         self._averages: dict[str, _Averages] = {}
-        self._protected: frozenset[str] = frozenset()
-        self._noted_ms: int | None = None
+        self._required: frozenset[str] = frozenset()
+        self._updated_ms: int | None = None
 
-    def note(self, demand: Iterable[ModelDemand], now_ms: int) -> None:
-        """Take in the demand of this moment; a model left out has none.
+    def update(self, demand: Iterable[ModelDemand], now_ms: int) -> None:
+        """Update the averages with the current demand.
 
-        :param demand: by model.
+        :param demand: the demand of each model; a missing model has none.
         """
-        present = {each.model: each for each in demand}
-        self._protected = frozenset(
+        current = {each.model: each for each in demand}
+        self._required = frozenset(
             each.model
-            for each in present.values()
+            for each in current.values()
             if each.is_named or each.requests > 0
         )
         elapsed_ms = 0
-        if self._noted_ms is not None:
-            elapsed_ms = max(0, now_ms - self._noted_ms)
-        self._noted_ms = now_ms
-        for model in self._averages.keys() | present.keys():
-            requests = present[model].requests if model in present else 0.0
-            self._follow(model, requests, elapsed_ms)
-        self._forget_idle(present.keys())
-
-    def of(self, model: str) -> SmoothedDemand:
-        """Return a model's smoothed demand."""
+        if self._updated_ms is not None:
+            elapsed_ms = max(0, now_ms - self._updated_ms)
+        self._updated_ms = now_ms
+        for model in self._averages.keys() | current.keys():
+            requests = current[model].requests if model in current else 0.0
+            self._update_model(model, requests, elapsed_ms)
+        self._remove_idle(current.keys())
+
+    def demand_of(self, model: str) -> SmoothedDemand:
+        """Return the smoothed demand of a model."""
         averages = self._averages.get(model)
         if averages is None:
             return NO_DEMAND
         has_demand = averages.mean >= self._settings.idle_requests
-        is_wanted = has_demand or model in self._protected
-        return SmoothedDemand(averages.held, has_demand, is_wanted)
+        is_required = has_demand or model in self._required
+        return SmoothedDemand(averages.peak, has_demand, is_required)
 
-    def wanted(self) -> list[str]:
-        """Return the models that must be there."""
-        return sorted(model for model in self._averages if self.of(model).is_wanted)
+    def required_models(self) -> list[str]:
+        """Return the models that must be loaded."""
+        return sorted(
+            model for model in self._averages if self.demand_of(model).is_required
+        )
 
-    def _follow(self, model: str, requests: float, elapsed_ms: int) -> None:
-        """Let an old average count half after each half-life."""
-        before = self._averages.get(model)
-        if before is None:
+    def _update_model(self, model: str, requests: float, elapsed_ms: int) -> None:
+        """Halve the weight of the old averages after each half-life."""
+        previous = self._averages.get(model)
+        if previous is None:
             self._averages[model] = _Averages(requests, requests)
             return
         settings = self._settings
-        keep = 0.5 ** (elapsed_ms / settings.half_life_ms)
-        mean = keep * before.mean + (1 - keep) * requests
-        keep_held = 0.5 ** (elapsed_ms / settings.fall_half_life_ms)
-        held = max(mean, keep_held * before.held + (1 - keep_held) * mean)
-        self._averages[model] = _Averages(mean, held)
+        retained_share = 0.5 ** (elapsed_ms / settings.half_life_ms)
+        mean = retained_share * previous.mean + (1 - retained_share) * requests
+        retained_peak_share = 0.5 ** (elapsed_ms / settings.fall_half_life_ms)
+        peak = max(
+            mean, retained_peak_share * previous.peak + (1 - retained_peak_share) * mean
+        )
+        self._averages[model] = _Averages(mean, peak)
 
-    def _forget_idle(self, present: Iterable[str]) -> None:
+    def _remove_idle(self, current: Iterable[str]) -> None:
         idle_requests = self._settings.idle_requests
         idle = [
             model
             for model, averages in self._averages.items()
-            if averages.held < idle_requests and model not in self._protected
+            if averages.peak < idle_requests and model not in self._required
         ]
-        for model in set(idle).difference(present):
+        for model in set(idle).difference(current):
             del self._averages[model]
--- a/savorychute/placement/engine_state.py
+++ b/savorychute/placement/engine_state.py
@@ -1,4 +1,4 @@
-"""What a planner knows of one engine."""
+"""The state of one engine, as a planner knows it."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class EngineState(NamedTuple):
-    """An engine's entry and its newest report.
+    """The entry of an engine and its latest report.
 
-    ``allowed`` is what it may serve according to its entry, ``loaded`` what it
-    reported at ``as_of_ms``; an engine that was never heard of has ``as_of_ms``
-    -1.  ``is_usable`` is false while it drains or leaves.
+    ``allowed`` are the models that it may serve according to its entry, and
+    ``loaded`` those that it reported at ``as_of_ms``, which is -1 for an engine
+    that has never reported.  ``is_usable`` is false while it drains or leaves.
     """
 
     endpoint: str
--- a/savorychute/placement/load_allowance.py
+++ b/savorychute/placement/load_allowance.py
@@ -1,4 +1,4 @@
-"""How many loads the weight store permits."""
+"""The rate of loads that the weight store permits."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 class LoadAllowance:
     """A token bucket of loads.
 
-    It begins empty: the holder before may just have spent all that the store
-    permits.  So in any time *t* at most ``burst + rate * t`` loads are sent,
-    also over a change of the holder.
+    It starts empty, because the previous lease holder may just have used all
+    that the store permits.  In any time *t* at most ``burst + rate * t`` loads
+    are therefore sent, even across a change of the holder.
 
     :param loads_per_min: the rate.
-    :param burst: the most that is saved up.
+    :param burst: the capacity of the bucket.
     """
 
     def __init__(self, loads_per_min: float, burst: int) -> None:
@@ -23,8 +23,8 @@
         self._burst = burst
         self._bucket = TokenBucket(0.0, 0)
 
-    def begin(self, now_ms: int) -> None:
-        """Start to count."""
+    def start(self, now_ms: int) -> None:
+        """Start to fill the empty bucket."""
         self._bucket = TokenBucket(0.0, now_ms)
         self._bucket.set_rate(self._rate_per_s, self._burst, now_ms)
 
--- a/savorychute/placement/model_demand.py
+++ b/savorychute/placement/model_demand.py
@@ -6,9 +6,9 @@
 
 
 class ModelDemand(NamedTuple):
-    """How many requests for a model wait or run at this moment.
+    """The number of requests for a model that wait or run now.
 
-    ``is_named`` says that a contract in force names the model.
+    ``is_named`` is true if a contract in force names the model.
     """
 
     model: str
--- a/savorychute/placement/placement_order.py
+++ b/savorychute/placement/placement_order.py
@@ -1,4 +1,4 @@
-"""A change of one engine that a planner wants."""
+"""A change of one engine that a planner orders."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class PlacementOrder(NamedTuple):
     """An order to be sent under the region's lease.
 
-    ``verb`` is ``load`` or ``unload``, ``target`` a model, adapter or version;
-    ``why`` is for the audit trail.
+    ``verb`` is ``load`` or ``unload``, ``target`` a model, adapter or version,
+    and ``why`` the reason for the audit trail.
     """
 
     endpoint: str
--- a/savorychute/placement/settings.py
+++ b/savorychute/placement/settings.py
@@ -6,36 +6,40 @@
 
 
 class PlacementSettings(NamedTuple):
-    """How much may change, how fast, and how sure the reason must be.
+    """How much may change, how fast, and on which evidence.
 
-    :param plan_interval_ms: how often demand is weighed.
-    :param warm_up_ms: how long a new holder only watches.
-    :param half_life_ms: after how long an old demand counts half.
-    :param fall_half_life_ms: the same for the number of copies when demand
+    :param plan_interval_ms: the time between plans.
+    :param warm_up_ms: how long a new lease holder only observes.
+    :param half_life_ms: the time after which old demand has half its weight.
+    :param fall_half_life_ms: the same for the number of replicas when demand
         falls.
-    :param idle_requests: a smoothed demand below this is none.
-    :param target_utilisation: the share of a model's places that its demand
-        may fill before another copy is wanted.
-    :param margin_share: how much better a place must be used elsewhere before
-        a copy moves.
-    :param min_dwell_ms: how long a change of one model at one engine stays.
-    :param models_per_engine: how many models an engine holds; one that was
-        seen with more may hold as many again.
-    :param loads_per_min: the rate that the weight store permits a region.
-    :param concurrent_loads: loads at a time, and the most that are saved up.
-    :param load_timeout_ms: when a load that never shows counts as failed.
-    :param unload_timeout_ms: when an unload that never shows counts as failed.
-    :param retry_ms: how long an order that failed is not repeated; doubled
-        with each further failure at the same engine.
-    :param poll_interval_ms: the greatest age of a report before the holder
-        asks for another one.
-    :param polls_per_plan: how many reports it asks for at a time.
-    :param fresh_ms: a report older than this proves nothing that an order
-        depends on.
-    :param forget_ms: an engine silent for this long is taken for dead, and
-        its copies for lost.
-    :param min_heard_share: with fewer engines heard of than this share, the
-        holder is taken to be cut off, and nothing is ordered.
+    :param idle_requests: a smoothed demand below this counts as none.
+    :param target_utilisation: the share of a model's slots that its demand may
+        fill before another replica is needed.
+    :param margin_share: by which share the utilisation of the other model must
+        be higher before it takes the capacity of a replica.
+    :param min_dwell_ms: the minimum time between two changes of one model at
+        one engine.
+    :param models_per_engine: how many models an engine holds; an engine that
+        reported more may hold as many again.
+    :param loads_per_min: the rate of loads that the weight store permits a
+        region.
+    :param concurrent_loads: the maximum number of loads at a time, and the
+        burst of the rate.
+    :param load_timeout_ms: the time after which a load that no report shows
+        counts as failed.
+    :param unload_timeout_ms: the time after which an unload that no report
+        shows counts as failed.
+    :param retry_ms: the delay before a failed order is sent again; doubled with
+        each further failure at the same engine.
+    :param poll_interval_ms: the age of a report from which the lease holder
+        requests another one.
+    :param polls_per_plan: how many reports it requests at a time.
+    :param fresh_ms: the maximum age of a report on which an order may depend.
+    :param forget_ms: the age of the last report from which an engine is
+        considered dead, and its replicas lost.
+    :param min_heard_share: the minimum share of engines with a report; below
+        it the lease holder is considered cut off and sends no orders.
     """
 
     plan_interval_ms: int = 5_000
--- a/tests/test_placement/simulated_region.py
+++ b/tests/test_placement/simulated_region.py
@@ -1,4 +1,4 @@
-"""Engines that obey a planner, and the promises that it must keep."""
+"""Simulated engines that execute a planner's orders, and its guarantees."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     PlacementSettings,
 )
 
-PLACES = 16
+SLOTS_PER_ENGINE = 16
 STEP_MS = 5_000
 START_MS = 1_000_000
 MS_PER_MIN = 60_000
@@ -27,7 +27,7 @@
 
 
 class SentOrder(NamedTuple):
-    """An order and when the planner gave it."""
+    """An order and the time at which the planner sent it."""
 
     at_ms: int
     endpoint: str
@@ -36,7 +36,7 @@
 
 
 class SimulatedEngine:
-    """What an engine truly holds, and what it last reported."""
+    """The models that an engine has loaded, and its last report."""
 
     def __init__(self, name, domain, loaded, allowed):
         self.name = name
@@ -45,12 +45,12 @@
         self.loaded = set(loaded)
         self.loading = {}
         self.is_up = True
-        self.is_heard = True
-        self.reported = (frozenset(), -1)
+        self.delivers_reports = True
+        self.last_report = (frozenset(), -1)
         self._history = []
 
     def report(self, lag_ms, now_ms):
-        """Deliver what was true *lag_ms* ago, unless it never gets through."""
+        """Deliver the state of *lag_ms* ago, unless reports are lost."""
         for model, ready_ms in list(self.loading.items()):
             if ready_ms <= now_ms:
                 self.loaded.add(model)
@@ -58,12 +58,16 @@
         if not self.is_up:
             return
         self._history.append((frozenset(self.loaded), now_ms))
-        old = [each for each in self._history if each[1] <= now_ms - lag_ms]
-        if self.is_heard and old and old[-1][1] >= self.reported[1]:
-            self.reported = old[-1]
-
-    def obey(self, order, load_ms, now_ms):
-        """Carry an order out; one that is down loses it."""
+        delayed_reports = [each for each in self._history if each[1] <= now_ms - lag_ms]
+        if (
+            self.delivers_reports
+            and delayed_reports
+            and delayed_reports[-1][1] >= self.last_report[1]
+        ):
+            self.last_report = delayed_reports[-1]
+
+    def execute(self, order, load_ms, now_ms):
+        """Execute an order; an engine that is down loses it."""
         if not self.is_up:
             return
         if order.verb == LOAD:
@@ -71,20 +75,20 @@
         else:
             self.loaded.discard(order.target)
 
-    def crash(self, keeps):
-        """Go down; *keeps* says whether models are there after a restart."""
+    def crash(self, keeps_models):
+        """Crash; *keeps_models* is whether models are loaded after a restart."""
         self.is_up = False
         self.loading.clear()
         self._history.clear()
-        if not keeps:
+        if not keeps_models:
             self.loaded.clear()
 
 
 class SimulatedRegion:
-    """Drives a planner, carries its orders out, and checks every one.
+    """Drives a planner, executes its orders, and checks each of them.
 
-    :param engines: simulated.
-    :param named: models that contracts name.
+    :param engines: the simulated engines.
+    :param named: the models that contracts name.
     """
 
     def __init__(self, engines, named=(), settings=SETTINGS):
@@ -96,12 +100,12 @@
         self.now_ms = START_MS
         self.load_ms = 10_000
         self.lag_ms = 500
-        self.refuses = False
+        self.refuses_orders = False
         self.orders = []
         self.crashed_ms = 0
 
     def run_for(self, duration_ms):
-        """Let time pass, planning as often as a desk does."""
+        """Let time pass and plan at the interval of an instance."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.step()
@@ -118,10 +122,10 @@
         ]
         states = [self._describe(engine) for engine in self.engines.values()]
         for order in self.planner.plan(demand, states, self.now_ms):
-            self._take(order)
+            self._execute_order(order)
 
     def holders(self, model):
-        """Return the engines that truly serve a model."""
+        """Return the engines that are up and have a model loaded."""
         return [
             engine.name
             for engine in self.engines.values()
@@ -129,12 +133,17 @@
         ]
 
     def _describe(self, engine):
-        loaded, as_of_ms = engine.reported
+        loaded, as_of_ms = engine.last_report
         return EngineState(
-            engine.name, engine.domain, PLACES, engine.allowed, loaded, as_of_ms
+            engine.name,
+            engine.domain,
+            SLOTS_PER_ENGINE,
+            engine.allowed,
+            loaded,
+            as_of_ms,
         )
 
-    def _take(self, order):
+    def _execute_order(self, order):
         sent = SentOrder(self.now_ms, order.endpoint, order.verb, order.target)
         assert order.target in self.engines[order.endpoint].allowed
         if order.verb == UNLOAD:
@@ -142,28 +151,28 @@
         self._check_dwell(sent)
         self.orders.append(sent)
         self._check_rate()
-        if self.refuses:
-            self.planner.order_refused(order.endpoint, order.target, self.now_ms)
+        if self.refuses_orders:
+            self.planner.record_refused_order(order.endpoint, order.target, self.now_ms)
             return
-        self.engines[order.endpoint].obey(order, self.load_ms, self.now_ms)
+        self.engines[order.endpoint].execute(order, self.load_ms, self.now_ms)
 
     def _check_unload(self, sent):
-        """A wanted model keeps a copy that a fresh report shows ready."""
+        """A required model keeps a replica that a fresh report shows as ready."""
         model = sent.target
         if model not in self.named and not self.demand.get(model):
             return
         others = [
             engine
             for engine in self.engines.values()
-            if engine.name != sent.endpoint and self._shows(engine, model)
+            if engine.name != sent.endpoint and self._shows_ready(engine, model)
         ]
-        assert others, f'the last ready copy of {model} is unloaded'
+        assert others, f'the last ready replica of {model} is unloaded'
         if self.now_ms - self.crashed_ms > self.settings.fresh_ms:
-            left = set(self.holders(model)) - {sent.endpoint}
-            assert left, f'{model} is served nowhere'
+            remaining = set(self.holders(model)) - {sent.endpoint}
+            assert remaining, f'{model} is served nowhere'
 
-    def _shows(self, engine, model):
-        loaded, as_of_ms = engine.reported
+    def _shows_ready(self, engine, model):
+        loaded, as_of_ms = engine.last_report
         unloaded = any(
             order.endpoint == engine.name
             and order.target == model
@@ -175,17 +184,17 @@
         return model in loaded and is_fresh and not unloaded
 
     def _check_dwell(self, sent):
-        """No model comes and goes at one engine within the dwell time."""
-        for before in self.orders:
-            same = (before.endpoint, before.target) == (sent.endpoint, sent.target)
-            if same and before.verb != sent.verb and not self.refuses:
-                assert sent.at_ms - before.at_ms >= self.settings.min_dwell_ms
+        """No model is loaded and unloaded at one engine within the dwell time."""
+        for previous in self.orders:
+            same = (previous.endpoint, previous.target) == (sent.endpoint, sent.target)
+            if same and previous.verb != sent.verb and not self.refuses_orders:
+                assert sent.at_ms - previous.at_ms >= self.settings.min_dwell_ms
 
     def _check_rate(self):
-        """The weight store's rate is kept in every window that ends now."""
+        """The rate of the weight store is kept in every window that ends now."""
         rate_per_ms = self.settings.loads_per_min / MS_PER_MIN
         times = [order.at_ms for order in self.orders if order.verb == LOAD]
-        for index, begin_ms in enumerate(times):
+        for index, window_start_ms in enumerate(times):
             permitted = self.settings.concurrent_loads
-            permitted += rate_per_ms * (self.now_ms - begin_ms)
+            permitted += rate_per_ms * (self.now_ms - window_start_ms)
             assert len(times) - index <= permitted + 1e-6
