--- a/benches/retry_rig.py
+++ b/benches/retry_rig.py
@@ -47,7 +47,7 @@
     requests = attempts = answered = 0
     for now_ms in range(0, END_MS, 10):
         organisation = f'organisation-{rng.randrange(ORGANISATIONS)}'
-        budget.request(organisation, now_ms)
+        budget.record_request(organisation, now_ms)
         requests += 1
         for attempt in range(max_attempts):
             is_retry = attempt > 0 and budgeted
@@ -58,8 +58,8 @@
             name = rng.choice(usable if ejecting and usable else names)
             attempts += 1
             if at_ms >= OUTAGE_MS or names.index(name) >= dead:
-                ejector.succeeded(name, at_ms + ANSWER_MS)
+                ejector.record_success(name, at_ms + ANSWER_MS)
                 answered += 1
                 break
-            ejector.failed(name, at_ms, crashed=True)
+            ejector.record_failure(name, at_ms, crashed=True)
     return RetryFigures(attempts / requests, answered / requests)
--- a/savorychute/admission/tiered.py
+++ b/savorychute/admission/tiered.py
@@ -26,7 +26,8 @@
 DEFAULT_WEIGHT = 0.001
 MIN_WEIGHT = 1e-6
 
-#: After this time a preempted request that is still running may be chosen again.
+#: How long a preempted request is expected to keep running.  After this time it
+#: may be chosen again.
 PREEMPTION_TIMEOUT_MS = 1_000
 
 
--- a/savorychute/instance/attempt_desk.py
+++ b/savorychute/instance/attempt_desk.py
@@ -142,7 +142,7 @@
             return self._abandon(attempt, reason, now_ms)
         if tracked.expects_tokens and not is_stream:
             tracked.delivered_tokens = ended.total_tokens
-        self._parts.ejector.succeeded(attempt.endpoint, now_ms)
+        self._parts.ejector.record_success(attempt.endpoint, now_ms)
         actions = self._responder.finish(tracked, now_ms)
         return actions + self._dispatcher.pump(tracked.pool, now_ms)
 
@@ -160,7 +160,7 @@
             # At once: other instances have to know of a suspect before its
             # caller has sent it again to one of them.
             actions += parts.quarantine.tick(parts.membership.view(), now_ms)
-        actions += parts.leaving.send(parts.membership.view())
+        actions += parts.leaving.broadcast(parts.membership.view())
         return actions + self._dispatcher.pump(tracked.pool, now_ms)
 
     def _enter_streaming(self, tracked: TrackedRequest, now_ms: int) -> None:
@@ -214,17 +214,17 @@
         tracked.failed_ms = now_ms
         tracked.failed_endpoints.add(attempt.endpoint)
         if failed.leaving:
-            parts.ejector.leave(attempt.endpoint, now_ms)
-            parts.leaving.note(attempt.endpoint, now_ms)
+            parts.ejector.mark_leaving(attempt.endpoint, now_ms)
+            parts.leaving.record(attempt.endpoint, now_ms)
         elif not failed.refused:
             is_gone = failed.crashed or not failed.sent
-            parts.ejector.failed(attempt.endpoint, now_ms, is_gone)
+            parts.ejector.record_failure(attempt.endpoint, now_ms, is_gone)
         if failed.crashed and failed.sent:
-            parts.quarantine.crashed(
+            parts.quarantine.record_crash(
                 tracked.fingerprint, attempt.attempt_id, attempt.endpoint, now_ms
             )
         else:
-            parts.quarantine.ended(
+            parts.quarantine.record_end(
                 tracked.fingerprint, attempt.attempt_id, False, now_ms
             )
         parts.credits.give_back(attempt.attempt_id, now_ms)
--- a/savorychute/instance/dispatcher.py
+++ b/savorychute/instance/dispatcher.py
@@ -211,7 +211,7 @@
             tracked.request.prefix_hashes,
             now_ms,
         )
-        parts.quarantine.started(tracked.fingerprint, attempt_id, endpoint, now_ms)
+        parts.quarantine.record_start(tracked.fingerprint, attempt_id, endpoint, now_ms)
         tracked.life.move(RequestState.GRANTED, now_ms, f'granted {endpoint}')
         if tracked.limits.idempotent:
             return self.send(tracked, now_ms)
--- a/savorychute/instance/housekeeping.py
+++ b/savorychute/instance/housekeeping.py
@@ -78,14 +78,14 @@
         """Take in an endpoint's load report."""
         parts = self._parts
         parts.book.apply_report(report, now_ms)
-        parts.ejector.report(report, now_ms)
+        parts.ejector.apply_report(report, now_ms)
         parts.credits.observe(report)
         self._placement_desk.note_load(report, now_ms)
         actions = self._lease_desk.note_load(report, now_ms)
         if report.state == ACTIVE:
             return actions
-        parts.leaving.note(report.endpoint, now_ms)
-        return actions + parts.leaving.send(parts.membership.view())
+        parts.leaving.record(report.endpoint, now_ms)
+        return actions + parts.leaving.broadcast(parts.membership.view())
 
     def note_order(self, finished: OrderFinished, now_ms: int) -> list[Action]:
         """Take in how an order ended."""
--- a/savorychute/instance/intake.py
+++ b/savorychute/instance/intake.py
@@ -72,7 +72,7 @@
             return [self._refuse(request, error)]
         parts = self._parts
         parts.table.add(tracked)
-        parts.budget.request(tracked.limits.organisation, now_ms)
+        parts.budget.record_request(tracked.limits.organisation, now_ms)
         parts.events.emit('request-received', request)
         if tracked.limits.idempotent:
             if self._departure.has_begun:
--- a/savorychute/instance/operator_commands/endpoints.py
+++ b/savorychute/instance/operator_commands/endpoints.py
@@ -56,7 +56,7 @@
             **document,
             'version': versions.get(f'endpoint:{name}', 0),
             'usable': parts.directory.is_usable(name),
-            'allowed': parts.ejector.allowed(name, call.now_ms),
+            'allowed': parts.ejector.is_allowed(name, call.now_ms),
         }
         for name, document in sorted(parts.directory.endpoints.items())
     ]
--- a/savorychute/instance/parts.py
+++ b/savorychute/instance/parts.py
@@ -17,7 +17,7 @@
 from savorychute.leases.order_desk import OrderDesk
 from savorychute.limits import OrganisationLimiter
 from savorychute.membership import Membership
-from savorychute.recovery import Ejector, LeavingSpread, Quarantine, RetryBudget
+from savorychute.recovery import Ejector, LeavingBroadcaster, Quarantine, RetryBudget
 from savorychute.requests import KeyKeeper
 from savorychute.routing import ROUTERS, EndpointTable, OutputLengths, Router
 
@@ -45,7 +45,7 @@
     lengths: OutputLengths
     budget: RetryBudget
     ejector: Ejector
-    leaving: LeavingSpread
+    leaving: LeavingBroadcaster
     quarantine: Quarantine
     keys: KeyKeeper
     leases: LeaseKeeper
@@ -94,7 +94,7 @@
         lengths=OutputLengths(settings.lengths),
         budget=RetryBudget(settings.retries),
         ejector=Ejector(settings.ejection, fork()),
-        leaving=LeavingSpread(name, fork()),
+        leaving=LeavingBroadcaster(name, fork()),
         quarantine=Quarantine(settings.quarantine, name, fork()),
         keys=keys,
         leases=leases,
--- a/savorychute/instance/peer_desk.py
+++ b/savorychute/instance/peer_desk.py
@@ -70,9 +70,9 @@
         message = received.message
         if isinstance(message, LeavingNews):
             for endpoint in message.endpoints:
-                if parts.leaving.note(endpoint, now_ms):
-                    parts.ejector.leave(endpoint, now_ms)
-            return parts.leaving.send(parts.membership.view())
+                if parts.leaving.record(endpoint, now_ms):
+                    parts.ejector.mark_leaving(endpoint, now_ms)
+            return parts.leaving.broadcast(parts.membership.view())
         return parts.quarantine.receive(received.sender, message, now_ms)
 
     def _receive_requests(self, received: PeerReceived, now_ms: int) -> list[Action]:
--- a/savorychute/instance/responder.py
+++ b/savorychute/instance/responder.py
@@ -229,7 +229,7 @@
         attempt = tracked.attempt
         if attempt is not None:
             parts.credits.give_back(attempt.attempt_id, now_ms)
-            parts.quarantine.ended(
+            parts.quarantine.record_end(
                 tracked.fingerprint,
                 attempt.attempt_id,
                 code is ResultCode.OK,
--- a/savorychute/instance/status.py
+++ b/savorychute/instance/status.py
@@ -42,7 +42,7 @@
     usable = [
         name
         for name in directory.endpoints
-        if directory.is_usable(name) and parts.ejector.allowed(name, now_ms)
+        if directory.is_usable(name) and parts.ejector.is_allowed(name, now_ms)
     ]
     waiting = {
         pool: {
--- a/savorychute/recovery/__init__.py
+++ b/savorychute/recovery/__init__.py
@@ -1,4 +1,4 @@
-"""What happens after a failure: retries, ejection, quarantine."""
+"""Recovery from failures: retries, ejection of endpoints, quarantine of requests."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from savorychute.recovery.ejector_settings import EjectorSettings
 from savorychute.recovery.endpoint_change import EndpointChange
 from savorychute.recovery.endpoint_health import EndpointHealth
+from savorychute.recovery.leaving_broadcaster import LeavingBroadcaster
 from savorychute.recovery.leaving_news import LeavingNews
-from savorychute.recovery.leaving_spread import LeavingSpread
 from savorychute.recovery.poison_digest import PoisonDigest
 from savorychute.recovery.poison_entry import PoisonEntry
 from savorychute.recovery.poison_news import PoisonNews
@@ -22,8 +22,8 @@
     'EjectorSettings',
     'EndpointChange',
     'EndpointHealth',
+    'LeavingBroadcaster',
     'LeavingNews',
-    'LeavingSpread',
     'PoisonDigest',
     'PoisonEntry',
     'PoisonNews',
--- a/savorychute/recovery/crash_watch.py
+++ b/savorychute/recovery/crash_monitor.py
@@ -1,4 +1,4 @@
-"""Tells crashes of endpoints from the loss of the own network."""
+"""The distinction of endpoint crashes from a loss of the own network."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 RECENT_USE_MS = 10_000
 
 
-class CrashWatch:
-    """Remembers which endpoints are in use and which crashed lately.
+class CrashMonitor:
+    """Records which endpoints are in use and which have crashed recently.
 
-    When this instance loses its network, connections to most endpoints in use
-    break at once.  That looks like as many crashes, and a second loss would
-    convict innocent requests.
+    When this instance loses its network, the connections to most endpoints in
+    use break at once.  This looks like that many crashes, and a second loss
+    would quarantine innocent requests.
 
-    :param settings: how many crashes at once are taken for an own fault.
+    :param settings: how many simultaneous crashes count as an own fault.
     """
 
     def __init__(self, settings: QuarantineSettings) -> None:
@@ -26,26 +26,26 @@
         self._used_ms: OrderedDict[str, int] = OrderedDict()
         self._crashed_ms: OrderedDict[str, int] = OrderedDict()
 
-    def use(self, endpoint: str, now_ms: int) -> None:
-        """Take note that a request is sent to *endpoint*."""
-        self._remember(self._used_ms, endpoint, now_ms)
+    def record_use(self, endpoint: str, now_ms: int) -> None:
+        """Record that a request is sent to *endpoint*."""
+        self._record_time(self._used_ms, endpoint, now_ms)
 
-    def crash(self, endpoint: str, now_ms: int) -> bool:
-        """Take note of a crash; true if this instance is at fault itself."""
-        self._remember(self._crashed_ms, endpoint, now_ms)
+    def record_crash(self, endpoint: str, now_ms: int) -> bool:
+        """Record a crash; return whether this instance itself is at fault."""
+        self._record_time(self._crashed_ms, endpoint, now_ms)
         window_ms = self._settings.own_fault_window_ms
         crashed = count_since(self._crashed_ms, now_ms - window_ms)
         used = count_since(self._used_ms, now_ms - RECENT_USE_MS)
-        suspicious = self._settings.own_fault_share * used
-        return crashed >= max(self._settings.own_fault_endpoints, suspicious)
+        min_crashes = self._settings.own_fault_share * used
+        return crashed >= max(self._settings.own_fault_endpoints, min_crashes)
 
-    def crashed_lately(self, endpoint: str, now_ms: int) -> bool:
-        """Return whether *endpoint* crashed within a suspicion's lifetime."""
+    def has_crashed_recently(self, endpoint: str, now_ms: int) -> bool:
+        """Return whether *endpoint* crashed within the lifetime of a suspicion."""
         crashed_ms = self._crashed_ms.get(endpoint)
         lifetime_ms = self._settings.suspicion_lifetime_ms
         return crashed_ms is not None and now_ms - crashed_ms < lifetime_ms
 
-    def _remember(
+    def _record_time(
         self, times: OrderedDict[str, int], endpoint: str, now_ms: int
     ) -> None:
         times[endpoint] = now_ms
@@ -55,7 +55,7 @@
 
 
 def count_since(times: OrderedDict[str, int], start_ms: int) -> int:
-    """Return how many of *times*, oldest first, are not before *start_ms*."""
+    """Return how many of *times*, in ascending order, are *start_ms* or later."""
     count = 0
     for time_ms in reversed(times.values()):
         if time_ms < start_ms:
--- a/savorychute/recovery/ejector.py
+++ b/savorychute/recovery/ejector.py
@@ -1,4 +1,4 @@
-"""Ejects endpoints that fail, and lets them return slowly."""
+"""Ejection of failing endpoints, and their gradual readmission."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 
 
 class Ejector:
-    """Outlier ejection with a cap, slow start, and the leaving.
+    """Outlier ejection with a cap and slow start; also tracks leaving endpoints.
 
-    Only failures eject.  A straggler answers, if late, and is left to the
-    router's score: taking its capacity away would make a burst worse.
+    Only failures cause an ejection.  A straggler does respond, though late, and
+    is handled by the score of the router: removing its capacity would make a
+    burst worse.
 
     :param settings: when to eject, for how long, and how many at most.
-    :param rng: spreads returns, so that instances do not probe all at once.
+    :param rng: spreads readmissions, so that instances do not all probe at once.
     """
 
     def __init__(self, settings: EjectorSettings, rng: random.Random) -> None:
@@ -38,7 +39,7 @@
         self._changes: list[EndpointChange] = []
 
     def set_endpoints(self, documents: Mapping[str, EndpointDocument]) -> None:
-        """Take over the configured endpoints; their health is kept."""
+        """Set the configured endpoints; the health of known ones is retained."""
         self._records = {
             name: self._records.get(name, HealthRecord(())) for name in documents
         }
@@ -63,8 +64,8 @@
         self._refresh(endpoint, record, now_ms)
         return record.health
 
-    def allowed(self, endpoint: str, now_ms: int) -> bool:
-        """Return whether *endpoint* may get work at all."""
+    def is_allowed(self, endpoint: str, now_ms: int) -> bool:
+        """Return whether *endpoint* may get requests at all."""
         health = self.health_of(endpoint, now_ms)
         return health in (EndpointHealth.HEALTHY, EndpointHealth.RAMPING)
 
@@ -73,18 +74,18 @@
 
         A ramping endpoint is a candidate for a growing share of requests.
         """
-        if not self.allowed(endpoint, now_ms):
+        if not self.is_allowed(endpoint, now_ms):
             return False
-        share = self.ramp(endpoint, now_ms)
+        share = self.ramp_share(endpoint, now_ms)
         return share >= 1 or self._rng.random() < share
 
-    def ramp(self, endpoint: str, now_ms: int) -> float:
-        """Return the share of its usual work that *endpoint* may get, 0 to 1.
+    def ramp_share(self, endpoint: str, now_ms: int) -> float:
+        """Return the share of its usual requests that *endpoint* may get, 0 to 1.
 
         A restarted engine has an empty cache and an empty queue.  With its full
-        share at once it would draw all requests of all instances.
+        share at once it would attract all requests of all instances.
         """
-        if not self.allowed(endpoint, now_ms):
+        if not self.is_allowed(endpoint, now_ms):
             return 0.0
         record = self._records[endpoint]
         if record.health is EndpointHealth.HEALTHY:
@@ -92,63 +93,66 @@
         share = (now_ms - record.since_ms) / self._settings.ramp_ms
         return min(1.0, max(self._settings.ramp_floor, share))
 
-    def suspect(self, endpoint: str, now_ms: int) -> bool:
-        """Return whether *endpoint* crashed lately."""
+    def has_crashed_recently(self, endpoint: str, now_ms: int) -> bool:
+        """Return whether *endpoint* has crashed recently."""
         record = self._records.get(endpoint)
         return record is not None and now_ms < record.suspect_until_ms
 
-    def failed(self, endpoint: str, now_ms: int, crashed: bool) -> None:
-        """Count a failed attempt.
+    def record_failure(self, endpoint: str, now_ms: int, crashed: bool) -> None:
+        """Record a failed attempt.
 
-        :param crashed: whether the connection broke or could not be made.
+        :param crashed: whether the connection broke or could not be established.
         """
         record = self._records.get(endpoint)
         if record is None:
             return
         self._refresh(endpoint, record, now_ms)
-        record.count(failed=True)
+        record.count_outcome(failed=True)
         if crashed:
             lifetime_ms = self._settings.suspicion_lifetime_ms
             record.suspect_until_ms = now_ms + lifetime_ms
         if record.health in (EndpointHealth.EJECTED, EndpointHealth.LEAVING):
             return
-        reason = self._find_reason(record, crashed)
-        if reason and self._may_eject(endpoint, record, crashed, now_ms):
+        reason = self._ejection_reason(record, crashed)
+        if reason and self._can_eject(endpoint, record, crashed, now_ms):
             self._eject(endpoint, record, crashed, reason, now_ms)
 
-    def succeeded(self, endpoint: str, now_ms: int) -> None:
-        """Count an attempt that brought a whole answer."""
+    def record_success(self, endpoint: str, now_ms: int) -> None:
+        """Record an attempt with a complete answer."""
         record = self._records.get(endpoint)
         if record is None:
             return
         self._refresh(endpoint, record, now_ms)
-        record.count(failed=False)
+        record.count_outcome(failed=False)
 
-    def leave(self, endpoint: str, now_ms: int) -> None:
-        """Give *endpoint* nothing new: it said that it is going away."""
+    def mark_leaving(self, endpoint: str, now_ms: int) -> None:
+        """Stop new requests to *endpoint*, which announced that it is leaving."""
         record = self._records.get(endpoint)
         if record is None:
             return
         record.until_ms = now_ms + self._settings.leaving_grace_ms
-        self._move(endpoint, record, EndpointHealth.LEAVING, 'it is leaving', now_ms)
+        self._set_health(
+            endpoint, record, EndpointHealth.LEAVING, 'it is leaving', now_ms
+        )
 
-    def report(self, report: LoadReported, now_ms: int) -> None:
-        """Learn from a load report whether an endpoint leaves or is back.
+    def apply_report(self, report: LoadReported, now_ms: int) -> None:
+        """Update from a load report whether an endpoint is leaving or has returned.
 
-        A report lags.  One taken before the refusal still says ``active``, so
-        only a report taken after it, by a margin, brings the endpoint back.
+        Reports are delayed.  One that was made before the refusal still says
+        ``active``, so only a report made after it, by a margin, readmits the
+        endpoint.
         """
         record = self._records.get(report.endpoint)
         if record is None:
             return
         if report.state in LEAVING_STATES:
-            self.leave(report.endpoint, now_ms)
+            self.mark_leaving(report.endpoint, now_ms)
             return
-        taken_ms = now_ms - max(0, report.age_ms)
-        if record.health is EndpointHealth.LEAVING and taken_ms > record.until_ms:
-            self._return(report.endpoint, record, 'a later report says so', now_ms)
+        measured_ms = now_ms - max(0, report.age_ms)
+        if record.health is EndpointHealth.LEAVING and measured_ms > record.until_ms:
+            self._readmit(report.endpoint, record, 'a later report says so', now_ms)
 
-    def _find_reason(self, record: HealthRecord, crashed: bool) -> str:
+    def _ejection_reason(self, record: HealthRecord, crashed: bool) -> str:
         settings = self._settings
         if crashed:
             return 'it crashed'
@@ -164,23 +168,23 @@
             return f'{share:.0%} of its attempts failed'
         return ''
 
-    def _may_eject(
+    def _can_eject(
         self, endpoint: str, record: HealthRecord, crashed: bool, now_ms: int
     ) -> bool:
-        # With most of a pool ejected the rest would be overrun, and with all of
-        # it ejected nothing would notice that it works again.
+        # With most of a pool ejected, the rest would be overloaded, and with all
+        # of it ejected, its recovery would not be detected.
         share = self._settings.ejected_share_max
         if crashed:
             share = self._settings.crashed_share_max
         for group in record.groups:
-            members = self._members[group]
+            group_members = self._members[group]
             ejected = 0
-            for name in members:
-                other = self._records[name]
-                self._refresh(name, other, now_ms)
-                if name != endpoint and other.health is EndpointHealth.EJECTED:
+            for name in group_members:
+                other_record = self._records[name]
+                self._refresh(name, other_record, now_ms)
+                if name != endpoint and other_record.health is EndpointHealth.EJECTED:
                     ejected += 1
-            if ejected + 1 > min(share * len(members), len(members) - 1):
+            if ejected + 1 > min(share * len(group_members), len(group_members) - 1):
                 return False
         return True
 
@@ -199,32 +203,32 @@
         record.until_ms = now_ms + int(duration_ms)
         record.ejections += 1
         record.crashed = crashed
-        self._move(endpoint, record, EndpointHealth.EJECTED, reason, now_ms)
+        self._set_health(endpoint, record, EndpointHealth.EJECTED, reason, now_ms)
 
     def _refresh(self, endpoint: str, record: HealthRecord, now_ms: int) -> None:
         health = record.health
         lifetime_ms = self._settings.leaving_lifetime_ms
         if health is EndpointHealth.EJECTED and now_ms >= record.until_ms:
-            self._return(endpoint, record, 'its time is over', now_ms)
+            self._readmit(endpoint, record, 'its time is over', now_ms)
         elif health is EndpointHealth.LEAVING and (
             now_ms >= record.until_ms + lifetime_ms
         ):
-            self._return(endpoint, record, 'nothing was heard since', now_ms)
+            self._readmit(endpoint, record, 'nothing was heard since', now_ms)
         elif health is EndpointHealth.RAMPING and (
             now_ms >= record.since_ms + self._settings.ramp_ms
         ):
             record.ejections = 0
-            self._move(
+            self._set_health(
                 endpoint, record, EndpointHealth.HEALTHY, 'it has returned', now_ms
             )
 
-    def _return(
+    def _readmit(
         self, endpoint: str, record: HealthRecord, reason: str, now_ms: int
     ) -> None:
         record.reset()
-        self._move(endpoint, record, EndpointHealth.RAMPING, reason, now_ms)
+        self._set_health(endpoint, record, EndpointHealth.RAMPING, reason, now_ms)
 
-    def _move(
+    def _set_health(
         self,
         endpoint: str,
         record: HealthRecord,
@@ -241,7 +245,7 @@
 
 
 def list_groups(document: EndpointDocument) -> tuple[str, ...]:
-    """Return what an endpoint serves: pools, each with its own cap.
+    """Return the pools that an endpoint serves, each with its own cap.
 
     :param document: the endpoint.
     """
--- a/savorychute/recovery/ejector_settings.py
+++ b/savorychute/recovery/ejector_settings.py
@@ -8,11 +8,12 @@
 class EjectorSettings(NamedTuple):
     """When endpoints are ejected, for how long, and how many at most.
 
-    ``ejected_share_max`` bounds ejection for errors, ``crashed_share_max`` for
-    crashes; neither ever ejects the last endpoint of a pool.  An ejection lasts
-    ``ejection_ms``, doubled at each in a row up to ``ejection_max_ms``; then the
-    share of work grows over ``ramp_ms``.  An endpoint that said it is leaving is
-    tried again after ``leaving_lifetime_ms`` if it makes no load reports.
+    ``ejected_share_max`` limits ejection for errors, ``crashed_share_max`` for
+    crashes; the last endpoint of a pool is never ejected.  An ejection lasts
+    ``ejection_ms``, doubled with each consecutive one up to
+    ``ejection_max_ms``; then the share of requests grows over ``ramp_ms``.  An
+    endpoint that announced that it is leaving is tried again after
+    ``leaving_lifetime_ms`` if it sends no load reports.
     """
 
     ejected_share_max: float = 0.5
--- a/savorychute/recovery/endpoint_change.py
+++ b/savorychute/recovery/endpoint_change.py
@@ -9,7 +9,7 @@
 
 
 class EndpointChange(NamedTuple):
-    """What changed, when, and why; for the audit trail and for events."""
+    """What changed, when, and why, for the audit trail and for events."""
 
     endpoint: str
     before: EndpointHealth
--- a/savorychute/recovery/endpoint_health.py
+++ b/savorychute/recovery/endpoint_health.py
@@ -1,4 +1,4 @@
-"""Whether an endpoint may get work."""
+"""The health of an endpoint."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class EndpointHealth(StrEnum):
-    """The ejector's view of an endpoint.
+    """Whether an endpoint gets requests, as the ejector decides.
 
-    ``RAMPING`` gets a growing share of work, ``EJECTED`` none until its time is
-    over, ``LEAVING`` none until a report taken later says that it is back.
+    A ``RAMPING`` endpoint gets a growing share of requests, an ``EJECTED`` one
+    none until its ejection ends, and a ``LEAVING`` one none until a later report
+    shows it as active.
     """
 
     HEALTHY = 'healthy'
--- a/savorychute/recovery/health_record.py
+++ b/savorychute/recovery/health_record.py
@@ -1,4 +1,4 @@
-"""The failures of one endpoint."""
+"""The recent outcomes and the health of one endpoint."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class HealthRecord:
-    """Failures of one endpoint since they last mattered.
+    """The health of one endpoint and its outcomes since the last readmission.
 
-    :param groups: what it serves; ejection is bounded in each of them.
+    :param groups: the pools that it serves; ejection is limited in each of them.
     """
 
     __slots__ = (
@@ -38,8 +38,8 @@
         self.outcomes = 0.0
         self.failures = 0.0
 
-    def count(self, failed: bool) -> None:
-        """Count one outcome; old ones fade by halving."""
+    def count_outcome(self, failed: bool) -> None:
+        """Count one outcome; the weight of old ones is reduced by halving."""
         if self.outcomes >= OUTCOME_WINDOW:
             self.outcomes /= 2
             self.failures /= 2
@@ -51,7 +51,7 @@
             self.consecutive = 0
 
     def reset(self) -> None:
-        """Forget the outcomes counted so far."""
+        """Discard the outcomes counted so far."""
         self.outcomes = 0.0
         self.failures = 0.0
         self.consecutive = 0
--- a/savorychute/recovery/leaving_news.py
+++ b/savorychute/recovery/leaving_news.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave, between instances."""
+"""The peer message about leaving endpoints."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @peer_message(62)
 class LeavingNews(NamedTuple):
-    """Endpoints that said themselves that they are leaving.
+    """Endpoints that announced themselves that they are leaving.
 
-    The receiver passes on those that are new to it.
+    The receiver forwards those that it did not know yet.
     """
 
     endpoints: tuple[str, ...]
--- a/savorychute/recovery/poison_spread.py
+++ b/savorychute/recovery/poison_broadcaster.py
@@ -1,4 +1,4 @@
-"""Tells other instances of suspected requests."""
+"""The broadcast of suspected requests to other instances."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 FEW_ENTRIES = 8
 
 
-class PoisonSpread:
-    """Pushes news to a few peers at once and repairs losses by digests.
+class PoisonBroadcaster:
+    """Pushes updates to a few peers at once and repairs losses by digests.
 
-    Each instance passes a piece of news on once, to ``gossip_fanout`` peers
-    chosen at random; with six, a part of about exp(-6) of the instances is
-    missed (Demers et al., Epidemic algorithms for replicated database
-    maintenance, 1987), and learns by comparing digests.
+    Each instance forwards an update once, to ``gossip_fanout`` peers chosen at
+    random.  With six, a share of about exp(-6) of the instances is missed
+    (Demers et al., Epidemic algorithms for replicated database maintenance,
+    1987); these receive the update after a comparison of digests.
 
-    :param settings: how many peers, how often, and how much at a time.
-    :param instance: this instance.
+    :param settings: the number of peers, the interval and the message size.
+    :param instance: the name of this instance.
     :param rng: chooses the peers.
     """
 
@@ -41,68 +41,72 @@
         self._instance = instance
         self._rng = rng
         self._peers: list[MemberAddress] = []
-        self._news: dict[str, PoisonRecord] = {}
-        self._compared_ms = 0
+        self._pending_records: dict[str, PoisonRecord] = {}
+        self._digest_sent_ms = 0
 
     def set_view(self, view: MemberView) -> None:
-        """Take over who is alive."""
+        """Set the current members."""
         self._peers = [peer for peer in view.alive if peer.instance != self._instance]
 
     def add(self, record: PoisonRecord) -> None:
-        """Tell of *record* at the next sending."""
-        self._news[record.fingerprint] = record
+        """Include *record* in the next broadcast."""
+        self._pending_records[record.fingerprint] = record
 
-    def send(self, now_ms: int, besides: str = '') -> list[Action]:
-        """Return the messages that tell the news collected.
+    def broadcast(self, now_ms: int, excluded: str = '') -> list[Action]:
+        """Return the messages with the updates collected since the last call.
 
-        :param besides: an instance that knows them already.
+        :param excluded: an instance that has the updates already.
         """
-        if not self._news or not self._peers:
+        if not self._pending_records or not self._peers:
             return []
-        messages = self._make_news(self._news.values(), now_ms)
-        self._news = {}
-        peers = [peer for peer in self._peers if peer.instance != besides]
+        messages = self._make_messages(self._pending_records.values(), now_ms)
+        self._pending_records = {}
+        peers = [peer for peer in self._peers if peer.instance != excluded]
         count = min(len(peers), self._settings.gossip_fanout)
         chosen = self._rng.sample(peers, count)
-        return [make_send(peer, message) for peer in chosen for message in messages]
+        return [
+            make_send_action(peer, message) for peer in chosen for message in messages
+        ]
 
-    def _make_news(
+    def _make_messages(
         self, records: Iterable[PoisonRecord], now_ms: int
     ) -> list[PoisonNews]:
-        entries = [record.entry(now_ms) for record in records]
+        entries = [record.make_entry(now_ms) for record in records]
         size = self._settings.gossip_entries
         return [
             PoisonNews(tuple(entries[start : start + size]))
             for start in range(0, len(entries), size)
         ]
 
-    def compare(self, records: Mapping[str, PoisonRecord], now_ms: int) -> list[Action]:
-        """Return a digest for one peer, if it is time.
+    def send_digest(
+        self, records: Mapping[str, PoisonRecord], now_ms: int
+    ) -> list[Action]:
+        """Return a digest for one peer, if one is due.
 
-        :param records: all that this instance knows.
+        :param records: all records of this instance.
         """
-        if now_ms - self._compared_ms < self._settings.gossip_interval_ms:
+        if now_ms - self._digest_sent_ms < self._settings.gossip_interval_ms:
             return []
         if not self._peers:
             return []
-        self._compared_ms = now_ms
+        self._digest_sent_ms = now_ms
         peer = self._rng.choice(self._peers)
-        return [make_send(peer, make_digest(records))]
+        return [make_send_action(peer, make_digest(records))]
 
-    def answer(
+    def respond_to_digest(
         self,
         sender: str,
         message: PoisonDigest,
         records: Mapping[str, PoisonRecord],
         now_ms: int,
     ) -> list[Action]:
-        """Return news for a peer that knows something else.
+        """Return entries for a peer whose digest differs.
 
-        A peer that knows much less, being new, gets a full message; the others
-        a few entries, chosen at random, because the difference may be no more
-        than an entry that expired a moment earlier there.
+        A peer with far fewer entries, such as a new one, gets a full message;
+        the others get a few entries chosen at random, because the difference
+        may be only an entry that expired a moment earlier there.
 
-        :param records: all that this instance knows.
+        :param records: all records of this instance.
         """
         if not records or message == make_digest(records):
             return []
@@ -115,8 +119,8 @@
         chosen = list(records.values())
         if len(chosen) > count:
             chosen = self._rng.sample(chosen, count)
-        messages = self._make_news(chosen, now_ms)
-        return [make_send(addresses[0], news) for news in messages]
+        messages = self._make_messages(chosen, now_ms)
+        return [make_send_action(addresses[0], reply) for reply in messages]
 
 
 def make_digest(records: Mapping[str, PoisonRecord]) -> PoisonDigest:
@@ -127,6 +131,8 @@
     return PoisonDigest(digest, len(records))
 
 
-def make_send(peer: MemberAddress, message: PoisonNews | PoisonDigest) -> SendPeer:
+def make_send_action(
+    peer: MemberAddress, message: PoisonNews | PoisonDigest
+) -> SendPeer:
     """Return the action that sends *message* to *peer*."""
     return SendPeer(peer.instance, peer.host, peer.peer_port, message)
--- a/savorychute/recovery/poison_digest.py
+++ b/savorychute/recovery/poison_digest.py
@@ -1,4 +1,4 @@
-"""A summary of suspicions, to find lost news."""
+"""The peer message that summarises suspicions, to detect lost updates."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @peer_message(61)
 class PoisonDigest(NamedTuple):
-    """An order-free hash over all entries, and how many there are."""
+    """An order-independent hash over all entries, and their number."""
 
     digest: int
     entries: int
--- a/savorychute/recovery/poison_entry.py
+++ b/savorychute/recovery/poison_entry.py
@@ -1,4 +1,4 @@
-"""What one instance tells another of a suspected request."""
+"""A suspected request as instances report it to each other."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 class PoisonEntry(NamedTuple):
     """A fingerprint and the crashes that it coincided with.
 
-    ``round`` grows when the suspicion is lifted, so that older news of the
-    same fingerprint is told from newer.  Within a round ``endpoints`` and
-    ``crashes`` only grow.  ``lifetime_ms`` is what is left of it: a duration,
-    because clocks differ between machines.
+    ``round`` is incremented when the suspicion is lifted, so that stale updates
+    of the same fingerprint can be detected.  Within a round ``endpoints`` and
+    ``crashes`` only grow.  ``lifetime_ms`` is the remaining lifetime, given as a
+    duration because clocks differ between machines.
     """
 
     fingerprint: str
--- a/savorychute/recovery/poison_news.py
+++ b/savorychute/recovery/poison_news.py
@@ -1,4 +1,4 @@
-"""Suspicions, quarantines and their lifting, between instances."""
+"""The peer message about suspicions, quarantines and their lifting."""
 
 from __future__ import annotations
 
@@ -10,6 +10,6 @@
 
 @peer_message(60)
 class PoisonNews(NamedTuple):
-    """Entries that the receiver passes on if they are new to it."""
+    """Entries that the receiver forwards if they are new to it."""
 
     entries: tuple[PoisonEntry, ...]
--- a/savorychute/recovery/poison_record.py
+++ b/savorychute/recovery/poison_record.py
@@ -1,4 +1,4 @@
-"""What one instance knows of a suspected request."""
+"""The record of a suspected request in one instance."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
 
 
 class PoisonRecord:
-    """The crashes of one fingerprint, and what was concluded from them.
+    """The crashes of one fingerprint, and the conclusion drawn from them.
 
-    ``held_ms`` is when the last crash that calls for a conclusion became known,
-    ``ambiguous_ms`` when it turned out that other requests share all its
-    crashes, ``turn`` its place among those.
+    ``pending_since_ms`` is the time at which the last crash that requires a
+    conclusion became known, ``ambiguous_since_ms`` the time at which other
+    requests were found to share all its crashes, and ``turn`` its position
+    among them.
     """
 
     __slots__ = (
-        'ambiguous_ms',
+        'ambiguous_since_ms',
+        'crash_known_ms',
         'crashes',
         'endpoints',
         'fingerprint',
-        'held_ms',
-        'learned_ms',
-        'own',
+        'observed_here',
+        'pending_since_ms',
         'quarantined',
         'round',
         'turn',
@@ -40,54 +41,55 @@
         self.fingerprint = fingerprint
         self.round = 0
         self.endpoints: tuple[str, ...] = ()
-        self.learned_ms: dict[str, int] = {}
+        self.crash_known_ms: dict[str, int] = {}
         self.crashes = 0
         self.quarantined = False
         self.until_ms = 0
-        self.own = False
-        self.held_ms = NEVER_MS
-        self.ambiguous_ms = NEVER_MS
+        self.observed_here = False
+        self.pending_since_ms = NEVER_MS
+        self.ambiguous_since_ms = NEVER_MS
         self.turn = 0
 
     @property
     def needs_conclusion(self) -> bool:
         """Whether its crashes suffice for a quarantine.
 
-        Two crashes on two different endpoints do.  Where a pool has but one
-        endpoint, three there do: one flaky engine crashes twice by itself.
+        Two crashes on two different endpoints suffice.  If a pool has only one
+        endpoint, three crashes there are required, because one unreliable
+        engine may crash twice by itself.
         """
         return self.crashes >= 2 and self.crashes + len(self.endpoints) >= 4
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether it crashed an endpoint again when it was tried alone."""
+        """Whether it crashed an endpoint again when it was run alone."""
         return self.crashes > len(self.endpoints)
 
-    def lift(self, kept: tuple[str, ...] = ()) -> None:
-        """Drop the suspicion, as a new round.
+    def lift(self, retained: tuple[str, ...] = ()) -> None:
+        """Lift the suspicion and start a new round.
 
-        :param kept: endpoints whose crashes are still held against it.
+        :param retained: the endpoints whose crashes still count.
         """
         self.round += 1
-        self.endpoints = kept
-        self.crashes = len(kept)
-        self.learned_ms = {name: self.learned_ms[name] for name in kept}
+        self.endpoints = retained
+        self.crashes = len(retained)
+        self.crash_known_ms = {name: self.crash_known_ms[name] for name in retained}
         self.quarantined = False
-        self.own = False
-        self.held_ms = NEVER_MS
-        self.ambiguous_ms = NEVER_MS
+        self.observed_here = False
+        self.pending_since_ms = NEVER_MS
+        self.ambiguous_since_ms = NEVER_MS
 
     def shared_crashes(self, other: PoisonRecord, window_ms: int) -> frozenset[str]:
-        """Return the endpoints whose same crash both coincided with.
+        """Return the endpoints whose same crash coincided with both requests.
 
-        :param other: another request.
-        :param window_ms: how far apart news of one crash may arrive.
+        :param other: the record of the other request.
+        :param window_ms: the maximum time between two updates about one crash.
         """
         return frozenset(
             name
-            for name, learned_ms in self.learned_ms.items()
-            if name in other.learned_ms
-            and abs(other.learned_ms[name] - learned_ms) <= window_ms
+            for name, crash_known_ms in self.crash_known_ms.items()
+            if name in other.crash_known_ms
+            and abs(other.crash_known_ms[name] - crash_known_ms) <= window_ms
         )
 
     def add_crash(self, endpoint: str, now_ms: int) -> None:
@@ -95,35 +97,37 @@
         self.crashes += 1
         if endpoint not in self.endpoints:
             self.endpoints = (*self.endpoints, endpoint)
-            self.learned_ms[endpoint] = now_ms
+            self.crash_known_ms[endpoint] = now_ms
 
     def merge(self, entry: PoisonEntry, now_ms: int) -> bool:
-        """Take in another instance's entry; true if it said anything new.
+        """Merge the entry of another instance; return whether it was new.
 
-        Entries form a lattice: a higher round replaces, and within a round
-        endpoints are united and counts only grow.  So instances agree in the
-        end, whatever the order and however often news arrive.
+        Entries form a lattice: a higher round replaces a lower one, and within
+        a round endpoints are united and counts only grow.  Instances therefore
+        converge, whatever the order and the number of the updates.
         """
         if entry.round < self.round:
             return False
-        before = self.state()
+        previous_state = self.state()
         if entry.round > self.round:
             self.lift()
             self.round = entry.round
-        new = tuple(name for name in entry.endpoints if name not in self.endpoints)
-        self.endpoints += new
-        for name in new:
-            self.learned_ms[name] = now_ms
+        new_endpoints = tuple(
+            name for name in entry.endpoints if name not in self.endpoints
+        )
+        self.endpoints += new_endpoints
+        for name in new_endpoints:
+            self.crash_known_ms[name] = now_ms
         self.crashes = max(self.crashes, entry.crashes, len(self.endpoints))
         self.quarantined = self.quarantined or entry.quarantined
-        return self.state() != before
+        return self.state() != previous_state
 
     def state(self) -> tuple[int, frozenset[str], int, bool]:
-        """Return what instances have to agree on."""
+        """Return the state that instances must agree on."""
         return self.round, frozenset(self.endpoints), self.crashes, self.quarantined
 
-    def entry(self, now_ms: int) -> PoisonEntry:
-        """Return what to tell other instances."""
+    def make_entry(self, now_ms: int) -> PoisonEntry:
+        """Return the entry to send to other instances."""
         return PoisonEntry(
             self.fingerprint,
             self.round,
@@ -134,13 +138,13 @@
         )
 
     def digest(self) -> int:
-        """Return a hash of what instances have to agree on."""
+        """Return a hash of the state that instances must agree on."""
         endpoints = ','.join(sorted(self.endpoints))
         text = f'{self.fingerprint} {self.round} {endpoints} {self.crashes}'
         return int(xxhash.xxh64_intdigest(f'{text} {self.quarantined}'.encode())) >> 1
 
     def set_lifetime(self, settings: QuarantineSettings, now_ms: int) -> None:
-        """Keep the record as long as what it says calls for."""
+        """Set the expiry for a suspicion or a quarantine."""
         lifetime_ms = settings.suspicion_lifetime_ms
         if self.quarantined:
             lifetime_ms = settings.quarantine_lifetime_ms
--- a/savorychute/recovery/poison_verdict.py
+++ b/savorychute/recovery/poison_verdict.py
@@ -1,4 +1,4 @@
-"""What is believed of a request by its fingerprint."""
+"""The verdict on a request by its fingerprint."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class PoisonVerdict(StrEnum):
-    """Whether a request may run, and how.
+    """Whether a request may run, and where.
 
-    ``SUSPECT``: it was running where an endpoint crashed; it may run on its
+    ``SUSPECT``: it was running on an endpoint that crashed; it may run on its
     preferred endpoint.  ``HELD``: it must not run now, but may later.
     ``QUARANTINED``: it must not run.
     """
--- a/savorychute/recovery/quarantine.py
+++ b/savorychute/recovery/quarantine.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash endpoints from crashing more of them."""
+"""The quarantine of requests that crash endpoints."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import xxhash
 
-from savorychute.recovery.crash_watch import CrashWatch
+from savorychute.recovery.crash_monitor import CrashMonitor
+from savorychute.recovery.poison_broadcaster import PoisonBroadcaster
 from savorychute.recovery.poison_digest import PoisonDigest
 from savorychute.recovery.poison_news import PoisonNews
 from savorychute.recovery.poison_record import NEVER_MS, PoisonRecord
-from savorychute.recovery.poison_spread import PoisonSpread
 from savorychute.recovery.poison_verdict import PoisonVerdict
 from savorychute.recovery.suspect_lanes import SuspectLanes
 
@@ -28,18 +28,18 @@
 
 
 class Quarantine:
-    """Suspects by coincidence with crashes, convicts by elimination.
+    """Suspects requests by coincidence with crashes, quarantines by elimination.
 
     A crash makes every request that ran on the endpoint a suspect.  A suspect
     runs again only on an endpoint where no other suspect of this instance
-    runs, so a second crash points at one request per instance.  What instances
-    tell each other within ``settle_ms`` shows whether several share both
-    crashes; if so each is tried alone, in an order all agree on, and only on
-    the endpoints that have crashed already.
-
-    :param settings: times and bounds.
-    :param instance: this instance.
-    :param rng: chooses whom to tell.
+    runs, so a second crash points at one request per instance.  The updates that
+    instances exchange within ``settle_ms`` show whether several requests share
+    both crashes.  If so, each is run alone, in the same order at all instances,
+    and only on the endpoints that have crashed already.
+
+    :param settings: times and limits.
+    :param instance: the name of this instance.
+    :param rng: chooses the peers to notify.
     """
 
     def __init__(
@@ -48,161 +48,176 @@
         self._settings = settings
         self._records: OrderedDict[str, PoisonRecord] = OrderedDict()
         self._running: dict[str, tuple[str, str]] = {}
-        self._blamed: list[tuple[int, PoisonRecord]] = []
-        self._watch = CrashWatch(settings)
+        self._recent_crashes: list[tuple[int, PoisonRecord]] = []
+        self._crash_monitor = CrashMonitor(settings)
         self._lanes = SuspectLanes(instance, settings.lane_turn_ms)
-        self._spread = PoisonSpread(settings, instance, rng)
+        self._broadcaster = PoisonBroadcaster(settings, instance, rng)
 
     def __len__(self) -> int:
         return len(self._records)
 
     def set_endpoints(self, documents: Mapping[str, EndpointDocument]) -> None:
-        """Take over the configured endpoints."""
+        """Set the configured endpoints."""
         self._lanes.set_endpoints(documents)
 
     def verdict(self, fingerprint: str, now_ms: int) -> PoisonVerdict:
         """Return whether the request may run."""
-        record = self._find(fingerprint, now_ms)
+        record = self._find_record(fingerprint, now_ms)
         if record is None or not record.crashes:
             return PoisonVerdict.CLEAR
         if record.quarantined:
             return PoisonVerdict.QUARANTINED
-        if self._wait_ms(record, now_ms) > 0:
+        if self._hold_left_ms(record, now_ms) > 0:
             return PoisonVerdict.HELD
         return PoisonVerdict.SUSPECT
 
     def is_quarantined(self, fingerprint: str, now_ms: int) -> bool:
-        """Return whether the request must not run any more."""
+        """Return whether the request is quarantined and must not run."""
         return self.verdict(fingerprint, now_ms) is PoisonVerdict.QUARANTINED
 
-    def held_ms(self, fingerprint: str, now_ms: int) -> int:
-        """Return after how many ms a held request may be tried again."""
-        record = self._find(fingerprint, now_ms)
-        return self._wait_ms(record, now_ms) if record is not None else 0
+    def retry_delay_ms(self, fingerprint: str, now_ms: int) -> int:
+        """Return the time in ms after which a held request may be retried."""
+        record = self._find_record(fingerprint, now_ms)
+        return self._hold_left_ms(record, now_ms) if record is not None else 0
 
-    def suspicion(self, fingerprint: str, now_ms: int) -> tuple[str, ...]:
+    def crashed_endpoints(self, fingerprint: str, now_ms: int) -> tuple[str, ...]:
         """Return the endpoints that crashed while the request ran there."""
-        record = self._find(fingerprint, now_ms)
+        record = self._find_record(fingerprint, now_ms)
         return record.endpoints if record is not None else ()
 
     def preferred_endpoint(
         self, fingerprint: str, candidates: Sequence[str], now_ms: int
     ) -> str | None:
-        """Return where a suspect is to run, or ``None`` if nowhere now.
+        """Return the endpoint to run a suspect on, or ``None`` if there is none now.
 
-        With one crash: an endpoint other than the one that crashed, so that a
-        second crash is evidence; rather one that crashed lately than one that
-        never did.  With two: only an endpoint that it may have crashed already,
-        so that it takes down no third one.
+        After one crash it is an endpoint other than the one that crashed, so
+        that a second crash is evidence; one that has crashed recently is
+        preferred.  After two crashes it is one of the endpoints that the request
+        may have crashed already, so that no third endpoint is lost.
 
-        :param candidates: endpoints that could run the request.
+        :param candidates: the endpoints that can run the request.
         """
         if self.verdict(fingerprint, now_ms) is not PoisonVerdict.SUSPECT:
             return None
         record = self._records[fingerprint]
-        busy = {endpoint for endpoint, _ in self._running.values()}
-        free = [name for name in candidates if name not in busy]
+        busy_endpoints = {endpoint for endpoint, _ in self._running.values()}
+        free_endpoints = [name for name in candidates if name not in busy_endpoints]
         if self._is_running(fingerprint):
             return None
         if len(record.endpoints) >= 2:
-            free = [name for name in free if name in record.endpoints]
+            free_endpoints = [
+                name for name in free_endpoints if name in record.endpoints
+            ]
         elif any(name not in record.endpoints for name in candidates):
-            free = [name for name in free if name not in record.endpoints]
-            free = self._keep_to_lanes(record, free, now_ms)
+            free_endpoints = [
+                name for name in free_endpoints if name not in record.endpoints
+            ]
+            free_endpoints = self._filter_by_lanes(record, free_endpoints, now_ms)
         return min(
-            free,
-            key=lambda name: self._rank(fingerprint, name, now_ms),
+            free_endpoints,
+            key=lambda name: self._preference_key(fingerprint, name, now_ms),
             default=None,
         )
 
-    def _keep_to_lanes(
-        self, record: PoisonRecord, free: list[str], now_ms: int
+    def _filter_by_lanes(
+        self, record: PoisonRecord, free_endpoints: list[str], now_ms: int
     ) -> list[str]:
-        age_ms = now_ms - max(record.learned_ms.values())
+        age_ms = now_ms - max(record.crash_known_ms.values())
         if age_ms > self._settings.lane_ms:
-            return free
-        return [name for name in free if self._lanes.is_own(name, age_ms)]
+            return free_endpoints
+        return [
+            name for name in free_endpoints if self._lanes.is_assigned(name, age_ms)
+        ]
 
-    def _rank(self, fingerprint: str, endpoint: str, now_ms: int) -> tuple[bool, int]:
-        lately = self._watch.crashed_lately(endpoint, now_ms)
-        return not lately, int(
+    def _preference_key(
+        self, fingerprint: str, endpoint: str, now_ms: int
+    ) -> tuple[bool, int]:
+        has_crashed = self._crash_monitor.has_crashed_recently(endpoint, now_ms)
+        return not has_crashed, int(
             xxhash.xxh64_intdigest(f'{fingerprint} {endpoint}'.encode())
         )
 
     def _is_running(self, fingerprint: str) -> bool:
-        return any(running == fingerprint for _, running in self._running.values())
+        return any(
+            running_fingerprint == fingerprint
+            for _, running_fingerprint in self._running.values()
+        )
 
-    def started(
+    def record_start(
         self, fingerprint: str, attempt_id: str, endpoint: str, now_ms: int
     ) -> None:
-        """Take note of an attempt; only those of suspects are remembered."""
-        self._watch.use(endpoint, now_ms)
-        record = self._find(fingerprint, now_ms)
+        """Record the start of an attempt; only those of suspects are stored."""
+        self._crash_monitor.record_use(endpoint, now_ms)
+        record = self._find_record(fingerprint, now_ms)
         if record is not None and record.crashes:
             self._running[attempt_id] = (endpoint, fingerprint)
 
-    def ended(self, fingerprint: str, attempt_id: str, ok: bool, now_ms: int) -> None:
-        """Take note of an attempt's end without a crash.
+    def record_end(
+        self, fingerprint: str, attempt_id: str, ok: bool, now_ms: int
+    ) -> None:
+        """Record the end of an attempt without a crash.
 
-        :param ok: whether the answer came whole, which lifts the suspicion.
+        :param ok: whether the answer was complete, which lifts the suspicion.
         """
         self._running.pop(attempt_id, None)
-        record = self._find(fingerprint, now_ms)
+        record = self._find_record(fingerprint, now_ms)
         if ok and record is not None and record.crashes and not record.quarantined:
             self._lift(record, now_ms)
 
     def release(self, fingerprint: str, now_ms: int) -> None:
         """Lift a quarantine at an operator's command."""
-        record = self._find(fingerprint, now_ms)
+        record = self._find_record(fingerprint, now_ms)
         if record is not None and record.crashes:
             self._lift(record, now_ms)
 
     def _lift(self, record: PoisonRecord, now_ms: int) -> None:
         record.lift()
         record.set_lifetime(self._settings, now_ms)
-        self._spread.add(record)
+        self._broadcaster.add(record)
 
-    def crashed(
+    def record_crash(
         self, fingerprint: str, attempt_id: str, endpoint: str, now_ms: int
     ) -> None:
-        """Blame a request that ran on an endpoint when it crashed.
+        """Record that a request ran on an endpoint when it crashed.
 
-        To be called for each such request, then :meth:`tick` at once, so that
-        other instances know before the caller has sent the request again.
+        Call this for each such request, and :meth:`tick` immediately afterwards,
+        so that other instances know before the caller sends the request again.
         """
         self._running.pop(attempt_id, None)
-        if self._watch.crash(endpoint, now_ms):
-            self._forgive(now_ms)
+        if self._crash_monitor.record_crash(endpoint, now_ms):
+            self._lift_recent_suspicions(now_ms)
             return
         record = self._records.get(fingerprint)
         if record is None or record.until_ms <= now_ms:
             record = self._make_record(fingerprint)
         record.add_crash(endpoint, now_ms)
-        record.own = True
-        self._blamed.append((now_ms, record))
-        self._hold(record, now_ms)
-        self._spread.add(record)
+        record.observed_here = True
+        self._recent_crashes.append((now_ms, record))
+        self._start_settling(record, now_ms)
+        self._broadcaster.add(record)
 
-    def _forgive(self, now_ms: int) -> None:
+    def _lift_recent_suspicions(self, now_ms: int) -> None:
         start_ms = now_ms - self._settings.own_fault_window_ms
-        for blamed_ms, record in self._blamed:
-            if blamed_ms >= start_ms and record.crashes and not record.quarantined:
+        for crashed_ms, record in self._recent_crashes:
+            if crashed_ms >= start_ms and record.crashes and not record.quarantined:
                 self._lift(record, now_ms)
-        self._blamed = []
+        self._recent_crashes = []
 
-    def _hold(self, record: PoisonRecord, now_ms: int) -> None:
+    def _start_settling(self, record: PoisonRecord, now_ms: int) -> None:
         record.set_lifetime(self._settings, now_ms)
         if record.needs_conclusion and not record.quarantined:
-            record.held_ms = now_ms
-            record.ambiguous_ms = NEVER_MS
+            record.pending_since_ms = now_ms
+            record.ambiguous_since_ms = NEVER_MS
 
     def receive(self, sender: str, message: object, now_ms: int) -> list[Action]:
-        """Take in another instance's news, and pass on what is new.
+        """Handle a message of another instance, and forward new entries.
 
-        :param sender: the instance that sent it.
+        :param sender: the instance that sent the message.
         """
         if isinstance(message, PoisonDigest):
-            return self._spread.answer(sender, message, self._records, now_ms)
+            return self._broadcaster.respond_to_digest(
+                sender, message, self._records, now_ms
+            )
         if not isinstance(message, PoisonNews):
             return []
         for entry in message.entries:
@@ -211,58 +226,58 @@
                 record = self._make_record(entry.fingerprint)
             if not record.merge(entry, now_ms):
                 continue
-            self._hold(record, now_ms)
+            self._start_settling(record, now_ms)
             record.until_ms = min(record.until_ms, now_ms + entry.lifetime_ms)
-            self._spread.add(record)
-        return self._spread.send(now_ms, besides=sender)
+            self._broadcaster.add(record)
+        return self._broadcaster.broadcast(now_ms, excluded=sender)
 
     def tick(self, view: MemberView, now_ms: int) -> list[Action]:
-        """Draw conclusions that are due, and tell other instances.
+        """Draw the conclusions that are due, and notify other instances.
 
-        :param view: who is alive.
+        :param view: the current members.
         """
-        self._spread.set_view(view)
+        self._broadcaster.set_view(view)
         self._lanes.set_view(view)
-        self._blamed = self._blamed[-self._settings.fingerprints :]
+        self._recent_crashes = self._recent_crashes[-self._settings.fingerprints :]
         self._expire(now_ms)
         for record in list(self._records.values()):
             if self._is_settled(record, now_ms):
                 self._conclude(record, now_ms)
-        actions = self._spread.send(now_ms)
-        actions += self._spread.compare(self._records, now_ms)
+        actions = self._broadcaster.broadcast(now_ms)
+        actions += self._broadcaster.send_digest(self._records, now_ms)
         return actions
 
     def _is_settled(self, record: PoisonRecord, now_ms: int) -> bool:
-        if record.held_ms == NEVER_MS or record.ambiguous_ms != NEVER_MS:
+        if record.pending_since_ms == NEVER_MS or record.ambiguous_since_ms != NEVER_MS:
             return False
         if record.quarantined:
             return False
-        return now_ms - record.held_ms >= self._settings.settle_ms
+        return now_ms - record.pending_since_ms >= self._settings.settle_ms
 
     def _conclude(self, record: PoisonRecord, now_ms: int) -> None:
-        rivals = self._find_rivals(record)
-        if len(rivals) > 1 or self._is_doubtful(record):
-            self._try_alone(rivals, now_ms)
+        equal_suspects = self._find_equal_suspects(record)
+        if len(equal_suspects) > 1 or self._is_ambiguous(record):
+            self._assign_turns(equal_suspects, now_ms)
             return
         settle_ms = PEER_SETTLE_FACTOR * self._settings.settle_ms
-        if not record.own and now_ms - record.held_ms < settle_ms:
-            # The instance that saw the crash concludes; others do so only if
-            # it does not, because it died.
+        if not record.observed_here and now_ms - record.pending_since_ms < settle_ms:
+            # The instance that observed the crash concludes; the others do so
+            # only if it does not, because it has died.
             return
         record.quarantined = True
-        record.held_ms = NEVER_MS
+        record.pending_since_ms = NEVER_MS
         record.set_lifetime(self._settings, now_ms)
-        self._spread.add(record)
+        self._broadcaster.add(record)
         if record.is_confirmed:
-            self._reopen(record, now_ms)
+            self._reopen_overlapping(record, now_ms)
 
-    def _try_alone(self, rivals: list[PoisonRecord], now_ms: int) -> None:
-        for turn, rival in enumerate(rivals):
-            rival.ambiguous_ms = now_ms
-            rival.turn = turn
+    def _assign_turns(self, equal_suspects: list[PoisonRecord], now_ms: int) -> None:
+        for turn, suspect in enumerate(equal_suspects):
+            suspect.ambiguous_since_ms = now_ms
+            suspect.turn = turn
 
-    def _list_contenders(self, record: PoisonRecord) -> list[PoisonRecord]:
-        """Return the others with two crashes, of which one is this one's too."""
+    def _list_overlapping_suspects(self, record: PoisonRecord) -> list[PoisonRecord]:
+        """Return the other records that need a conclusion and share a crash."""
         window_ms = PEER_SETTLE_FACTOR * self._settings.settle_ms
         return [
             other
@@ -272,45 +287,48 @@
             and record.shared_crashes(other, window_ms)
         ]
 
-    def _is_doubtful(self, record: PoisonRecord) -> bool:
-        # Two poison requests at once: an innocent suspect of the first runs
-        # where the second crashes an endpoint for the first time.  It has two
-        # crashes to its name, and so has the first one, but they share only one.
-        return not record.is_confirmed and bool(self._list_contenders(record))
+    def _is_ambiguous(self, record: PoisonRecord) -> bool:
+        # With two poison requests at a time, an innocent suspect of the first
+        # may run where the second crashes an endpoint for the first time.  It
+        # then has two crashes, like the first poison request, but they share
+        # only one of them.
+        return not record.is_confirmed and bool(self._list_overlapping_suspects(record))
 
-    def _reopen(self, culprit: PoisonRecord, now_ms: int) -> None:
-        """Try those alone that were convicted by a crash of the culprit."""
-        for record in self._list_contenders(culprit):
+    def _reopen_overlapping(self, culprit: PoisonRecord, now_ms: int) -> None:
+        """Run requests alone that were quarantined for a crash of *culprit*."""
+        for record in self._list_overlapping_suspects(culprit):
             if record.quarantined and not record.is_confirmed:
                 record.lift(record.endpoints)
-                self._hold(record, now_ms)
-                self._spread.add(record)
+                self._start_settling(record, now_ms)
+                self._broadcaster.add(record)
 
-    def _find_rivals(self, record: PoisonRecord) -> list[PoisonRecord]:
+    def _find_equal_suspects(self, record: PoisonRecord) -> list[PoisonRecord]:
         endpoints = frozenset(record.endpoints)
         window_ms = PEER_SETTLE_FACTOR * self._settings.settle_ms
-        rivals = [
+        equal_suspects = [
             other
             for other in self._records.values()
-            if other.held_ms != NEVER_MS
-            and abs(other.held_ms - record.held_ms) <= window_ms
+            if other.pending_since_ms != NEVER_MS
+            and abs(other.pending_since_ms - record.pending_since_ms) <= window_ms
             and frozenset(other.endpoints) == endpoints
         ]
-        return sorted(rivals, key=lambda rival: rival.fingerprint)
+        return sorted(equal_suspects, key=lambda suspect: suspect.fingerprint)
 
-    def _wait_ms(self, record: PoisonRecord, now_ms: int) -> int:
-        if record.held_ms == NEVER_MS:
+    def _hold_left_ms(self, record: PoisonRecord, now_ms: int) -> int:
+        if record.pending_since_ms == NEVER_MS:
             return 0
-        if record.ambiguous_ms == NEVER_MS:
+        if record.ambiguous_since_ms == NEVER_MS:
             settle_ms = self._settings.settle_ms * PEER_SETTLE_FACTOR
-            return max(1, record.held_ms + settle_ms - now_ms)
-        before = [
-            rival for rival in self._find_rivals(record) if rival.turn < record.turn
+            return max(1, record.pending_since_ms + settle_ms - now_ms)
+        earlier_suspects = [
+            suspect
+            for suspect in self._find_equal_suspects(record)
+            if suspect.turn < record.turn
         ]
-        if not before:
+        if not earlier_suspects:
             return 0
         turn_ms = self._settings.turn_ms * record.turn
-        return max(0, record.ambiguous_ms + turn_ms - now_ms)
+        return max(0, record.ambiguous_since_ms + turn_ms - now_ms)
 
     def _make_record(self, fingerprint: str) -> PoisonRecord:
         record = self._records[fingerprint] = PoisonRecord(fingerprint)
@@ -318,7 +336,7 @@
             self._records.popitem(last=False)
         return record
 
-    def _find(self, fingerprint: str, now_ms: int) -> PoisonRecord | None:
+    def _find_record(self, fingerprint: str, now_ms: int) -> PoisonRecord | None:
         record = self._records.get(fingerprint)
         if record is None or record.until_ms <= now_ms:
             return None
--- a/savorychute/recovery/quarantine_settings.py
+++ b/savorychute/recovery/quarantine_settings.py
@@ -6,16 +6,16 @@
 
 
 class QuarantineSettings(NamedTuple):
-    """Times and bounds of the quarantine.
+    """Times and limits of the quarantine.
 
-    ``settle_ms`` is how long other instances' news of the same crash is waited
-    for, ``turn_ms`` how long an ambiguous request may take to be tried alone.
+    ``settle_ms`` is the time to wait for updates of other instances about the
+    same crash, ``turn_ms`` the time in which an ambiguous request is run alone.
     Crashes within ``own_fault_window_ms`` of at least ``own_fault_endpoints``
-    endpoints, and of ``own_fault_share`` of those in use, are taken for a fault of
-    this instance's own network.  A suspect waits ``lane_ms`` for an endpoint that
-    is this instance's to try suspects on, ``lane_turn_ms`` is a turn where several
-    instances share one.  ``fingerprints``
-    bounds how many are remembered.
+    endpoints, and of ``own_fault_share`` of those in use, count as a fault of
+    this instance's own network.  A suspect waits up to ``lane_ms`` for an
+    endpoint on which this instance may run suspects; ``lane_turn_ms`` is the
+    length of a turn if several instances share one.  ``fingerprints`` is the
+    maximum number of fingerprints that are stored.
     """
 
     settle_ms: int = 300
--- a/savorychute/recovery/retry_settings.py
+++ b/savorychute/recovery/retry_settings.py
@@ -6,11 +6,11 @@
 
 
 class RetrySettings(NamedTuple):
-    """Bounds of retries.
+    """Limits of retries.
 
-    ``burst`` is how many retries an organisation may save up, ``floor_per_s`` what
-    it gets however few its requests are, ``organisations`` how many organisations are
-    remembered.
+    ``burst`` is the maximum number of retries that an organisation accumulates,
+    ``floor_per_s`` the rate that it gets regardless of its requests, and
+    ``organisations`` the maximum number of organisations with a bucket.
     """
 
     burst: float = 5.0
--- a/savorychute/recovery/suspect_lanes.py
+++ b/savorychute/recovery/suspect_lanes.py
@@ -1,4 +1,4 @@
-"""Which instance tries suspects on which endpoint."""
+"""The assignment of endpoints to the instances that run suspects on them."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class SuspectLanes:
-    """Deals the endpoints of a pool out to the instances in turn.
-
-    After a crash every instance has suspects to run again at once.  If those of
-    several instances meet on an endpoint that crashes, all of them share both
-    crashes and each has to be tried once more, at the price of another crash.
-    With the same view of members and endpoints no two instances share a lane
-    at a time; with different views they may, and then are tried once more.  Where
-    there are fewer endpoints than instances, those that share a lane take turns,
-    counted from the crash: all of them see it at the same moment, because their
-    connections break.
-
-    :param instance: this instance.
-    :param turn_ms: how long a turn in a shared lane takes.
+    """Assigns the endpoints of a pool (lanes) to the instances in turn.
+
+    After a crash every instance has suspects to run again at once.  If suspects
+    of several instances run on the same endpoint and it crashes, all of them
+    share both crashes and each has to be run once more, at the cost of another
+    crash.  Instances with the same view of members and endpoints never share a
+    lane at a time; with different views they may, and their suspects are then
+    run once more.  If there are fewer endpoints than instances, those that share
+    a lane take turns, counted from the crash, which all of them observe at the
+    same moment because their connections break.
+
+    :param instance: the name of this instance.
+    :param turn_ms: the length of a turn in a shared lane.
     """
 
     def __init__(self, instance: str, turn_ms: int) -> None:
@@ -37,43 +37,43 @@
         self._turns: dict[str, tuple[int, int]] = {}
 
     def set_endpoints(self, documents: Mapping[str, EndpointDocument]) -> None:
-        """Take over the configured endpoints."""
+        """Set the configured endpoints."""
         self._endpoints = dict(documents)
-        self._deal()
+        self._assign_lanes()
 
     def set_view(self, view: MemberView) -> None:
-        """Take over who is alive."""
+        """Set the current members."""
         members = tuple(sorted(peer.instance for peer in view.alive))
         if members != self._members:
             self._members = members
-            self._deal()
+            self._assign_lanes()
 
-    def is_own(self, endpoint: str, age_ms: int) -> bool:
-        """Return whether this instance may try a suspect on *endpoint* now.
+    def is_assigned(self, endpoint: str, age_ms: int) -> bool:
+        """Return whether this instance may run a suspect on *endpoint* now.
 
         :param age_ms: the time since the crash that made it a suspect.
         """
         if endpoint not in self._endpoints:
             return True
-        turn, turns = self._turns.get(endpoint, (0, 0))
-        return turns > 0 and age_ms // self._turn_ms % turns == turn
+        turn, turn_count = self._turns.get(endpoint, (0, 0))
+        return turn_count > 0 and age_ms // self._turn_ms % turn_count == turn
 
-    def _deal(self) -> None:
+    def _assign_lanes(self) -> None:
         groups: dict[tuple[str, ...], list[str]] = {}
         for name, document in sorted(self._endpoints.items()):
             groups.setdefault(list_groups(document), []).append(name)
         self._turns = {}
         if self._instance in self._members:
-            rank = self._members.index(self._instance)
+            position = self._members.index(self._instance)
             for names in groups.values():
-                self._take_lanes(names, rank)
+                self._assign_group(names, position)
 
-    def _take_lanes(self, names: list[str], rank: int) -> None:
+    def _assign_group(self, names: list[str], position: int) -> None:
         members = len(self._members)
         if len(names) >= members:
-            for name in names[rank::members]:
+            for name in names[position::members]:
                 self._turns[name] = (0, 1)
             return
-        lane = rank % len(names)
-        turns = len(range(lane, members, len(names)))
-        self._turns[names[lane]] = (rank // len(names), turns)
+        lane = position % len(names)
+        turn_count = len(range(lane, members, len(names)))
+        self._turns[names[lane]] = (position // len(names), turn_count)
--- a/tests/test_recovery/poison_history.py
+++ b/tests/test_recovery/poison_history.py
@@ -1,4 +1,4 @@
-"""Random histories of poison requests, over several instances."""
+"""Simulation of random histories of poison requests over several instances."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class HistoryPlan(NamedTuple):
-    """Sizes and habits of one history; times in ms.
+    """Sizes and times of one history.
 
     A caller whose request failed sends it again after ``resend_ms``, to any
-    instance and under a new key.  ``poisons`` begin one per second.
+    instance and under a new key.  The ``poisons`` start one per second.
     """
 
     instances: int = 8
@@ -38,62 +38,68 @@
 
 
 class PoisonHistory:
-    """Requests, endpoints that crash, and the instances' quarantines."""
+    """Requests, endpoints that crash, and the quarantines of the instances."""
 
     def __init__(self, plan: HistoryPlan, seed: int) -> None:
         self.plan = plan
         self.rng = random.Random(seed)
         self.crashed_by: dict[str, list[str]] = {}
-        self.convicted: set[str] = set()
-        self.answered: dict[str, int] = {}
-        self.begun: dict[str, int] = {}
+        self.quarantined: set[str] = set()
+        self.answered_ms: dict[str, int] = {}
+        self.started_ms: dict[str, int] = {}
         self.now_ms = 0
         self._events = []
         self._order = itertools.count()
         self._running: dict[str, tuple[str, int, str, int]] = {}
-        self._up = {f'e{number}' for number in range(plan.endpoints)}
+        self._available = {f'e{number}' for number in range(plan.endpoints)}
         names = [f'i{number}' for number in range(plan.instances)]
         members = tuple(MemberAddress(name, 1, 'r', 'd', 'h', 0, 0) for name in names)
         self._names = names
-        documents = {name: {'models': ['m']} for name in self._up}
+        documents = {name: {'models': ['m']} for name in self._available}
         self._views = [MemberView(member, members) for member in members]
-        self._parts = [
+        self._quarantines = [
             Quarantine(QuarantineSettings(), name, random.Random(self.rng.random()))
             for name in names
         ]
-        for part in self._parts:
-            part.set_endpoints(documents)
+        for quarantine in self._quarantines:
+            quarantine.set_endpoints(documents)
 
-    def at(self, when_ms, call, *arguments):
-        """Call later."""
-        heapq.heappush(self._events, (when_ms, next(self._order), call, arguments))
+    def schedule(self, at_ms, call, *arguments):
+        """Schedule a call."""
+        heapq.heappush(self._events, (at_ms, next(self._order), call, arguments))
 
     def run(self):
         """Run the history to its end."""
         plan = self.plan
         for index in range(plan.instances):
-            self.at(self.rng.randrange(TICK_MS), self._tick, index)
+            self.schedule(self.rng.randrange(TICK_MS), self._tick, index)
         for number in range(plan.innocents):
-            self.at(self.rng.randrange(plan.end_ms // 2), self._send, f'good{number}')
+            self.schedule(
+                self.rng.randrange(plan.end_ms // 2),
+                self._send_from_caller,
+                f'good{number}',
+            )
         for number in range(plan.poisons):
             for _ in range(plan.copies):
                 at_ms = 1_000 * number + 1_000 + self.rng.randrange(3)
-                self.at(at_ms, self._send, f'{POISON}{number}')
+                self.schedule(at_ms, self._send_from_caller, f'{POISON}{number}')
         while self._events and self._events[0][0] <= plan.end_ms:
             self.now_ms, _, call, arguments = heapq.heappop(self._events)
             call(*arguments)
         return self
 
     def _tick(self, index):
-        self._deliver(index, self._parts[index].tick(self._views[index], self.now_ms))
-        self.at(self.now_ms + TICK_MS, self._tick, index)
+        self._deliver(
+            index, self._quarantines[index].tick(self._views[index], self.now_ms)
+        )
+        self.schedule(self.now_ms + TICK_MS, self._tick, index)
 
     def _deliver(self, index, actions):
         for action in actions:
             if self.rng.random() >= self.plan.loss_share:
                 delay_ms = self.rng.randint(1, self.plan.delay_ms)
                 receiver = self._names.index(action.instance)
-                self.at(
+                self.schedule(
                     self.now_ms + delay_ms,
                     self._receive,
                     index,
@@ -102,78 +108,88 @@
                 )
 
     def _receive(self, sender, receiver, message):
-        part = self._parts[receiver]
-        actions = part.receive(self._names[sender], message, self.now_ms)
+        quarantine = self._quarantines[receiver]
+        actions = quarantine.receive(self._names[sender], message, self.now_ms)
         self._deliver(receiver, actions)
 
-    def _send(self, fingerprint):
-        """Let the caller send the request, to any instance."""
-        self.begun.setdefault(fingerprint, self.now_ms)
-        self._place(fingerprint, self.rng.randrange(self.plan.instances), 1)
+    def _send_from_caller(self, fingerprint):
+        """Let the caller send the request to a random instance."""
+        self.started_ms.setdefault(fingerprint, self.now_ms)
+        self._dispatch(fingerprint, self.rng.randrange(self.plan.instances), 1)
 
     def _resend(self, fingerprint, wait_ms):
         delay_ms = wait_ms + self.plan.resend_ms + self.rng.randrange(50)
-        self.at(self.now_ms + delay_ms, self._send, fingerprint)
+        self.schedule(self.now_ms + delay_ms, self._send_from_caller, fingerprint)
 
-    def _place(self, fingerprint, index, attempt):
-        part = self._parts[index]
-        verdict = part.verdict(fingerprint, self.now_ms)
+    def _dispatch(self, fingerprint, index, attempt):
+        quarantine = self._quarantines[index]
+        verdict = quarantine.verdict(fingerprint, self.now_ms)
         if verdict is PoisonVerdict.QUARANTINED:
-            self.convicted.add(fingerprint)
+            self.quarantined.add(fingerprint)
             return
         if verdict is PoisonVerdict.HELD:
-            self._resend(fingerprint, part.held_ms(fingerprint, self.now_ms))
+            self._resend(
+                fingerprint, quarantine.retry_delay_ms(fingerprint, self.now_ms)
+            )
             return
-        up = sorted(self._up)
-        endpoint = self.rng.choice(up) if up else None
+        available_endpoints = sorted(self._available)
+        endpoint = self.rng.choice(available_endpoints) if available_endpoints else None
         if verdict is PoisonVerdict.SUSPECT:
-            endpoint = part.preferred_endpoint(fingerprint, up, self.now_ms)
+            endpoint = quarantine.preferred_endpoint(
+                fingerprint, available_endpoints, self.now_ms
+            )
         if endpoint is None:
-            self.at(self.now_ms + WAIT_MS, self._place, fingerprint, index, attempt)
+            self.schedule(
+                self.now_ms + WAIT_MS, self._dispatch, fingerprint, index, attempt
+            )
             return
         self._start(fingerprint, index, attempt, endpoint)
 
     def _start(self, fingerprint, index, attempt, endpoint):
         attempt_id = f'a{next(self._order)}'
         self._running[attempt_id] = (fingerprint, index, endpoint, attempt)
-        part = self._parts[index]
-        part.started(fingerprint, attempt_id, endpoint, self.now_ms)
+        quarantine = self._quarantines[index]
+        quarantine.record_start(fingerprint, attempt_id, endpoint, self.now_ms)
         if fingerprint.startswith(POISON):
             delay_ms = self.rng.randint(5, 50)
-            self.at(self.now_ms + delay_ms, self._crash, attempt_id)
+            self.schedule(self.now_ms + delay_ms, self._crash_endpoint, attempt_id)
         else:
             duration_ms = self.rng.randint(20, 2 * self.plan.duration_ms)
-            self.at(self.now_ms + duration_ms, self._end, attempt_id)
+            self.schedule(self.now_ms + duration_ms, self._end_attempt, attempt_id)
 
-    def _end(self, attempt_id):
+    def _end_attempt(self, attempt_id):
         if attempt_id not in self._running:
             return
         fingerprint, index, _, _ = self._running.pop(attempt_id)
-        self._parts[index].ended(fingerprint, attempt_id, True, self.now_ms)
-        self.answered[fingerprint] = self.now_ms
+        self._quarantines[index].record_end(fingerprint, attempt_id, True, self.now_ms)
+        self.answered_ms[fingerprint] = self.now_ms
 
-    def _crash(self, attempt_id):
+    def _crash_endpoint(self, attempt_id):
         if attempt_id not in self._running:
             return
         fingerprint, _, endpoint, _ = self._running[attempt_id]
         self.crashed_by.setdefault(fingerprint, []).append(endpoint)
-        self._up.discard(endpoint)
-        self.at(self.now_ms + self.plan.restart_ms, self._up.add, endpoint)
-        lost = [key for key, value in self._running.items() if value[2] == endpoint]
+        self._available.discard(endpoint)
+        self.schedule(self.now_ms + self.plan.restart_ms, self._available.add, endpoint)
+        lost_attempts = [
+            key for key, value in self._running.items() if value[2] == endpoint
+        ]
         by_instance = {}
-        for key in lost:
+        for key in lost_attempts:
             by_instance.setdefault(self._running[key][1], []).append(key)
         for index, keys in by_instance.items():
-            self.at(self.now_ms + 1, self._notice, index, keys)
-
-    def _notice(self, index, keys):
-        part = self._parts[index]
-        lost = [(key, *self._running.pop(key)) for key in keys if key in self._running]
-        for key, fingerprint, _, endpoint, _ in lost:
-            part.crashed(fingerprint, key, endpoint, self.now_ms)
-        self._deliver(index, part.tick(self._views[index], self.now_ms))
-        for _, fingerprint, _, _, attempt in lost:
+            self.schedule(self.now_ms + 1, self._record_crashes, index, keys)
+
+    def _record_crashes(self, index, keys):
+        quarantine = self._quarantines[index]
+        lost_attempts = [
+            (key, *self._running.pop(key)) for key in keys if key in self._running
+        ]
+        for key, fingerprint, _, endpoint, _ in lost_attempts:
+            quarantine.record_crash(fingerprint, key, endpoint, self.now_ms)
+        self._deliver(index, quarantine.tick(self._views[index], self.now_ms))
+        for _, fingerprint, _, _, attempt in lost_attempts:
             if attempt < self.plan.attempts:
-                self._place(fingerprint, index, attempt + 1)
+                self._dispatch(fingerprint, index, attempt + 1)
             else:
                 self._resend(fingerprint, 0)
--- a/tests/test_recovery/test_poison_history.py
+++ b/tests/test_recovery/test_poison_history.py
@@ -25,26 +25,27 @@
 
 @settings(max_examples=40, derandomize=True, deadline=None, phases=(Phase.generate,))
 @given(plan=plans, seed=st.integers(0, 10_000))
-def test_poison_request_takes_down_two_endpoints_at_most(plan, seed):
-    """Endpoint after endpoint crashes, and with them everyone's requests.
+def test_poison_request_crashes_at_most_two_endpoints(plan, seed):
+    """Guards against one request that crashes endpoint after endpoint.
 
-    One request crashes whatever runs it.  Its instance retries it, and its
+    It crashes every endpoint that runs it.  Its instance retries it, and its
     caller sends it again, under new keys and to any instance.
     """
     history = PoisonHistory(plan, seed).run()
 
     crashed = history.crashed_by[f'{POISON}0']
     assert len(set(crashed)) <= 2
-    assert history.convicted <= {f'{POISON}0'}
+    assert history.quarantined <= {f'{POISON}0'}
 
 
 @settings(max_examples=20, derandomize=True, deadline=None, phases=(Phase.generate,))
 @given(plan=plans, poisons=st.integers(2, 4), seed=st.integers(0, 10_000))
 def test_bound_holds_for_several_poison_requests(plan, poisons, seed):
-    """A second poison request appears before the first one is convicted.
+    """A second poison request appears before the first one is quarantined.
 
     An innocent suspect of the first runs where the second crashes an endpoint.
-    Were either cleared because that one is convicted, it would take down more.
+    If one poison request were cleared because the other is quarantined, it
+    would crash more endpoints.
     """
     history = PoisonHistory(plan._replace(poisons=poisons), seed).run()
 
@@ -52,10 +53,12 @@
         assert len(set(crashed)) <= 2
 
 
-def test_innocent_requests_are_answered_while_suspects_are_tried():
+def test_innocent_requests_are_answered_while_suspects_are_run():
     plan = HistoryPlan(innocents=2_000)
     history = PoisonHistory(plan, 4).run()
 
-    unanswered = [name for name in history.begun if name not in history.answered]
+    unanswered = [
+        name for name in history.started_ms if name not in history.answered_ms
+    ]
     assert unanswered == [f'{POISON}0']
-    assert history.convicted == {f'{POISON}0'}
+    assert history.quarantined == {f'{POISON}0'}
--- a/tests/test_recovery/test_suspect_lanes.py
+++ b/tests/test_recovery/test_suspect_lanes.py
@@ -1,4 +1,4 @@
-"""Tests of who tries suspects where."""
+"""Tests of the assignment of endpoints for suspects to instances."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 @pytest.mark.parametrize('instances, endpoints', [(8, 9), (7, 6), (3, 3), (9, 2)])
 def test_no_two_instances_have_a_lane_at_once(make_lanes, instances, endpoints):
-    """Suspects of two instances meet on an endpoint, and it crashes.
+    """Guards against suspects of two instances on one endpoint that crashes.
 
-    Both have the same two crashes then, and one of them is innocent.
+    Both would then have the same two crashes, although one is innocent.
     """
     lanes = make_lanes(instances, endpoints)
     for age_ms in range(0, 10_000, 500):
         for number in range(endpoints):
-            owners = [each for each in lanes if each.is_own(f'e{number}', age_ms)]
+            owners = [each for each in lanes if each.is_assigned(f'e{number}', age_ms)]
             assert len(owners) == 1
 
 
@@ -40,7 +40,7 @@
     last_ms = TURN_MS * -(-instances // endpoints)
     for lanes in make_lanes(instances, endpoints):
         assert any(
-            lanes.is_own(f'e{number}', age_ms)
+            lanes.is_assigned(f'e{number}', age_ms)
             for number in range(endpoints)
             for age_ms in range(0, last_ms, TURN_MS)
         )
