--- a/savorychute/gateway/daemon/attempt_sender.py
+++ b/savorychute/gateway/daemon/attempt_sender.py
@@ -6,7 +6,7 @@
 
 from savorychute.gateway.endpoint_telemetry import CallKind
 from savorychute.gateway.endpoints.endpoint_run import EndpointRun
-from savorychute.gateway.requests.endpoint_answer import AnswerKind
+from savorychute.gateway.requests.endpoint_response import ResponseKind
 from savorychute.http.timed_call import submit_timed
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
 # A report needs no place in the batch; from a living engine it takes a few ms.
 PROBE_TIMEOUT_MS = 250
 # Answers that come from another run than the one that was meant.
-OTHERS_ANSWERS = frozenset({AnswerKind.OTHER_ENDPOINT, AnswerKind.FOREIGN})
+OTHERS_ANSWERS = frozenset({ResponseKind.OTHER_ENDPOINT, ResponseKind.FOREIGN})
 
 
 class AttemptSender:
@@ -182,7 +182,7 @@
             self._listener.attempt_withheld()
             return False
         self._sent_ms = self._clock.now_ms()
-        return self._listener.may_send()
+        return self._listener.can_send()
 
     def response_started(self, status: int, headers: dict[str, str]) -> None:
         """Pass on what the head says."""
@@ -190,15 +190,15 @@
         if answer.kind not in OTHERS_ANSWERS:
             run = self._attempt.endpoint.run
             self._sender.hear(run, status, headers, self._sent_ms)
-        self._listener.answer_began(answer)
+        self._listener.response_started(answer)
 
     def response_data(self, data: bytes) -> None:
         """Pass on a part of the body."""
-        self._listener.answer_data(data)
+        self._listener.response_data(data)
 
     def response_ended(self) -> None:
         """Pass on the end."""
-        self._listener.answer_ended()
+        self._listener.response_ended()
 
     def call_failed(self, failure: CallFailure) -> None:
         """Pass on the failure."""
--- a/savorychute/gateway/daemon/caller_exchange.py
+++ b/savorychute/gateway/daemon/caller_exchange.py
@@ -29,7 +29,7 @@
         """Send a whole answer."""
         self._exchange.respond(status, headers, body)
 
-    def begin(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
+    def start(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
         """Send the head of an answer."""
         self._exchange.start(status, headers)
 
@@ -41,7 +41,7 @@
         """End the answer."""
         self._exchange.finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Close the connection within the answer."""
         self._exchange.abort()
 
--- a/savorychute/gateway/daemon/gateway_host.py
+++ b/savorychute/gateway/daemon/gateway_host.py
@@ -10,7 +10,7 @@
 from savorychute.gateway.daemon.leaving import plan_leaving
 from savorychute.gateway.discovery.advertised import NOT_READY
 from savorychute.gateway.requests.refusal import Refusal
-from savorychute.gateway.requests.request_course import RequestCourse
+from savorychute.gateway.requests.request_execution import RequestExecution
 from savorychute.gateway.settings.key_trust import key_trust_ms
 from savorychute.gateway.settings.retry_bounds import read_bounds
 from savorychute.gateway.translation_error import TranslationError
@@ -146,7 +146,7 @@
             )
             caller.refuse(verdict)
             return
-        course = RequestCourse(self._parts, request, verdict, caller)
+        course = RequestExecution(self._parts, request, verdict, caller)
         exchange.on_left = course.caller_left
         self.in_progress += 1
         course.on_finished = self._note_finished
--- a/savorychute/gateway/dispatch/endpoint_search.py
+++ b/savorychute/gateway/dispatch/endpoint_search.py
@@ -17,7 +17,7 @@
     from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
     from savorychute.gateway.endpoints.endpoint_run import EndpointRun
     from savorychute.gateway.parts import GatewayParts
-    from savorychute.gateway.requests.admitted import Admitted
+    from savorychute.gateway.requests.admitted_request import AdmittedRequest
     from savorychute.gateway.requests.inbound_request import InboundRequest
 
 # Rounds of load reports before a choice: of the likeliest engine, then of others.
@@ -48,7 +48,7 @@
     """
 
     def __init__(
-        self, parts: GatewayParts, request: InboundRequest, admitted: Admitted
+        self, parts: GatewayParts, request: InboundRequest, admitted: AdmittedRequest
     ) -> None:
         self._parts = parts
         self._request = request
--- a/savorychute/gateway/dispatch/limited_endpoints.py
+++ b/savorychute/gateway/dispatch/limited_endpoints.py
@@ -14,7 +14,7 @@
     from savorychute.gateway.endpoints.endpoint_run import EndpointRun
     from savorychute.gateway.parts import GatewayParts
     from savorychute.gateway.permits.permit import Outcome
-    from savorychute.gateway.requests.admitted import Admitted
+    from savorychute.gateway.requests.admitted_request import AdmittedRequest
     from savorychute.gateway.requests.inbound_request import InboundRequest
 
 # Permits that a request asks for before an attempt, one after the other.
@@ -33,7 +33,7 @@
     """
 
     def __init__(
-        self, parts: GatewayParts, request: InboundRequest, admitted: Admitted
+        self, parts: GatewayParts, request: InboundRequest, admitted: AdmittedRequest
     ) -> None:
         self._permits = parts.permits
         self._telemetry = parts.endpoint_telemetry
--- a/savorychute/gateway/dispatch/rank_limits.py
+++ b/savorychute/gateway/dispatch/rank_limits.py
@@ -4,7 +4,11 @@
 
 from typing import NamedTuple
 
-from savorychute.gateway.requests.rank import LAST_LEVEL, LEVELS, tier_of
+from savorychute.gateway.requests.rank import (
+    LAST_ROUTE_LEVEL,
+    ORGANISATION_LEVELS,
+    tier_of,
+)
 
 
 class Ramp(NamedTuple):
@@ -52,9 +56,9 @@
     RankLimits(Ramp(0.5, 0.8), Ramp(1, 7), Ramp(0.4, 1.1)),
 )
 # The ranks of the least urgent tier.
-LAST_TIER = range(LAST_LEVEL * LEVELS, len(LIMITS))
+LAST_TIER = range(LAST_ROUTE_LEVEL * ORGANISATION_LEVELS, len(LIMITS))
 
 
 def is_last_tier(rank: int) -> bool:
     """Return whether no tier is below a rank's."""
-    return tier_of(rank) == LAST_LEVEL
+    return tier_of(rank) == LAST_ROUTE_LEVEL
--- a/savorychute/gateway/endpoints/endpoint_record.py
+++ b/savorychute/gateway/endpoints/endpoint_record.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from savorychute.gateway.endpoints.endpoint_health import EndpointHealth
-from savorychute.gateway.requests.rank import LEAST_URGENT
+from savorychute.gateway.requests.rank import LEAST_URGENT_RANK
 
 if TYPE_CHECKING:
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
@@ -149,14 +149,14 @@
             return False
         return load.waiting > 0
 
-    def unread_tokens(self, rank: int = LEAST_URGENT) -> int:
+    def unread_tokens(self, rank: int = LEAST_URGENT_RANK) -> int:
         """Return what this instance's requests still have to read there.
 
         :param rank: count only those that are at least as urgent.
         """
         return sum(each.tokens for each in self._unread.values() if each.rank <= rank)
 
-    def unreported_tokens(self, rank: int = LEAST_URGENT) -> int:
+    def unreported_tokens(self, rank: int = LEAST_URGENT_RANK) -> int:
         """Return what is still to be read, and the last report cannot have counted yet.
 
         :param rank: count only requests that are at least as urgent.
@@ -168,7 +168,7 @@
             if each.rank <= rank and each.sent_ms >= since_ms
         )
 
-    def unreported(self, rank: int = LEAST_URGENT) -> int:
+    def unreported(self, rank: int = LEAST_URGENT_RANK) -> int:
         """Return how many requests the last report cannot have counted yet.
 
         Those that have begun to generate since are among them.
--- a/savorychute/gateway/endpoints/load_watch.py
+++ b/savorychute/gateway/endpoints/load_watch.py
@@ -6,7 +6,7 @@
 
 from savorychute.gateway.endpoints.endpoint_run import EndpointRun
 from savorychute.gateway.permits.permit import Denial, Permit
-from savorychute.gateway.requests.rank import LEAST_URGENT
+from savorychute.gateway.requests.rank import LEAST_URGENT_RANK
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -73,7 +73,7 @@
         self,
         record: EndpointRecord,
         on_result: Callable[[bool], None],
-        rank: int = LEAST_URGENT,
+        rank: int = LEAST_URGENT_RANK,
     ) -> None:
         """Ask one engine; tell whether it answered in time.
 
--- a/savorychute/gateway/permits/permit_room.py
+++ b/savorychute/gateway/permits/permit_room.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from savorychute.gateway.requests.rank import LAST_LEVEL
+from savorychute.gateway.requests.rank import LAST_ROUTE_LEVEL
 
 if TYPE_CHECKING:
     from savorychute.gateway.endpoints.endpoint_run import EndpointRun
@@ -25,7 +25,7 @@
     scarce_until_ms: int
 
 
-NEVER = _Denied(0.0, (0,) * (LAST_LEVEL + 1), 0)
+NEVER = _Denied(0.0, (0,) * (LAST_ROUTE_LEVEL + 1), 0)
 
 
 class PermitRoom:
--- a/savorychute/gateway/platform_adapter.py
+++ b/savorychute/gateway/platform_adapter.py
@@ -18,7 +18,7 @@
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
     from savorychute.gateway.endpoints.endpoint_statement import EndpointStatement
     from savorychute.gateway.endpoints.engine_load import EngineLoad
-    from savorychute.gateway.requests.endpoint_answer import EndpointAnswer
+    from savorychute.gateway.requests.endpoint_response import EndpointResponse
     from savorychute.gateway.requests.inbound_request import InboundRequest
     from savorychute.gateway.requests.outbound_attempt import OutboundAttempt
     from savorychute.gateway.requests.refusal import Refusal
@@ -92,7 +92,7 @@
 
     def decode_answer(
         self, status: int, headers: dict[str, str], attempt: OutboundAttempt
-    ) -> EndpointAnswer:
+    ) -> EndpointResponse:
         """Return what the head of an endpoint's answer says."""
         ...
 
--- a/savorychute/gateway/requests/__init__.py
+++ b/savorychute/gateway/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The course of one request, from its arrival to its answer."""
+"""Handling of one request, from its arrival to its response."""
--- a/savorychute/gateway/requests/admitted.py
+++ b/savorychute/gateway/requests/admitted_request.py
@@ -1,4 +1,4 @@
-"""A request that may run."""
+"""A request that has passed admission."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
     from savorychute.gateway.configuration.service import Service
 
 
-class Admitted(NamedTuple):
-    """What the configuration in force says of a request.
+class AdmittedRequest(NamedTuple):
+    """What the configuration in force determines for a request.
 
-    ``organisation`` is empty for a caller without a key.  ``rank`` is its
-    urgency, 0 first.  ``end_ms`` is when the
-    caller must have its final answer.
+    ``organisation`` is empty for a caller without a key.  ``rank`` is the priority,
+    0 is the most urgent.  ``end_ms`` is the time by which the caller must have its
+    final response.  ``version`` is the configuration version.
     """
 
     route: Route
--- a/savorychute/gateway/requests/attempt.py
+++ b/savorychute/gateway/requests/attempt.py
@@ -1,186 +1,189 @@
-"""One attempt of a request, as its endpoint answers."""
+"""One attempt of a request and the response of its endpoint."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Protocol
 
-from savorychute.gateway.requests.endpoint_answer import AnswerKind
+from savorychute.gateway.requests.endpoint_response import ResponseKind
 
 if TYPE_CHECKING:
     from savorychute.gateway.dispatch.chooser import Choice
     from savorychute.gateway.requests.attempt_port import RunningAttempt
-    from savorychute.gateway.requests.endpoint_answer import EndpointAnswer
+    from savorychute.gateway.requests.endpoint_response import EndpointResponse
     from savorychute.http.call_failure import CallFailure
 
-# An answer up to this size is held until it is whole, so that another endpoint can
-# take over if it breaks off; a larger one is passed on as it comes.
-HELD_BYTES = 256 * 1024
+# A response up to this size is buffered until it is complete, so that another endpoint
+# can be tried if it breaks off; a larger one is forwarded as it arrives.
+MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class AttemptOwner(Protocol):
     """The request that an attempt belongs to."""
 
     def now_ms(self) -> int:
-        """Return the time."""
+        """Return the current time."""
         ...
 
-    def stream_data(self, attempt: Attempt, data: bytes) -> None:
-        """Take a part of a stream."""
+    def handle_stream_data(self, attempt: Attempt, data: bytes) -> None:
+        """Handle a part of a stream."""
         ...
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Take in that nothing more comes of an attempt."""
+        """Handle the end of an attempt, whatever its outcome."""
         ...
 
-    def pass_head(self, attempt: Attempt) -> None:
-        """Begin to pass on an answer that is too large to be held."""
+    def forward_head(self, attempt: Attempt) -> None:
+        """Start to forward a response that is too large to be buffered."""
         ...
 
-    def pass_data(self, data: bytes) -> None:
-        """Pass on more of it."""
+    def forward_data(self, data: bytes) -> None:
+        """Forward a further part of the response body."""
         ...
 
     def attempt_unsent(self, attempt: Attempt, reason: str) -> None:
-        """Go on after an attempt of which no byte has left."""
+        """Continue after an attempt that failed before any byte was sent."""
         ...
 
     def attempt_withheld(self, attempt: Attempt) -> None:
-        """Go on after an attempt that was not sent: its endpoint takes it no longer."""
+        """Continue after an attempt not sent, as its endpoint no longer accepts it."""
         ...
 
-    def attempt_broke(self, attempt: Attempt, reason: str) -> None:
-        """Go on after an attempt that may have run and has no whole answer."""
+    def attempt_interrupted(self, attempt: Attempt, reason: str) -> None:
+        """Continue after an attempt that may have run and has no complete response."""
         ...
 
-    def attempt_answered(self, attempt: Attempt) -> None:
-        """Take a whole answer."""
+    def attempt_completed(self, attempt: Attempt) -> None:
+        """Handle a complete response."""
         ...
 
 
 class Attempt:
-    """Collects an answer, or hands on the parts of a stream.
+    """Buffers a response, or passes the parts of a stream to the owner.
 
-    :param owner: the request that it belongs to.
-    :param choice: the endpoint, and what it is expected to read.
-    :param began_ms: when it was started.
+    :param owner: the request that the attempt belongs to.
+    :param choice: the endpoint, and the tokens it is expected to process.
+    :param started_ms: when the attempt was started.
     """
 
     __slots__ = (
-        'answer',
-        'began_ms',
+        'buffered',
+        'buffered_bytes',
         'choice',
         'ended',
-        'heard_ms',
-        'held',
-        'held_bytes',
+        'forwarding',
+        'last_received_ms',
         'owner',
-        'passing',
+        'response',
         'running',
         'sent',
         'sent_ms',
+        'started_ms',
         'waiting',
     )
 
-    def __init__(self, owner: AttemptOwner, choice: Choice, began_ms: int) -> None:
+    def __init__(self, owner: AttemptOwner, choice: Choice, started_ms: int) -> None:
         self.owner = owner
         self.choice = choice
-        self.began_ms = began_ms
-        self.heard_ms = began_ms
+        self.started_ms = started_ms
+        self.last_received_ms = started_ms
         self.running: RunningAttempt | None = None
-        self.answer: EndpointAnswer | None = None
-        self.held: list[bytes] = []
-        self.held_bytes = 0
-        self.passing = False
+        self.response: EndpointResponse | None = None
+        self.buffered: list[bytes] = []
+        self.buffered_bytes = 0
+        self.forwarding = False
         self.sent = False
-        self.sent_ms = began_ms
+        self.sent_ms = started_ms
         self.ended = False
         self.waiting = True
         choice.record.begin(
             self,
             choice.fresh_tokens,
-            began_ms,
+            started_ms,
             rank=choice.rank,
             steady=choice.steady,
         )
 
-    # -- what the endpoint does
+    # -- events from the endpoint
 
-    def may_send(self) -> bool:
+    def can_send(self) -> bool:
         """Return whether the attempt is still wanted."""
         self.sent = True
         self.sent_ms = self.owner.now_ms()
         return True
 
     def attempt_withheld(self) -> None:
-        """Take in that nothing is sent."""
+        """Close the attempt without sending it."""
         if self.ended:
             return
         self.close()
         self.owner.attempt_withheld(self)
 
-    def answer_began(self, answer: EndpointAnswer) -> None:
-        """Take the head."""
-        self.answer = answer
-        self.heard_ms = self.owner.now_ms()
-        self.choice.record.heard_ms = self.heard_ms
-        if answer.kind is AnswerKind.FOREIGN:
-            # What follows belongs to nobody here; the connection must not be reused.
+    def response_started(self, response: EndpointResponse) -> None:
+        """Handle the head of the response."""
+        self.response = response
+        self.last_received_ms = self.owner.now_ms()
+        self.choice.record.heard_ms = self.last_received_ms
+        if response.kind is ResponseKind.FOREIGN:
+            # The body belongs to another request; the connection must not be reused.
             self.stop()
-            self.owner.attempt_broke(self, 'foreign-answer')
+            self.owner.attempt_interrupted(self, 'foreign-answer')
 
-    def answer_data(self, data: bytes) -> None:
-        """Take a part of the body."""
-        if self.answer is None or self.ended:
+    def response_data(self, data: bytes) -> None:
+        """Handle a part of the response body."""
+        if self.response is None or self.ended:
             return
-        self.heard_ms = self.owner.now_ms()
-        self.choice.record.heard_ms = self.heard_ms
-        if self.answer.is_stream:
-            self.owner.stream_data(self, data)
+        self.last_received_ms = self.owner.now_ms()
+        self.choice.record.heard_ms = self.last_received_ms
+        if self.response.is_stream:
+            self.owner.handle_stream_data(self, data)
             return
-        if self.passing:
-            self.owner.pass_data(data)
+        if self.forwarding:
+            self.owner.forward_data(data)
             return
-        self.held.append(data)
-        self.held_bytes += len(data)
-        if self.held_bytes > HELD_BYTES and self.answer.kind is AnswerKind.SUCCESS:
-            self.passing = True
-            self.owner.pass_head(self)
-
-    def answer_ended(self) -> None:
-        """Take the end of a whole answer."""
+        self.buffered.append(data)
+        self.buffered_bytes += len(data)
+        if (
+            self.buffered_bytes > MAX_BUFFERED_BYTES
+            and self.response.kind is ResponseKind.SUCCESS
+        ):
+            self.forwarding = True
+            self.owner.forward_head(self)
+
+    def response_ended(self) -> None:
+        """Handle the end of a complete response."""
         if self.ended:
             return
         self.close()
-        self.owner.attempt_answered(self)
+        self.owner.attempt_completed(self)
 
     def attempt_failed(self, failure: CallFailure) -> None:
-        """Take the failure."""
+        """Handle a failure of the call."""
         if self.ended:
             return
         self.sent = failure.sent
         self.close()
         if failure.sent:
-            self.owner.attempt_broke(self, 'connection-lost')
+            self.owner.attempt_interrupted(self, 'connection-lost')
         else:
             self.owner.attempt_unsent(self, failure.reason)
 
     def endpoint_over(self) -> None:
-        """Take in that the endpoint has started again: no answer can come any more."""
+        """Interrupt the attempt: its endpoint restarted and can no longer respond."""
         if self.ended:
             return
         self.stop()
-        self.owner.attempt_broke(self, 'connection-lost')
+        self.owner.attempt_interrupted(self, 'connection-lost')
 
-    # -- what the course does
+    # -- calls from the request
 
-    def began_to_answer(self) -> None:
-        """Note that the endpoint has read the prompt."""
+    def mark_responding(self) -> None:
+        """Record that the endpoint has read the prompt."""
         if self.waiting:
             self.waiting = False
             self.choice.record.end_reading(self)
 
     def stop(self) -> None:
-        """Close the connection, so that the endpoint stops working."""
+        """Close the connection, so that the endpoint stops working on the request."""
         if self.ended:
             return
         self.close()
@@ -188,8 +191,8 @@
             self.running.cancel()
 
     def close(self) -> None:
-        """Count the attempt as no longer at its endpoint."""
+        """Mark the attempt as ended and remove it from its endpoint's record."""
         self.ended = True
         self.owner.attempt_ended(self)
-        self.began_to_answer()
+        self.mark_responding()
         self.choice.record.end(self)
--- a/savorychute/gateway/requests/attempt_port.py
+++ b/savorychute/gateway/requests/attempt_port.py
@@ -1,4 +1,4 @@
-"""The endpoint's side of one attempt."""
+"""Interfaces for sending attempts to endpoints and for timers."""
 
 from __future__ import annotations
 
@@ -10,41 +10,41 @@
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
     from savorychute.gateway.endpoints.engine_load import EngineLoad
     from savorychute.gateway.permits.permit import Permit
-    from savorychute.gateway.requests.endpoint_answer import EndpointAnswer
+    from savorychute.gateway.requests.endpoint_response import EndpointResponse
     from savorychute.gateway.requests.outbound_attempt import OutboundAttempt
     from savorychute.http.call_failure import CallFailure
 
 
 class AttemptListener(Protocol):
-    """Who is told of an attempt's answer; nothing comes after a cancel."""
+    """Receives the events of an attempt; none follows a cancel."""
 
-    def may_send(self) -> bool:
-        """Return whether the attempt is still wanted; no byte has left yet."""
+    def can_send(self) -> bool:
+        """Return whether the attempt is still wanted; no byte has been sent yet."""
         ...
 
     def attempt_withheld(self) -> None:
-        """Take in that nothing is sent, since the endpoint takes it no longer."""
+        """Handle that nothing is sent, as the endpoint no longer accepts the attempt."""
         ...
 
-    def answer_began(self, answer: EndpointAnswer) -> None:
-        """Take the head of the answer."""
+    def response_started(self, response: EndpointResponse) -> None:
+        """Handle the head of the response."""
         ...
 
-    def answer_data(self, data: bytes) -> None:
-        """Take a part of its body."""
+    def response_data(self, data: bytes) -> None:
+        """Handle a part of the response body."""
         ...
 
-    def answer_ended(self) -> None:
-        """Take the end of a whole answer."""
+    def response_ended(self) -> None:
+        """Handle the end of a complete response."""
         ...
 
     def attempt_failed(self, failure: CallFailure) -> None:
-        """Take the failure; nothing follows."""
+        """Handle the failure; no event follows."""
         ...
 
 
 class RunningAttempt(Protocol):
-    """An attempt under way."""
+    """An attempt in progress."""
 
     def cancel(self) -> None:
         """Close its connection, so that the endpoint stops working on it."""
@@ -57,7 +57,7 @@
     def send(
         self, attempt: OutboundAttempt, listener: AttemptListener
     ) -> RunningAttempt:
-        """Start an attempt; no event comes before this method has returned."""
+        """Start an attempt; no event is reported before this method has returned."""
         ...
 
     def probe(
@@ -66,7 +66,7 @@
         on_result: Callable[[EngineLoad | None], None],
         permit: Permit | None = None,
     ) -> None:
-        """Ask an engine for its load; tell None if it does not answer in time."""
+        """Request an engine's load; report None if it does not respond in time."""
         ...
 
 
@@ -74,7 +74,7 @@
     """A timer that has been set."""
 
     def cancel(self) -> None:
-        """Let it not go off."""
+        """Cancel the timer."""
         ...
 
 
@@ -82,5 +82,5 @@
     """Sets timers."""
 
     def call_later(self, delay_ms: int, callback: Callable[[], None]) -> TimerHandle:
-        """Call back once, after a delay."""
+        """Call *callback* once, after a delay."""
         ...
--- a/savorychute/gateway/requests/caller_port.py
+++ b/savorychute/gateway/requests/caller_port.py
@@ -1,4 +1,4 @@
-"""The caller's side of one request."""
+"""Interface for sending the response to a caller."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class CallerPort(Protocol):
-    """How an answer reaches the caller; a no-op once the caller has left."""
+    """Sends a response to the caller; does nothing once the caller has disconnected."""
 
     def respond(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes
     ) -> None:
-        """Send a whole answer of an endpoint."""
+        """Send a complete response of an endpoint."""
         ...
 
-    def begin(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
-        """Send the head of an answer whose body follows in parts."""
+    def start(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
+        """Send the head of a response whose body follows in parts."""
         ...
 
     def send(self, data: bytes) -> None:
@@ -28,13 +28,13 @@
         ...
 
     def finish(self) -> None:
-        """End an answer that is whole."""
+        """End a complete response."""
         ...
 
-    def cut(self) -> None:
-        """End an answer so that it cannot be taken for a whole one."""
+    def abort(self) -> None:
+        """End a response so that it cannot be mistaken for a complete one."""
         ...
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send an answer of the gateway's own."""
+        """Send an error response that the gateway itself generates."""
         ...
--- /dev/null
+++ b/savorychute/gateway/requests/caller_response.py
@@ -0,0 +1,104 @@
+"""What a caller has received, and how its response can still end."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from savorychute.gateway.requests.refusal import Refusal
+from savorychute.gateway.requests.stream_relay import StreamRelay
+from savorychute.ran import Ran
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from savorychute.gateway.requests.caller_port import CallerPort
+    from savorychute.gateway.requests.endpoint_response import EndpointResponse
+    from savorychute.result_code import ResultCode
+
+
+class FinalOutcome(NamedTuple):
+    """How a response ended, for the log; ``status`` is 0 for an aborted one."""
+
+    outcome: str
+    status: int = 0
+
+
+class CallerResponse:
+    """Forwards the responses of endpoints to one caller.
+
+    Once a caller has received a part of a response, its status cannot change any more:
+    either the rest follows, or the response is aborted so that it cannot be mistaken for
+    a complete one.
+
+    :param caller: the caller's connection.
+    :param last_event: the id of the last event that the caller has already received.
+    """
+
+    def __init__(self, caller: CallerPort, last_event: str) -> None:
+        self._caller = caller
+        self.relay = StreamRelay(caller, last_event)
+        self.forwarding = False
+
+    @property
+    def started(self) -> bool:
+        """Whether the caller has received a part of a response."""
+        return self.relay.started or self.forwarding
+
+    def forward_head(
+        self, response: EndpointResponse, buffered: Sequence[bytes]
+    ) -> None:
+        """Start to forward a response that is too large to be buffered.
+
+        :param response: the head of the response.
+        :param buffered: the parts of its body received so far.
+        """
+        self.forwarding = True
+        self._caller.start(response.status, response.headers)
+        self._caller.send(b''.join(buffered))
+
+    def forward_data(self, data: bytes) -> None:
+        """Forward a further part of the response body."""
+        self._caller.send(data)
+
+    def complete(self, response: EndpointResponse, buffered: Sequence[bytes]) -> None:
+        """End a successful response after its last byte.
+
+        :param response: the head of the response.
+        :param buffered: the parts of its body that were not forwarded.
+        """
+        if self.forwarding:
+            self._caller.finish()
+        elif not response.is_stream:
+            self._caller.respond(response.status, response.headers, b''.join(buffered))
+        else:
+            if not self.relay.started:
+                self._caller.start(response.status, response.headers)
+            self._caller.finish()
+
+    def fail(self, response: EndpointResponse, buffered: Sequence[bytes]) -> None:
+        """Forward an endpoint's failure.
+
+        :param response: the head of the response.
+        :param buffered: its body.
+        """
+        if self.started:
+            self._caller.abort()
+        else:
+            self._caller.respond(response.status, response.headers, b''.join(buffered))
+
+    def abandon(
+        self, not_run: Refusal, unknown: ResultCode, executions: int
+    ) -> FinalOutcome:
+        """End without a response of an endpoint, and state only what is known.
+
+        :param not_run: the refusal to send if the request cannot have run.
+        :param unknown: the code to send if the request may have run.
+        :param executions: the number of attempts that may have run.
+        """
+        reason = not_run.reason
+        if self.started:
+            self._caller.abort()
+            return FinalOutcome(f'cut-{reason}')
+        refusal = Refusal(unknown, Ran.UNKNOWN, reason) if executions else not_run
+        self._caller.refuse(refusal)
+        return FinalOutcome(reason, refusal.code.status)
--- a/savorychute/gateway/requests/endpoint_answer.py
+++ b/savorychute/gateway/requests/endpoint_response.py
@@ -1,4 +1,4 @@
-"""The head of an endpoint's answer, decoded."""
+"""The decoded head of an endpoint's response."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
     from collections.abc import Sequence
 
 
-class AnswerKind(Enum):
-    """What an answer says about the execution of its request."""
+class ResponseKind(Enum):
+    """What a response says about the execution of its request."""
 
     SUCCESS = auto()
     FAILURE = auto()
@@ -19,16 +19,16 @@
     FOREIGN = auto()
 
 
-class EndpointAnswer(NamedTuple):
-    """Status, headers to pass on, and what the answer means.
+class EndpointResponse(NamedTuple):
+    """The status, the headers to forward, and the meaning of a response.
 
     ``NOT_RUN``: the endpoint states that it did not run the request.
-    ``OTHER_ENDPOINT``: another endpoint has the address now; the request did not run.
-    ``FOREIGN``: the answer belongs to another request, or lacks the proof that an
-    endpoint made it.  ``is_stream`` is true for a series of events.
+    ``OTHER_ENDPOINT``: another endpoint now has the address; the request did not run.
+    ``FOREIGN``: the response belongs to another request, or lacks the proof that an
+    endpoint made it.  ``is_stream`` is true for a stream of events.
     """
 
-    kind: AnswerKind
+    kind: ResponseKind
     status: int
     headers: Sequence[tuple[str, str]]
     is_stream: bool
--- a/savorychute/gateway/requests/engine_observer.py
+++ b/savorychute/gateway/requests/engine_observer.py
@@ -1,4 +1,4 @@
-"""What one request shows of the engines that serve it, and of the room they have."""
+"""Records what one request shows about the engines of its service."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
     from savorychute.gateway.dispatch.engine_model import EngineModel
     from savorychute.gateway.dispatch.engine_models import EngineModels
     from savorychute.gateway.dispatch.shortages import Shortages
-    from savorychute.gateway.requests.admitted import Admitted
+    from savorychute.gateway.requests.admitted_request import AdmittedRequest
     from savorychute.gateway.requests.attempt import Attempt
 
 
 class EngineObserver:
-    """Tells the model of a service's engines what an attempt met there.
+    """Reports the timings of attempts to the model of a service's engines.
 
-    :param models: of all services' engines.
-    :param shortages: is told of requests that got nothing.
-    :param admitted: what the request is owed.
+    :param models: the engine models of all services.
+    :param shortages: is notified of requests that were not served.
+    :param admitted: the request with its entitlement.
     """
 
     def __init__(
-        self, models: EngineModels, shortages: Shortages, admitted: Admitted
+        self, models: EngineModels, shortages: Shortages, admitted: AdmittedRequest
     ) -> None:
         self._models = models
         self._shortages = shortages
@@ -32,51 +32,51 @@
         self._rank = admitted.rank
         self._target_ms = admitted.route.target_ms
 
-    def offered(self, now_ms: int) -> None:
-        """Note that the request came."""
+    def record_arrival(self, now_ms: int) -> None:
+        """Record the arrival of the request."""
         self._shortages.offer(self._service, self._rank, now_ms)
 
-    def refused(self, now_ms: int) -> None:
-        """Note that the request was refused for want of room."""
+    def record_refusal(self, now_ms: int) -> None:
+        """Record that the request was refused for lack of capacity."""
         self._shortages.got_nothing(self._service, self._rank, now_ms)
 
-    def waited_in_vain(self, attempt: Attempt, now_ms: int) -> None:
-        """Note a request that ended before its first event.
+    def record_unserved(self, attempt: Attempt, now_ms: int) -> None:
+        """Record a request that ended before its first event.
 
-        It counts where it had waited beyond its objective and its engine is known to be
-        full: callers also leave early, and engines that are not busy fall silent.
+        It counts only if it waited longer than its objective and its engine is known to
+        be full: callers may also leave early, and idle engines may become unresponsive.
 
-        :param attempt: the last one.
-        :param now_ms: the time.
+        :param attempt: the last attempt.
+        :param now_ms: the current time.
         """
-        if now_ms - attempt.began_ms < self._target_ms:
+        if now_ms - attempt.started_ms < self._target_ms:
             return
         if is_full_for(attempt.choice.record, self._rank, now_ms):
             self._shortages.got_nothing(self._service, self._rank, now_ms)
 
-    def sent(self, choice: Choice) -> None:
-        """Note what a request is expected to have read anew."""
+    def record_send(self, choice: Choice) -> None:
+        """Record how many uncached tokens the engine is expected to read."""
         self._model().note_sent(choice.fresh_tokens, choice.apart)
 
-    def event_came(self, attempt: Attempt, gap_ms: int | None, now_ms: int) -> None:
-        """Note an event of a stream.
+    def record_event(self, attempt: Attempt, gap_ms: int | None, now_ms: int) -> None:
+        """Record an event of a stream.
 
-        :param attempt: that the event came by.
-        :param gap_ms: the pause before it, None for the first.
-        :param now_ms: the time.
+        :param attempt: the attempt that received the event.
+        :param gap_ms: the pause before the event, None for the first.
+        :param now_ms: the current time.
         """
         choice = attempt.choice
         if gap_ms is not None:
             reading = choice.record.has_queue(now_ms)
             self._model().note_gap(gap_ms, choice.apart, reading)
         elif choice.idle:
-            duration_ms = now_ms - attempt.began_ms
+            duration_ms = now_ms - attempt.started_ms
             self._model().note_first_event(choice.fresh_tokens, duration_ms)
 
-    def stream_ended(self, attempt: Attempt, events: int) -> None:
-        """Note a whole stream."""
+    def record_stream_end(self, attempt: Attempt, events: int) -> None:
+        """Record a complete stream."""
         self._model().note_answer(events, attempt.choice.apart)
 
     def _model(self) -> EngineModel:
-        # Looked up when there is something to tell: a plain service has no model.
+        # Looked up only when there is something to record: plain services have no model.
         return self._models.of(self._service)
--- a/savorychute/gateway/requests/event_splitter.py
+++ b/savorychute/gateway/requests/event_splitter.py
@@ -1,4 +1,4 @@
-"""Cuts the body of a stream at the ends of its events."""
+"""Splits the body of a stream into its events."""
 
 from __future__ import annotations
 
@@ -6,39 +6,40 @@
 
 EVENT_END = b'\n\n'
 ID_FIELD = b'id:'
-EVENT_BOUND_BYTES = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class RawEvent(NamedTuple):
-    """The bytes of one event, with its end, and its id (empty for none)."""
+    """The bytes of one event including its end, and its id (empty for none)."""
 
     event_id: str
     data: bytes
 
 
 class EventSplitter:
-    """Gives the whole events of a body, byte for byte.
+    """Returns the complete events of a body, with their bytes unchanged.
 
-    An endpoint that crashes may stop within an event.  A caller that got half of it
-    could not be given the rest by another endpoint, so only whole events are passed on.
+    An endpoint that crashes may stop within an event.  If a caller had received half of
+    it, another endpoint could not supply the rest, so only complete events are
+    forwarded.
     """
 
-    __slots__ = ('_rest',)
+    __slots__ = ('_partial',)
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._partial = b''
 
     @property
-    def rest_bytes(self) -> int:
-        """How many bytes of an event that has not ended are held."""
-        return len(self._rest)
+    def partial_bytes(self) -> int:
+        """The number of buffered bytes of an incomplete event."""
+        return len(self._partial)
 
     def feed(self, data: bytes) -> list[RawEvent]:
-        """Return the events that more bytes complete.
+        """Return the events that are complete with these bytes.
 
         :param data: the next bytes of the body.
         """
-        buffer = self._rest + data
+        buffer = self._partial + data
         events = []
         start = 0
         while True:
@@ -49,7 +50,7 @@
             block = buffer[start:end]
             events.append(RawEvent(_find_id(block), block))
             start = end
-        self._rest = buffer[start:]
+        self._partial = buffer[start:]
         return events
 
 
--- /dev/null
+++ b/savorychute/gateway/requests/execution_summary.py
@@ -0,0 +1,21 @@
+"""Timings and counts of a finished request."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+
+class ExecutionSummary(NamedTuple):
+    """Durations since the arrival of the request, and counts.
+
+    ``first_event_ms`` is 0 for a response without events.  ``endpoint`` is the endpoint
+    of the last attempt, ``longest_gap_ms`` the longest pause between two events.
+    """
+
+    duration_ms: int
+    first_event_ms: int
+    sends: int
+    possible_executions: int
+    events: int
+    longest_gap_ms: int
+    endpoint: str
--- a/savorychute/gateway/requests/inbound_request.py
+++ b/savorychute/gateway/requests/inbound_request.py
@@ -1,4 +1,4 @@
-"""A caller's request, decoded."""
+"""A decoded request of a caller."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class InboundRequest(NamedTuple):
-    """What decides a request, and the bytes that are passed on.
+    """The fields that decide how a request is handled, and the bytes to forward.
 
-    ``deadline_ms`` is how long the caller waits from its arrival on.  ``key`` is the
-    caller's secret, empty for none.  ``last_event`` is the id of the last event that
-    the caller of a resumed stream has.
+    ``deadline_ms`` is how long the caller waits, counted from the arrival.  ``key`` is
+    the caller's secret, empty for none.  ``last_event`` is the id of the last event that
+    the caller of a resumed stream has received.
     """
 
     attempt_id: str
--- a/savorychute/gateway/requests/intake.py
+++ b/savorychute/gateway/requests/intake.py
@@ -1,4 +1,4 @@
-"""Whether a request may run, by the configuration in force."""
+"""Admission of requests by the configuration in force."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import xxhash
 
-from savorychute.gateway.requests.admitted import Admitted
+from savorychute.gateway.requests.admitted_request import AdmittedRequest
 from savorychute.gateway.requests.rank import rank_request
 from savorychute.gateway.requests.refusal import Refusal
 from savorychute.ran import Ran
@@ -25,18 +25,19 @@
     from savorychute.gateway.recovery.crash_book import CrashBook
     from savorychute.gateway.requests.inbound_request import InboundRequest
 
-# A caller that is refused by an instance out of touch finds another one at once.
-ELSEWHERE_MS = 100
-# A request that crashes endpoints is of no use to its caller soon.
+# A caller refused by an instance with a stale configuration can try another instance
+# at once.
+OTHER_INSTANCE_RETRY_MS = 100
+# A request that crashes endpoints will not succeed soon.
 SUSPECT_RETRY_MS = 5_000
 
 
 class Intake:
-    """Finds route, owner and service of a request, or the reason to refuse it.
+    """Finds the route, owner and service of a request, or the reason to refuse it.
 
-    :param configuration: the version in force.
-    :param crashes: requests that crash endpoints.
-    :param rng: picks one of a route's services by weight.
+    :param configuration: the configuration in force.
+    :param crashes: the observed crashes, by request.
+    :param rng: selects one of a route's services by weight.
     """
 
     def __init__(
@@ -49,28 +50,28 @@
         self._crashes = crashes
         self._rng = rng
 
-    def admit(self, request: InboundRequest, now_ms: int) -> Admitted | Refusal:
-        """Return what the request is owed, or why it is refused.
+    def admit(self, request: InboundRequest, now_ms: int) -> AdmittedRequest | Refusal:
+        """Return the admitted request, or the refusal.
 
         :param request: the request.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         table = self._configuration.table
         if table is None:
             return _refuse(ResultCode.NOT_READY, 'no-configuration')
         route = table.find_route(request.host, request.path)
         if route is None:
-            return self._refuse_absent(ResultCode.NOT_FOUND, 'no-route', now_ms)
+            return self._refuse_unknown(ResultCode.NOT_FOUND, 'no-route', now_ms)
         owner: Organisation | None = None
         if table.needs_keys and not route.public:
             owner = table.find_owner(request.key)
             if owner is None:
                 code = ResultCode.UNAUTHENTICATED
-                return self._refuse_absent(code, 'unknown-key', now_ms)
+                return self._refuse_unknown(code, 'unknown-key', now_ms)
             if not self._configuration.trusts_keys(now_ms):
-                # The key may have been taken back while the store was out of reach.
+                # The key may have been revoked while the store was unreachable.
                 return _refuse(ResultCode.NOT_READY, 'key-unconfirmed')
-        fingerprint = fingerprint_of(request, owner.name if owner else '')
+        fingerprint = compute_fingerprint(request, owner.name if owner else '')
         if self._crashes.is_suspect(fingerprint, now_ms):
             return Refusal(
                 ResultCode.CRASH_SUSPECT,
@@ -78,10 +79,10 @@
                 'crashed-endpoints',
                 SUSPECT_RETRY_MS,
             )
-        service = self._pick_service(table, route)
+        service = self._select_service(table, route)
         if service is None:
             return _refuse(ResultCode.NO_ENDPOINT, 'no-service')
-        return Admitted(
+        return AdmittedRequest(
             route,
             service,
             owner.name if owner else '',
@@ -91,13 +92,13 @@
             table.version,
         )
 
-    def _refuse_absent(self, code: ResultCode, reason: str, now_ms: int) -> Refusal:
-        """Refuse what the table lacks, for good only if the table is fresh."""
+    def _refuse_unknown(self, code: ResultCode, reason: str, now_ms: int) -> Refusal:
+        """Refuse an unknown route or key, permanently only if the table is up to date."""
         if self._configuration.is_fresh(now_ms):
             return Refusal(code, Ran.NOT_RUN, reason)
         return _refuse(ResultCode.NOT_READY, f'{reason}-unconfirmed')
 
-    def _pick_service(self, table: RouteTable, route: Route) -> Service | None:
+    def _select_service(self, table: RouteTable, route: Route) -> Service | None:
         names = [share.service for share in route.shares if share.weight > 0]
         if not names:
             return None
@@ -105,11 +106,11 @@
         return table.services.get(self._rng.choices(names, weights)[0])
 
 
-def fingerprint_of(request: InboundRequest, organisation: str) -> str:
-    """Return what a request has in common with its repetitions.
+def compute_fingerprint(request: InboundRequest, organisation: str) -> str:
+    """Return a hash that is the same for all retries of a request.
 
     :param request: the request.
-    :param organisation: whose it is.
+    :param organisation: the organisation of the caller.
     """
     digest = xxhash.xxh3_64()
     for text in (organisation, request.host, request.raw.method, request.raw.target):
@@ -120,4 +121,4 @@
 
 
 def _refuse(code: ResultCode, reason: str) -> Refusal:
-    return Refusal(code, Ran.NOT_RUN, reason, ELSEWHERE_MS)
+    return Refusal(code, Ran.NOT_RUN, reason, OTHER_INSTANCE_RETRY_MS)
--- a/savorychute/gateway/requests/outbound_attempt.py
+++ b/savorychute/gateway/requests/outbound_attempt.py
@@ -1,4 +1,4 @@
-"""One try of a request at an endpoint."""
+"""One attempt of a request, as it is sent to an endpoint."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 
 class OutboundAttempt(NamedTuple):
-    """What an endpoint is sent.
+    """The data that is sent to an endpoint.
 
-    ``remaining_ms`` is the time left, ``urgency`` the rank among the requests at a
-    model engine (0 is first; None for plain services), ``last_event`` the id after
-    which a stream goes on, ``organisation`` whose key the request had.  An endpoint that
+    ``remaining_ms`` is the time left until the deadline, ``urgency`` the rank among the
+    requests at a model engine (0 is the most urgent; None for plain services),
+    ``last_event`` the id of the event after which a stream resumes, ``organisation`` the
+    owner of the caller's key.  ``fresh`` requires a new connection.  An endpoint that
     states a limit is called only with a ``permit``.
     """
 
--- a/savorychute/gateway/requests/prompt.py
+++ b/savorychute/gateway/requests/prompt.py
@@ -1,4 +1,4 @@
-"""What is known of a prompt before it is read."""
+"""What is known about a prompt before an engine reads it."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt, named by its content."""
+    """A part of a prompt, identified by a hash of its content."""
 
     part: str
     tokens: int
 
 
 class Prompt(NamedTuple):
-    """The parts of a prompt, in order, and the size of prompt and answer.
+    """The parts of a prompt in order, and the token counts of prompt and response.
 
-    The last part belongs to the request or to its session alone; those before it are
+    The last part belongs only to the request or its session; the parts before it are
     shared with other requests.
     """
 
@@ -26,10 +26,10 @@
 
     @property
     def shared_tokens(self) -> int:
-        """How many tokens stand before the last part."""
+        """The number of tokens before the last part."""
         return sum(part.tokens for part in self.parts[:-1])
 
     @property
     def affinity(self) -> str:
-        """What requests of one cached prompt have in common; empty if nothing."""
+        """The key shared by requests with the same cached prefix; empty for none."""
         return self.parts[-2].part if len(self.parts) > 1 else ''
--- a/savorychute/gateway/requests/rank.py
+++ b/savorychute/gateway/requests/rank.py
@@ -1,34 +1,35 @@
-"""The order of requests by urgency."""
+"""Ranks of requests by urgency."""
 
 from __future__ import annotations
 
-# Levels of an organisation's tier that are told apart inside one level of the route's.
-LEVELS = 3
-# The last level of the route's tier that is told apart.
-LAST_LEVEL = 2
-# The engines know ranks from 0, the most urgent, to 9.
-LEAST_URGENT = 9
+# The number of distinct organisation tiers within one tier of the route.
+ORGANISATION_LEVELS = 3
+# The last distinct tier of the route; later tiers count as this one.
+LAST_ROUTE_LEVEL = 2
+# Engines accept ranks from 0, the most urgent, to 9.
+LEAST_URGENT_RANK = 9
 
 
 def rank_request(organisation_tier: int | None, route_tier: int) -> int:
     """Return a request's rank, 0 for the most urgent.
 
-    The route's tier goes first, the organisation's decides among equals.  An engine that
-    makes room puts back the newest of its least urgent streams: with the organisation's
-    first, diagnoses of one organisation made room while summaries of another one ran on
-    (13 and 22 in two runs of a crowded day, none with this order).
+    The route's tier comes first; the organisation's tier decides between equal routes.
+    An engine that needs capacity preempts the newest of its least urgent streams.  With
+    the organisation's tier first, diagnoses of one organisation were preempted while
+    summaries of another one kept running (13 and 22 in two runs of an overloaded day,
+    none with this order).
 
-    :param organisation_tier: of the key's owner; None counts as the last.
-    :param route_tier: of the route.
+    :param organisation_tier: the tier of the key's owner; None counts as the last.
+    :param route_tier: the tier of the route.
     """
-    last = LEVELS - 1
+    last = ORGANISATION_LEVELS - 1
     second = last if organisation_tier is None else min(max(organisation_tier, 0), last)
-    return min(max(route_tier, 0) * LEVELS + second, LEAST_URGENT)
+    return min(max(route_tier, 0) * ORGANISATION_LEVELS + second, LEAST_URGENT_RANK)
 
 
 def tier_of(rank: int) -> int:
-    """Return the level of the route's tier that a rank stands for, 0 first.
+    """Return the route's tier that a rank stands for, 0 for the most urgent.
 
-    :param rank: from :func:`rank_request`.
+    :param rank: a rank from :func:`rank_request`.
     """
-    return min(rank // LEVELS, LAST_LEVEL)
+    return min(rank // ORGANISATION_LEVELS, LAST_ROUTE_LEVEL)
--- a/savorychute/gateway/requests/refusal.py
+++ b/savorychute/gateway/requests/refusal.py
@@ -1,4 +1,4 @@
-"""An answer of the gateway's own."""
+"""An error response that the gateway itself generates."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Refusal(NamedTuple):
-    """Why a request gets no answer of an endpoint, and whether it ran."""
+    """Why a request gets no response of an endpoint, and whether it ran."""
 
     code: ResultCode
     ran: Ran
--- a/savorychute/gateway/requests/refusal_notes.py
+++ b/savorychute/gateway/requests/refusal_tracker.py
@@ -1,4 +1,4 @@
-"""What a request that gets no endpoint is refused with."""
+"""Refusals of requests that no endpoint served."""
 
 from __future__ import annotations
 
@@ -6,36 +6,36 @@
 from savorychute.ran import Ran
 from savorychute.result_code import ResultCode
 
-# Refused for want of endpoints: their entries change within about a second.
+# For a request without a usable endpoint: entries of endpoints change within about 1 s.
 NO_ENDPOINT_RETRY_MS = 300
 
 
-class RefusalNotes:
-    """Remembers why endpoints did not take the request, and when to come back."""
+class RefusalTracker:
+    """Tracks why endpoints did not accept the request, and when to retry it."""
 
     def __init__(self) -> None:
         self._retry_after_ms = 0
         self._is_overload = False
 
-    def rejected(self, retry_after_ms: int) -> None:
-        """Note that an endpoint turned the request away.
+    def record_rejection(self, retry_after_ms: int) -> None:
+        """Record that an endpoint rejected the request.
 
-        :param retry_after_ms: what the endpoint said; 0 for nothing.
+        :param retry_after_ms: the delay that the endpoint stated; 0 for none.
         """
         self._retry_after_ms = max(self._retry_after_ms, retry_after_ms)
 
-    def overloaded(self, retry_after_ms: int) -> None:
-        """Note that no endpoint has room.
+    def record_overload(self, retry_after_ms: int) -> None:
+        """Record that no endpoint has capacity.
 
-        :param retry_after_ms: when there may be some.
+        :param retry_after_ms: the delay until there may be capacity.
         """
         self._retry_after_ms = retry_after_ms
         self._is_overload = True
 
     def make_refusal(self, reason: str) -> Refusal:
-        """Return the answer to a request that did not run.
+        """Return the refusal for a request that did not run.
 
-        :param reason: what ended it, if that was no overload.
+        :param reason: why the request ended; an overload takes precedence.
         """
         retry_after_ms = self._retry_after_ms or NO_ENDPOINT_RETRY_MS
         if self._is_overload:
@@ -45,6 +45,6 @@
         return Refusal(ResultCode.NO_ENDPOINT, Ran.NOT_RUN, reason, retry_after_ms)
 
 
-def make_late_refusal() -> Refusal:
-    """Return the answer to a request that did not run in its time."""
+def make_timeout_refusal() -> Refusal:
+    """Return the refusal for a request that did not run before its deadline."""
     return Refusal(ResultCode.NO_ENDPOINT, Ran.NOT_RUN, 'timeout', NO_ENDPOINT_RETRY_MS)
--- /dev/null
+++ b/savorychute/gateway/requests/request_execution.py
@@ -0,0 +1,420 @@
+"""Execution of one request, from its admission to its response."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from savorychute.gateway.dispatch.endpoint_search import EndpointSearch, NotFound
+from savorychute.gateway.recovery.crash_sighting import CrashSighting
+from savorychute.gateway.requests.attempt import Attempt
+from savorychute.gateway.requests.caller_response import CallerResponse
+from savorychute.gateway.requests.endpoint_response import ResponseKind
+from savorychute.gateway.requests.engine_observer import EngineObserver
+from savorychute.gateway.requests.event_times import EventTimes
+from savorychute.gateway.requests.execution_summary import ExecutionSummary
+from savorychute.gateway.requests.outbound_attempt import OutboundAttempt
+from savorychute.gateway.requests.progress_deadline import progress_deadline_ms
+from savorychute.gateway.requests.refusal_tracker import (
+    RefusalTracker,
+    make_timeout_refusal,
+)
+from savorychute.gateway.requests.usage_observer import UsageObserver
+from savorychute.result_code import ResultCode
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from savorychute.gateway.dispatch.chooser import Choice
+    from savorychute.gateway.parts import GatewayParts
+    from savorychute.gateway.requests.admitted_request import AdmittedRequest
+    from savorychute.gateway.requests.attempt_port import TimerHandle
+    from savorychute.gateway.requests.caller_port import CallerPort
+    from savorychute.gateway.requests.inbound_request import InboundRequest
+    from savorychute.gateway.requests.refusal import Refusal
+
+# Includes the attempts that endpoints rejected.
+MAX_SENDS = 4
+# Less time than this is too short for another endpoint to respond.
+MIN_REMAINING_MS = 30
+# Between two checks of an unresponsive endpoint that cannot be abandoned.
+RECHECK_INTERVAL_MS = 50
+
+
+class RequestExecution:
+    """Sends a request to one endpoint after another until one responds.
+
+    Two facts decide what may follow a failed attempt: whether the request may have run
+    (``possible_executions``), and whether a second execution is harmful.  The caller is
+    sent 'not run' only if no attempt may have run.
+
+    :param parts: the components shared by all requests.
+    :param request: the request.
+    :param admitted: the request with its entitlement.
+    :param caller: receives the response.
+    """
+
+    def __init__(
+        self,
+        parts: GatewayParts,
+        request: InboundRequest,
+        admitted: AdmittedRequest,
+        caller: CallerPort,
+    ) -> None:
+        self._parts = parts
+        self._request = request
+        self._admitted = admitted
+        self._route = admitted.route
+        self._search = EndpointSearch(parts, request, admitted)
+        self._observer = EngineObserver(parts.engines, parts.shortages, admitted)
+        self._usage = UsageObserver(parts.usage, admitted)
+        self._response = CallerResponse(caller, request.last_event)
+        self._attempt: Attempt | None = None
+        self._timer: TimerHandle | None = None
+        self._sends = 0
+        self._refusals = RefusalTracker()
+        self.possible_executions = 0
+        self.started_ms = parts.clock.now_ms()
+        self._times = EventTimes(self.started_ms)
+        self.finished = False
+        self.on_finished: Callable[[], None] | None = None
+
+    def now_ms(self) -> int:
+        """Return the current time."""
+        return self._parts.clock.now_ms()
+
+    # -- called by the host
+
+    def start(self) -> None:
+        """Send the first attempt."""
+        self._parts.allowance.request(self._admitted.service.name, self.started_ms)
+        if self._admitted.service.runs_models:
+            self._observer.record_arrival(self.started_ms)
+        if not self._send():
+            self._abandon('no-endpoint')
+
+    def caller_left(self) -> None:
+        """Stop all work, because the caller has disconnected."""
+        if not self.finished:
+            self._finish('caller-left')
+
+    # -- called by the attempt
+
+    def handle_stream_data(self, attempt: Attempt, data: bytes) -> None:
+        """Forward complete events at once; the caller waits for each of them."""
+        response = attempt.response
+        assert response is not None
+        if not self._response.relay.forward(data, response.status, response.headers):
+            return
+        now_ms = self.now_ms()
+        if attempt.waiting:
+            self._usage.record_stream_start(now_ms)
+        attempt.mark_responding()
+        self._observer.record_event(attempt, self._times.record(now_ms), now_ms)
+
+    def attempt_ended(self, attempt: Attempt) -> None:
+        """Count an execution by a plain service."""
+        self._usage.record_attempt_end(attempt)
+
+    def forward_head(self, attempt: Attempt) -> None:
+        """Start to forward a response that is too large to be buffered."""
+        assert attempt.response is not None
+        self._response.forward_head(attempt.response, attempt.buffered)
+        attempt.buffered.clear()
+
+    def forward_data(self, data: bytes) -> None:
+        """Forward a further part of the response body."""
+        self._response.forward_data(data)
+
+    def attempt_unsent(self, attempt: Attempt, reason: str) -> None:
+        """Continue after an attempt that failed before any byte was sent."""
+        record = attempt.choice.record
+        record.health.silent(self.now_ms())
+        self._parts.crashes.endpoint_ended(record.entry.run, self.now_ms())
+        self._log_attempt(attempt, 'unsent', reason)
+        self._sends -= 1
+        if self._can_continue() and self._send():
+            return
+        self._abandon('unreachable')
+
+    def attempt_withheld(self, attempt: Attempt) -> None:
+        """Continue after an attempt whose endpoint no longer accepts it."""
+        self._search.take_back(attempt.choice.record.entry.run)
+        self._log_attempt(attempt, 'withheld', '')
+        self._sends -= 1
+        if self._can_continue() and self._send():
+            return
+        self._abandon('withheld')
+
+    def attempt_interrupted(self, attempt: Attempt, reason: str) -> None:
+        """Continue after an attempt that may have run and has no complete response."""
+        now_ms = self.now_ms()
+        record = attempt.choice.record
+        record.health.silent(now_ms)
+        self.possible_executions += 1
+        if reason == 'connection-lost':
+            crash = CrashSighting(self._admitted.fingerprint, record.entry.run)
+            self._parts.crashes.broke_off(crash, now_ms)
+        self._log_attempt(attempt, 'broke', reason)
+        if not self._retry():
+            self._abandon(reason)
+
+    def attempt_completed(self, attempt: Attempt) -> None:
+        """Handle a complete response."""
+        response = attempt.response
+        assert response is not None
+        if response.kind in (ResponseKind.NOT_RUN, ResponseKind.OTHER_ENDPOINT):
+            self._handle_rejection(attempt)
+            return
+        if response.kind is ResponseKind.FAILURE:
+            self._handle_failure(attempt)
+            return
+        if response.is_stream and not self._response.relay.is_between_events:
+            self.attempt_interrupted(attempt, 'event-cut')
+            return
+        attempt.choice.record.health.succeeded(self.now_ms())
+        if response.is_stream:
+            self._observer.record_stream_end(attempt, self._response.relay.events)
+        self._log_attempt(attempt, 'answered', '')
+        self._response.complete(response, attempt.buffered)
+        self._finish('answered', response.status)
+
+    # -- after an attempt
+
+    def _handle_rejection(self, attempt: Attempt) -> None:
+        """Continue after an endpoint stated that it did not run the request."""
+        response = attempt.response
+        assert response is not None
+        if response.kind is ResponseKind.OTHER_ENDPOINT:
+            self._parts.roster.end(attempt.choice.record.entry.run)
+        else:
+            attempt.choice.record.health.failed(self.now_ms())
+            self._refusals.record_rejection(response.retry_after_ms)
+        self._log_attempt(attempt, 'rejected', response.kind.name.lower())
+        if self._can_continue() and self._send_retry():
+            return
+        self._abandon('rejected')
+
+    def _handle_failure(self, attempt: Attempt) -> None:
+        """Retry a request that an endpoint failed, or forward the failure."""
+        response = attempt.response
+        assert response is not None
+        attempt.choice.record.health.failed(self.now_ms())
+        self.possible_executions += 1
+        self._log_attempt(attempt, 'failed', str(response.status))
+        if self._retry():
+            return
+        self._response.fail(response, attempt.buffered)
+        self._finish('endpoint-failed', response.status)
+
+    def _retry(self) -> bool:
+        """Retry a request that may have run, if that is harmless and permitted."""
+        if not self._route.repeatable or self._response.forwarding:
+            return False
+        if (
+            self.possible_executions >= self._route.max_attempts
+            or not self._can_continue()
+        ):
+            return False
+        if self._parts.crashes.is_suspect(self._admitted.fingerprint, self.now_ms()):
+            return False
+        self._response.relay.restart()
+        return self._send_retry()
+
+    def _send_retry(self) -> bool:
+        """Send a retry within the shared bound, if there is an endpoint."""
+        has_other = self._search.has_other(self.now_ms())
+        return has_other and self._spend_retry() and self._send()
+
+    def _can_continue(self) -> bool:
+        remaining_ms = self._admitted.end_ms - self.now_ms()
+        return self._sends < MAX_SENDS and remaining_ms >= MIN_REMAINING_MS
+
+    def _spend_retry(self) -> bool:
+        service = self._admitted.service.name
+        decision = self._parts.allowance.try_spend(service, self.now_ms())
+        self._parts.telemetry.repeat_decided(self._request, service, decision)
+        return decision.granted
+
+    def _abandon(self, reason: str) -> None:
+        """End without a response of an endpoint."""
+        not_run = self._refusals.make_refusal(reason)
+        self._end_without_response(not_run, ResultCode.OUTCOME_UNKNOWN)
+
+    def _end_without_response(self, not_run: Refusal, unknown: ResultCode) -> None:
+        final = self._response.abandon(not_run, unknown, self.possible_executions)
+        self._finish(final.outcome, final.status)
+
+    # -- sending
+
+    def _send(self) -> bool:
+        """Start an attempt; return false if there is no endpoint for it."""
+        now_ms = self.now_ms()
+        found = self._search.find(
+            now_ms, bool(self.possible_executions), self._resume_search
+        )
+        if found is NotFound.ASKING:
+            self._set_timer()
+            return True
+        if found is NotFound.NONE_LEFT:
+            return False
+        if found in (NotFound.OVERLOADED, NotFound.CLOSED):
+            self._record_refusal(found, now_ms)
+            return False
+        self._send_to(found, now_ms)
+        return True
+
+    def _record_refusal(self, found: NotFound, now_ms: int) -> None:
+        """Record after which delay the caller should retry."""
+        wait_ms = self._search.wait_ms(now_ms) if found is NotFound.CLOSED else 0
+        self._refusals.record_overload(self._parts.guard.retry_after_ms(wait_ms))
+        if self._admitted.service.runs_models:
+            self._observer.record_refusal(now_ms)
+
+    def _resume_search(self) -> None:
+        """Resume a search that waited for load reports or a permit."""
+        if not self.finished and not self._send():
+            self._abandon('no-endpoint')
+
+    def _send_to(self, choice: Choice, now_ms: int) -> None:
+        service = self._admitted.service
+        self._sends += 1
+        if service.runs_models:
+            self._observer.record_send(choice)
+        attempt = Attempt(self, choice, now_ms)
+        self._attempt = attempt
+        attempt.running = self._parts.attempts.send(
+            OutboundAttempt(
+                request=self._request,
+                endpoint=choice.record.entry,
+                remaining_ms=self._admitted.end_ms - now_ms,
+                organisation=self._admitted.organisation,
+                urgency=self._admitted.rank if service.runs_models else None,
+                last_event=self._response.relay.last_event,
+                fresh=not self._route.repeatable,
+                permit=choice.permit,
+            ),
+            attempt,
+        )
+        self._set_timer()
+
+    # -- timeouts
+
+    def _set_timer(self, min_delay_ms: int = 1) -> None:
+        """Set the timer to the earliest deadline.
+
+        :param min_delay_ms: the shortest delay from now.
+        """
+        if self._timer is not None:
+            self._timer.cancel()
+        due_ms = self._admitted.end_ms
+        attempt = self._replaceable_attempt()
+        if attempt is not None:
+            due_ms = min(due_ms, progress_deadline_ms(attempt, self._route))
+        delay_ms = max(min_delay_ms, due_ms - self.now_ms())
+        self._timer = self._parts.timers.call_later(delay_ms, self._timer_expired)
+
+    def _replaceable_attempt(self) -> Attempt | None:
+        """Return the current attempt if another endpoint may be tried instead."""
+        attempt = self._attempt
+        if attempt is None or attempt.ended or self._response.forwarding:
+            return None
+        if not self._route.repeatable:
+            return None
+        if self.possible_executions + 1 >= self._route.max_attempts:
+            return None
+        return attempt
+
+    def _timer_expired(self) -> None:
+        self._timer = None
+        if self.finished:
+            return
+        now_ms = self.now_ms()
+        if now_ms >= self._admitted.end_ms:
+            self._time_out()
+            return
+        attempt = self._replaceable_attempt()
+        if attempt is not None and now_ms >= progress_deadline_ms(attempt, self._route):
+            self._check_unresponsive(attempt)
+        if not self.finished and self._timer is None:
+            self._set_timer(RECHECK_INTERVAL_MS)
+
+    def _check_unresponsive(self, attempt: Attempt) -> None:
+        """Probe an unresponsive engine; abandon an unresponsive plain endpoint.
+
+        A model engine that reads long prompts sends nothing for a while, and abandoning
+        it would cause the prompt to be read twice; it responds to probes meanwhile.
+        """
+        if not self._admitted.service.runs_models:
+            self._abandon_attempt(attempt)
+            return
+        record = attempt.choice.record
+        self._parts.loads.ask(
+            record,
+            lambda is_alive: self._probe_completed(attempt, is_alive),
+            self._admitted.rank,
+        )
+
+    def _probe_completed(self, attempt: Attempt, is_alive: bool) -> None:
+        if (
+            not is_alive
+            and not self.finished
+            and attempt is self._replaceable_attempt()
+        ):
+            self._abandon_attempt(attempt)
+
+    def _abandon_attempt(self, attempt: Attempt) -> None:
+        """Close an unresponsive attempt and try another endpoint, if there is one."""
+        can_go = self._can_continue() and self._search.has_other(self.now_ms())
+        if not can_go or not self._spend_retry():
+            return
+        attempt.stop()
+        attempt.choice.record.health.silent(self.now_ms())
+        self.possible_executions += attempt.sent
+        self._log_attempt(attempt, 'silent', '')
+        self._response.relay.restart()
+        if not self._send():
+            self._abandon('silent')
+
+    def _time_out(self) -> None:
+        """End a request whose deadline has passed."""
+        attempt = self._attempt
+        if attempt is not None and not attempt.ended:
+            self._record_if_unserved(attempt)
+            attempt.stop()
+            self.possible_executions += attempt.sent
+            self._log_attempt(attempt, 'timeout', '')
+        self._end_without_response(make_timeout_refusal(), ResultCode.ANSWER_TIMEOUT)
+
+    def _finish(self, outcome: str, status: int = 0) -> None:
+        self.finished = True
+        if self._timer is not None:
+            self._timer.cancel()
+        if self._attempt is not None:
+            self._record_if_unserved(self._attempt)
+            self._attempt.stop()
+        self._parts.telemetry.request_finished(
+            self._request, self._admitted, outcome, int(status), self.summary()
+        )
+        if self.on_finished is not None:
+            self.on_finished()
+
+    def _record_if_unserved(self, attempt: Attempt) -> None:
+        if self._admitted.service.runs_models and attempt.waiting:
+            self._observer.record_unserved(attempt, self.now_ms())
+
+    def summary(self) -> ExecutionSummary:
+        """Return the timings and counts of the request, for its log line."""
+        return ExecutionSummary(
+            self.now_ms() - self.started_ms,
+            self._times.first_ms,
+            self._sends,
+            self.possible_executions,
+            self._response.relay.events,
+            self._times.longest_gap_ms,
+            self._attempt.choice.record.entry.endpoint if self._attempt else '',
+        )
+
+    def _log_attempt(self, attempt: Attempt, outcome: str, reason: str) -> None:
+        self._parts.telemetry.attempt_ended(
+            self._request, attempt, outcome, reason, self.now_ms()
+        )
--- a/savorychute/gateway/requests/stream_relay.py
+++ b/savorychute/gateway/requests/stream_relay.py
@@ -1,4 +1,4 @@
-"""The events of one answer, by whichever endpoints they come."""
+"""Forwards the events of one stream, which several endpoints may supply in turn."""
 
 from __future__ import annotations
 
@@ -13,60 +13,60 @@
 
 
 class StreamRelay:
-    """Passes whole events on and knows where another endpoint has to go on.
+    """Forwards complete events and tracks where another endpoint has to resume.
 
-    :param caller: who gets them.
-    :param last_event: the id of the last event that the caller has already.
+    :param caller: the caller that receives the events.
+    :param last_event: the id of the last event that the caller has already received.
     """
 
     def __init__(self, caller: CallerPort, last_event: str) -> None:
         self._caller = caller
         self._splitter = EventSplitter()
         self.last_event = last_event
-        self.begun = False
+        self.started = False
         self.events = 0
 
     @property
     def is_between_events(self) -> bool:
-        """Whether no part of an event is held."""
-        return self._splitter.rest_bytes == 0
+        """Whether no incomplete event is buffered."""
+        return self._splitter.partial_bytes == 0
 
     def restart(self) -> None:
-        """Drop the part of an event that the last endpoint left behind."""
+        """Discard the incomplete event of the previous endpoint."""
         self._splitter = EventSplitter()
 
-    def take(
+    def forward(
         self, data: bytes, status: int, headers: Sequence[tuple[str, str]]
     ) -> bool:
-        """Pass on the events that more bytes complete; return whether there were any.
+        """Forward the events that these bytes complete; return whether there were any.
 
-        The head goes out with the first event: until then another endpoint's head
-        could still take its place.
+        The head is sent with the first event: until then another endpoint's head can
+        still replace it.
 
         :param data: bytes of the endpoint's body.
-        :param status: the status of its answer.
-        :param headers: its headers that are passed on.
+        :param status: the status of its response.
+        :param headers: the response headers to forward.
         """
-        passed = []
+        forwarded = []
         for event in self._splitter.feed(data):
             if not self._is_next(event.event_id):
                 continue
-            passed.append(event.data)
+            forwarded.append(event.data)
             if event.event_id:
                 self.last_event = event.event_id
-        if not passed:
+        if not forwarded:
             return False
-        if not self.begun:
-            self.begun = True
-            self._caller.begin(status, headers)
-        self._caller.send(b''.join(passed))
-        self.events += len(passed)
+        if not self.started:
+            self.started = True
+            self._caller.start(status, headers)
+        self._caller.send(b''.join(forwarded))
+        self.events += len(forwarded)
         return True
 
     def _is_next(self, event_id: str) -> bool:
-        """Return whether an event comes after the last one; ids grow.
+        """Return whether an event follows the last one; ids increase.
 
-        An endpoint that goes on may repeat what the one before had sent already.
+        An endpoint that resumes a stream may resend events of the previous endpoint.
         """
         if not event_id.isdecimal() or not self.last_event.isdecimal():
             return True
--- a/savorychute/gateway/requests/usage_observer.py
+++ b/savorychute/gateway/requests/usage_observer.py
@@ -1,48 +1,48 @@
-"""When endpoints began to run one request."""
+"""Counts the executions of one request for its organisation."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from savorychute.gateway.requests.endpoint_answer import AnswerKind
+from savorychute.gateway.requests.endpoint_response import ResponseKind
 
 if TYPE_CHECKING:
     from savorychute.gateway.duties.usage_ledger import UsageLedger
-    from savorychute.gateway.requests.admitted import Admitted
+    from savorychute.gateway.requests.admitted_request import AdmittedRequest
     from savorychute.gateway.requests.attempt import Attempt
 
-NOT_RUN = (AnswerKind.NOT_RUN, AnswerKind.OTHER_ENDPOINT)
+NOT_RUN_KINDS = (ResponseKind.NOT_RUN, ResponseKind.OTHER_ENDPOINT)
 
 
 class UsageObserver:
-    """Counts the runs of a request for its organisation.
+    """Counts when endpoints started to execute a request.
 
-    A model engine begins a request with its first token.  A plain service begins it when it
-    arrives; an attempt that was sent and did not answer may have run, and mostly has.
+    A model engine starts a request with its first token.  A plain service starts it on
+    arrival; an attempt that was sent and got no response may have run, and usually has.
 
-    :param ledger: where runs are counted.
+    :param ledger: where executions are counted.
     :param admitted: the request.
     """
 
-    def __init__(self, ledger: UsageLedger, admitted: Admitted) -> None:
+    def __init__(self, ledger: UsageLedger, admitted: AdmittedRequest) -> None:
         self._ledger = ledger
         self._organisation = admitted.organisation
         self._runs_models = admitted.service.runs_models
 
-    def stream_began(self, now_ms: int) -> None:
-        """Count a run by its first event.
+    def record_stream_start(self, now_ms: int) -> None:
+        """Count an execution at its first event.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         self._ledger.began(self._organisation, now_ms)
 
-    def ended(self, attempt: Attempt) -> None:
-        """Count a run of a plain service once nothing more comes of it.
+    def record_attempt_end(self, attempt: Attempt) -> None:
+        """Count an execution by a plain service once its attempt has ended.
 
-        :param attempt: that has ended.
+        :param attempt: the attempt that has ended.
         """
         if self._runs_models or not attempt.sent:
             return
-        if attempt.answer is not None and attempt.answer.kind in NOT_RUN:
+        if attempt.response is not None and attempt.response.kind in NOT_RUN_KINDS:
             return
         self._ledger.began(self._organisation, attempt.sent_ms)
--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -21,9 +21,9 @@
     from savorychute.gateway.dispatch.need import Need
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
     from savorychute.gateway.recovery.retry_allowance import RepeatDecision
-    from savorychute.gateway.requests.admitted import Admitted
+    from savorychute.gateway.requests.admitted_request import AdmittedRequest
     from savorychute.gateway.requests.attempt import Attempt
-    from savorychute.gateway.requests.course_summary import CourseSummary
+    from savorychute.gateway.requests.execution_summary import ExecutionSummary
     from savorychute.gateway.requests.inbound_request import InboundRequest
     from savorychute.gateway.requests.refusal import Refusal
     from savorychute.gateway.store.unreadable_record import UnreadableRecord
@@ -243,7 +243,7 @@
             service=record.entry.service,
             state=outcome,
             reason=make_word(reason),
-            duration_ms=now_ms - attempt.began_ms,
+            duration_ms=now_ms - attempt.started_ms,
             count=record.outstanding,
         )
 
@@ -276,10 +276,10 @@
     def request_finished(
         self,
         request: InboundRequest,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         outcome: str,
         status: int,
-        summary: CourseSummary,
+        summary: ExecutionSummary,
     ) -> None:
         """Log how a request ended."""
         route = admitted.route
--- a/tests/test_fleet/test_attempt_sender.py
+++ b/tests/test_fleet/test_attempt_sender.py
@@ -42,14 +42,14 @@
     def __init__(self):
         self.told = []
 
-    def may_send(self):
+    def can_send(self):
         self.told.append('sends')
         return True
 
     def attempt_withheld(self):
         self.told.append('withheld')
 
-    def answer_began(self, answer):
+    def response_started(self, answer):
         self.told.append(answer.status)
 
 
--- a/tests/test_fleet/test_dialects.py
+++ b/tests/test_fleet/test_dialects.py
@@ -22,7 +22,7 @@
     StatementKind,
     UnreadableStatement,
 )
-from savorychute.gateway.requests.endpoint_answer import AnswerKind
+from savorychute.gateway.requests.endpoint_response import ResponseKind
 from savorychute.gateway.requests.outbound_attempt import OutboundAttempt
 from savorychute.gateway.requests.prompt import Prompt, PromptPart
 from savorychute.gateway.requests.refusal import Refusal
@@ -125,20 +125,20 @@
 @pytest.mark.parametrize(
     'status, headers, kind',
     [
-        (200, {'attempt-id': 'a1', 'server-signature': 's'}, AnswerKind.SUCCESS),
-        (200, {'attempt-id': 'a1'}, AnswerKind.FOREIGN),
-        (200, {'attempt-id': 'a2', 'server-signature': 's'}, AnswerKind.FOREIGN),
-        (500, {'attempt-id': 'a2', 'server-signature': 's'}, AnswerKind.FOREIGN),
+        (200, {'attempt-id': 'a1', 'server-signature': 's'}, ResponseKind.SUCCESS),
+        (200, {'attempt-id': 'a1'}, ResponseKind.FOREIGN),
+        (200, {'attempt-id': 'a2', 'server-signature': 's'}, ResponseKind.FOREIGN),
+        (500, {'attempt-id': 'a2', 'server-signature': 's'}, ResponseKind.FOREIGN),
         (
             200,
             {'attempt-id': 'a1', 'server-signature': 's', 'content-encoding': 'gzip'},
-            AnswerKind.FOREIGN,
+            ResponseKind.FOREIGN,
         ),
-        (500, {'attempt-id': 'a1', 'server-signature': 's'}, AnswerKind.FAILURE),
-        (503, {'attempt-id': 'a1', 'not-executed': '1'}, AnswerKind.NOT_RUN),
-        (429, {'not-executed': '1'}, AnswerKind.NOT_RUN),
-        (503, {'attempt-id': 'a1'}, AnswerKind.FAILURE),
-        (421, {'instance-id': 'i-2'}, AnswerKind.OTHER_ENDPOINT),
+        (500, {'attempt-id': 'a1', 'server-signature': 's'}, ResponseKind.FAILURE),
+        (503, {'attempt-id': 'a1', 'not-executed': '1'}, ResponseKind.NOT_RUN),
+        (429, {'not-executed': '1'}, ResponseKind.NOT_RUN),
+        (503, {'attempt-id': 'a1'}, ResponseKind.FAILURE),
+        (421, {'instance-id': 'i-2'}, ResponseKind.OTHER_ENDPOINT),
     ],
 )
 def test_answer_is_judged_by_what_it_proves(status, headers, kind):
--- a/tests/test_fleet/test_explaining.py
+++ b/tests/test_fleet/test_explaining.py
@@ -1,4 +1,4 @@
-"""Tests of the ways from a request's id to its cause, on lines of real runs."""
+"""Tests that the logs of real runs explain the outcome of a request by its id."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @contextmanager
 def log_file(path):
-    """Write all log lines to a file, as a collector does."""
+    """Write all log lines to a file, as a log collector does."""
     with path.open('w') as file:
 
         def write(message):
@@ -37,7 +37,7 @@
 
 
 def explain(scenario, tmp_path):
-    """Run a scenario; return its answer and the story of its last request."""
+    """Run a scenario; return its response and the explanation of its last request."""
 
     async def main():
         async with asyncio.timeout(TEST_S), run_rig() as rig:
@@ -45,8 +45,8 @@
 
     path = tmp_path / 'log'
     with log_file(path):
-        answer, request_id = run_virtual(main())
-    return answer, '\n'.join(tell_story(request_id, read_logs([path])))
+        response, request_id = run_virtual(main())
+    return response, '\n'.join(tell_story(request_id, read_logs([path])))
 
 
 def test_refusal_under_load(tmp_path):
@@ -55,9 +55,9 @@
         engine.report = b'{"waiting":90,"running":8,"runs":[],"nextToken":17000}'
         return await rig.call('/s/1', method='POST', extra=LONG_PROMPT)
 
-    answer, story = explain(scenario, tmp_path)
+    response, story = explain(scenario, tmp_path)
 
-    assert answer.status == 503
+    assert response.status == 503
     assert 'the best engine e1 had 98 requests' in story
     assert 'overload with status 503' in story
 
@@ -66,76 +66,76 @@
     async def scenario(rig):
         for endpoint in rig.endpoints.values():
             endpoint.breaks = True
-        answer = await rig.call('/a/1')
+        response = await rig.call('/a/1')
         rig.store.put('keyed.servers', 'd1', None)
         await rig.until_status(503)
-        rig.last_id = answer_id
-        return answer
+        rig.last_id = response_id
+        return response
 
-    answer_id = 'try-2'
-    answer, story = explain(scenario, tmp_path)
+    response_id = 'try-2'
+    response, story = explain(scenario, tmp_path)
 
-    assert answer.status == 502
+    assert response.status == 502
     assert 'the attempt at d1 of desk broke (connection-lost)' in story
     assert 'learned that d1 is gone' in story
 
 
-def test_refused_key_after_it_was_taken_back(tmp_path):
+def test_refused_key_after_it_was_revoked(tmp_path):
     async def scenario(rig):
         rig.write_configuration(2, tenants=[{'name': 'kochi', 'apiKeys': ['new']}])
         return await rig.until_status(401)
 
-    answer, story = explain(scenario, tmp_path)
+    response, story = explain(scenario, tmp_path)
 
-    assert answer.status == 401
+    assert response.status == 401
     assert 'put version 2 in force' in story
     assert '(unknown-key), told not-run; by version 2' in story
 
 
-def test_refused_key_while_the_store_is_away(tmp_path):
+def test_refused_key_while_the_store_is_unavailable(tmp_path):
     async def scenario(rig):
         rig.store.mode = 'busy'
         return await rig.until_status(503)
 
-    answer, story = explain(scenario, tmp_path)
+    response, story = explain(scenario, tmp_path)
 
-    assert answer.status == 503
+    assert response.status == 503
     assert 'could not read configuration' in story
     assert 'key-unconfirmed' in story
 
 
-def test_refusal_where_the_only_endpoint_takes_no_more_calls(tmp_path):
+def test_refusal_if_the_only_endpoint_accepts_no_more_calls(tmp_path):
     async def scenario(rig):
         rig.endpoints['d1'].stated = (('server-limit', '0.5'),)
         await rig.call()
         return await rig.call()
 
-    answer, story = explain(scenario, tmp_path)
+    response, story = explain(scenario, tmp_path)
 
-    assert answer.status == 503
+    assert response.status == 503
     assert 'learned that d1 takes 0.5 calls a second' in story
     assert 'a permit to call d1 was denied, for 2000 ms' in story
 
 
-def test_refusal_where_the_only_endpoint_rests(tmp_path):
+def test_refusal_if_the_only_endpoint_rests(tmp_path):
     async def scenario(rig):
         endpoint = rig.endpoints['d1']
         endpoint.sheds, endpoint.stated = True, (('retry-after', '3'),)
         return await rig.call()
 
-    answer, story = explain(scenario, tmp_path)
+    response, story = explain(scenario, tmp_path)
 
-    assert answer.status == 503
+    assert response.status == 503
     assert 'was asked by d1 for a rest of 3000 ms' in story
 
 
-def test_refusal_where_the_only_endpoint_has_said_that_it_leaves(tmp_path):
+def test_refusal_if_the_only_endpoint_has_announced_that_it_leaves(tmp_path):
     async def scenario(rig):
         rig.endpoints['d1'].stated = (('server-leaving', '1'),)
         await rig.call()
         return await rig.call()
 
-    answer, story = explain(scenario, tmp_path)
+    response, story = explain(scenario, tmp_path)
 
-    assert answer.status == 503
+    assert response.status == 503
     assert 'learned that d1 leaves' in story
--- a/tests/test_gateway/conftest.py
+++ b/tests/test_gateway/conftest.py
@@ -1,12 +1,12 @@
-"""Fixtures of the gateway's tests."""
+"""Fixtures for the gateway tests."""
 
 from __future__ import annotations
 
 import pytest
-from gateway_fakes import make_scene
+from gateway_fakes import make_gateway
 
 
 @pytest.fixture
-def scene():
-    """One gateway with three plain endpoints and three engines."""
-    return make_scene()
+def gateway():
+    """Return a gateway with three plain endpoints and three engines."""
+    return make_gateway()
--- a/tests/test_gateway/engine_rig.py
+++ b/tests/test_gateway/engine_rig.py
@@ -169,8 +169,8 @@
             self._running.append(job)
             if not job.made_tokens:
                 self._on_begun(job.kind)
-                job.listener.may_send()
-                job.listener.answer_began(STREAM)
+                job.listener.can_send()
+                job.listener.response_started(STREAM)
             if not job.over:
                 self._generate(job)
         self._step()
@@ -180,10 +180,10 @@
         whole = job.made_tokens >= job.prompt.answer_tokens
         if whole or job.made_tokens % self._kind.event_tokens == 1:
             number = job.made_tokens
-            job.listener.answer_data(b'id: %d\ndata: x\n\n' % number)
+            job.listener.response_data(b'id: %d\ndata: x\n\n' % number)
         if whole and not job.over:
             self.drop(job)
-            job.listener.answer_ended()
+            job.listener.response_ended()
 
     def _note(self):
         streams = tuple(
--- a/tests/test_gateway/fleet_rig.py
+++ b/tests/test_gateway/fleet_rig.py
@@ -12,17 +12,17 @@
     START_MS,
     FakeCaller,
     make_deployment,
+    make_gateway,
     make_prompt,
     make_request,
     make_route,
-    make_scene,
 )
 
 from savorychute.clock import ManualClock
 from savorychute.gateway.configuration.request_kind import RequestKind
 from savorychute.gateway.configuration.service_share import ServiceShare
 from savorychute.gateway.dispatch.lane_demand import LaneDemand
-from savorychute.gateway.requests.request_course import RequestCourse
+from savorychute.gateway.requests.request_execution import RequestExecution
 
 # What instances tell each other, and how often: each hears one other in this time.
 HEARD_MS = 250
@@ -167,7 +167,7 @@
         self.served = True
         self._end()
 
-    def cut(self):
+    def abort(self):
         self._end()
 
     def refuse(self, refusal):
@@ -221,7 +221,7 @@
         self._demands = [LaneDemand() for _ in range(instances)]
         deployment = make_deployment(routes=tuple(map(_route, KINDS)))
         self._scenes = [
-            make_scene(
+            make_gateway(
                 desks=0,
                 slots=tuple(kind.slots for kind in engines),
                 seed=f'{seed}-{number}',
@@ -255,7 +255,7 @@
             f'/{kind.name}/1', KEY, method='POST', prompt=prompt, deadline_ms=left_ms
         )
         admitted = scene.intake.admit(request, self.timeline.now_ms())
-        course = RequestCourse(scene.parts, request, admitted, caller)
+        course = RequestExecution(scene.parts, request, admitted, caller)
         course.start()
         return course
 
--- a/tests/test_gateway/gateway_fakes.py
+++ b/tests/test_gateway/gateway_fakes.py
@@ -1,4 +1,4 @@
-"""Ports of a gateway that tests drive by hand."""
+"""Fake ports of a gateway that tests control."""
 
 from __future__ import annotations
 
@@ -32,11 +32,14 @@
 from savorychute.gateway.permits.permit_desk import PermitDesk
 from savorychute.gateway.recovery.crash_book import CrashBook
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance, RetryBounds
-from savorychute.gateway.requests.endpoint_answer import AnswerKind, EndpointAnswer
+from savorychute.gateway.requests.endpoint_response import (
+    EndpointResponse,
+    ResponseKind,
+)
 from savorychute.gateway.requests.inbound_request import InboundRequest
 from savorychute.gateway.requests.intake import Intake
 from savorychute.gateway.requests.prompt import Prompt, PromptPart
-from savorychute.gateway.requests.request_course import RequestCourse
+from savorychute.gateway.requests.request_execution import RequestExecution
 from savorychute.gateway.telemetry import GatewayTelemetry
 from savorychute.http.call_failure import CallFailure
 from savorychute.http.client_pool import ServerAddress
@@ -49,16 +52,16 @@
 LIMITS = CallerLimits(16_384, 1 << 22, 3_000, 15_000)
 KEY = 'kochi-key'
 PROOF = (('server-signature', 'proof'),)
-SUCCESS = EndpointAnswer(AnswerKind.SUCCESS, 200, PROOF, is_stream=False)
-STREAM = EndpointAnswer(AnswerKind.SUCCESS, 200, PROOF, is_stream=True)
-FAILURE = EndpointAnswer(AnswerKind.FAILURE, 500, PROOF, is_stream=False)
-REJECTION = EndpointAnswer(AnswerKind.NOT_RUN, 503, (), is_stream=False)
-ELSEWHERE = EndpointAnswer(AnswerKind.OTHER_ENDPOINT, 421, (), is_stream=False)
-FOREIGN = EndpointAnswer(AnswerKind.FOREIGN, 200, PROOF, is_stream=False)
+SUCCESS = EndpointResponse(ResponseKind.SUCCESS, 200, PROOF, is_stream=False)
+STREAM = EndpointResponse(ResponseKind.SUCCESS, 200, PROOF, is_stream=True)
+FAILURE = EndpointResponse(ResponseKind.FAILURE, 500, PROOF, is_stream=False)
+REJECTION = EndpointResponse(ResponseKind.NOT_RUN, 503, (), is_stream=False)
+MISDIRECTED = EndpointResponse(ResponseKind.OTHER_ENDPOINT, 421, (), is_stream=False)
+FOREIGN = EndpointResponse(ResponseKind.FOREIGN, 200, PROOF, is_stream=False)
 
 
 class FakeTimer:
-    """A timer that goes off when the test moves the clock."""
+    """A timer that expires when the test advances the clock."""
 
     def __init__(self, due_ms, callback):
         self.due_ms = due_ms
@@ -69,7 +72,7 @@
 
 
 class FakeTimers:
-    """Timers on a manual clock."""
+    """Timers on a manual clock, expired in order of time."""
 
     def __init__(self, clock):
         self._clock = clock
@@ -81,7 +84,7 @@
         return timer
 
     def advance(self, duration_ms):
-        """Move the clock, and let each timer go off at its time."""
+        """Advance the clock and run the callback of each expired timer at its time."""
         end_ms = self._clock.now_ms() + duration_ms
         while True:
             self._timers = [each for each in self._timers if each.callback]
@@ -96,7 +99,7 @@
 
 
 class FakeAttempt:
-    """An attempt whose answer the test plays."""
+    """An attempt whose response the test supplies."""
 
     def __init__(self, attempt, listener):
         self.attempt = attempt
@@ -110,40 +113,40 @@
     def cancel(self):
         self.cancelled = True
 
-    def reach(self):
-        """Let the request go out."""
-        assert self.listener.may_send()
+    def mark_sent(self):
+        """Report that the request is about to be sent."""
+        assert self.listener.can_send()
 
-    def answer(self, head, body=b''):
-        """Answer as a whole."""
-        self.reach()
-        self.listener.answer_began(head)
+    def respond(self, head, body=b''):
+        """Send a complete response."""
+        self.mark_sent()
+        self.listener.response_started(head)
         if body:
-            self.listener.answer_data(body)
-        self.listener.answer_ended()
+            self.listener.response_data(body)
+        self.listener.response_ended()
 
-    def begin(self, head, body=b''):
-        """Begin an answer."""
-        self.reach()
-        self.listener.answer_began(head)
+    def start_response(self, head, body=b''):
+        """Start a response without ending it."""
+        self.mark_sent()
+        self.listener.response_started(head)
         if body:
-            self.listener.answer_data(body)
+            self.listener.response_data(body)
 
-    def lose(self, sent=True):
-        """Break the connection."""
+    def break_connection(self, sent=True):
+        """Fail with a connection reset."""
         self.listener.attempt_failed(CallFailure(sent, sent, 'reset'))
 
 
 class FakeAttempts:
-    """Keeps what is sent."""
+    """Records the attempts and probes that are sent."""
 
     def __init__(self):
         self.sent = []
         self.probes = []
-        self.lives = True
+        self.engines_alive = True
         self.loads = {}
-        self.holds_probes = False
-        self._held = []
+        self.defers_probes = False
+        self._deferred = []
 
     def send(self, attempt, listener):
         self.sent.append(FakeAttempt(attempt, listener))
@@ -152,22 +155,22 @@
     def probe(self, endpoint, on_result, permit=None):
         del permit
         self.probes.append(endpoint.endpoint)
-        if self.holds_probes:
-            self._held.append(on_result)
+        if self.defers_probes:
+            self._deferred.append(on_result)
         else:
             load = self.loads.get(endpoint.endpoint, IDLE)
-            on_result(load if self.lives else None)
+            on_result(load if self.engines_alive else None)
 
-    def answer_probes(self):
-        """Answer the probes that were held."""
-        held, self._held = self._held, []
-        self.holds_probes = False
-        for on_result in held:
+    def complete_probes(self):
+        """Respond to the deferred probes."""
+        deferred, self._deferred = self._deferred, []
+        self.defers_probes = False
+        for on_result in deferred:
             on_result(IDLE)
 
 
 class FakeCaller:
-    """Keeps what the caller gets."""
+    """Records the response that the caller receives."""
 
     def __init__(self):
         self.status = None
@@ -179,7 +182,7 @@
         del headers
         self.status, self.body, self.state = status, body, 'whole'
 
-    def begin(self, status, headers):
+    def start(self, status, headers):
         del headers
         self.status, self.state = status, 'begun'
 
@@ -189,7 +192,7 @@
     def finish(self):
         self.state = 'whole'
 
-    def cut(self):
+    def abort(self):
         self.state = 'cut'
 
     def refuse(self, refusal):
@@ -197,8 +200,8 @@
         self.status, self.state = refusal.code.status, 'refused'
 
 
-class Scene(NamedTuple):
-    """One gateway with its ports."""
+class GatewayFixture(NamedTuple):
+    """A gateway with its fake ports."""
 
     parts: GatewayParts
     clock: ManualClock
@@ -210,22 +213,22 @@
         self.timers.advance(duration_ms)
 
     def admit(self, path='/visit/1', key=KEY, **fields):
-        """Return what the intake says of a request."""
+        """Return the result of the admission of a request."""
         request = make_request(path, key, **fields)
         return self.intake.admit(request, self.clock.now_ms())
 
     def start(self, path='/visit/1', **fields):
-        """Admit and start a request; return its course and its caller."""
+        """Admit and start a request; return its execution and its caller."""
         request = make_request(path, **fields)
         admitted = self.intake.admit(request, self.clock.now_ms())
         caller = FakeCaller()
-        course = RequestCourse(self.parts, request, admitted, caller)
-        course.start()
-        return course, caller
+        execution = RequestExecution(self.parts, request, admitted, caller)
+        execution.start()
+        return execution, caller
 
     @property
-    def last(self):
-        """The attempt that was sent last."""
+    def last_attempt(self):
+        """The most recent attempt."""
         return self.attempts.sent[-1]
 
 
@@ -318,8 +321,8 @@
     return Prompt('m', shared + own, answer, parts)
 
 
-class StillWall:
-    """A time of day that stands still."""
+class FixedWallClock:
+    """A wall clock that always returns 0."""
 
     def wall_ms(self):
         return 0
@@ -331,7 +334,7 @@
 
 
 def make_allowance(slack):
-    """Return the allowance of a run that has been up for a window."""
+    """Return the retry allowance of a run that started one window ago."""
     bounds = RetryBounds(0.2, 10_000, slack)
     allowance = RetryAllowance(bounds, START_MS - bounds.window_ms)
     allowance.inherit(None)
@@ -340,11 +343,11 @@
 
 
 def ignore_limit(run, limit_per_s):
-    """Take a change of a limit for nothing."""
+    """Ignore a change of a limit."""
     del run, limit_per_s
 
 
-def make_scene(
+def make_gateway(
     desks=3,
     engines=3,
     seed=5,
@@ -357,9 +360,10 @@
     demand=None,
     deployment=None,
 ):
-    """Return one gateway; what several of them share may be given.
+    """Return a gateway; components that several gateways share may be passed in.
 
-    ``slots`` gives the places of each engine, instead of a number of engines with 64.
+    ``slots`` gives the number of slots of each engine, instead of *engines* engines with
+    64 slots each.
     """
     clock = clock or ManualClock(START_MS)
     timers = timers or FakeTimers(clock)
@@ -374,14 +378,14 @@
     models = EngineModels()
     shortages = Shortages()
     telemetry = make_telemetry(clock)
-    of_endpoints = EndpointTelemetry(telemetry)
-    statements = StatementBook(of_endpoints)
+    endpoint_telemetry = EndpointTelemetry(telemetry)
+    statements = StatementBook(endpoint_telemetry)
     permits = PermitDesk(statements.limits, clock, timers)
     roster = EndpointRoster(crashes.endpoint_ended, clock, statements.leaving)
     for number in range(desks):
         roster.apply(make_entry(f'd{number}'))
-    for number, places in enumerate(slots):
-        roster.apply(make_entry(f'e{number}', 'pool', slots=places))
+    for number, engine_slots in enumerate(slots):
+        roster.apply(make_entry(f'e{number}', 'pool', slots=engine_slots))
     parts = GatewayParts(
         clock=clock,
         timers=timers,
@@ -398,10 +402,10 @@
         permits=permits,
         allowance=make_allowance(slack),
         crashes=crashes,
-        usage=UsageLedger(None, TrueTime(clock, StillWall())),
+        usage=UsageLedger(None, TrueTime(clock, FixedWallClock())),
         telemetry=telemetry,
-        endpoint_telemetry=of_endpoints,
+        endpoint_telemetry=endpoint_telemetry,
     )
     parts.allowance.instances = 1
     intake = Intake(configuration, parts.crashes, rng)
-    return Scene(parts, clock, timers, attempts, intake)
+    return GatewayFixture(parts, clock, timers, attempts, intake)
--- a/tests/test_gateway/test_configuration_state.py
+++ b/tests/test_gateway/test_configuration_state.py
@@ -3,39 +3,39 @@
 from __future__ import annotations
 
 import pytest
-from gateway_fakes import START_MS, make_deployment, make_route, make_scene
+from gateway_fakes import START_MS, make_deployment, make_gateway, make_route
 
 from savorychute.gateway.configuration.request_kind import RequestKind
 from savorychute.gateway.configuration.route_table import RouteTable
 from savorychute.result_code import ResultCode
 
 
-def test_older_version_is_never_put_in_force_again(scene):
+def test_older_version_is_never_put_in_force_again(gateway):
     """A configuration that went backwards.
 
     A version is in force; a listing that was under way shows the one before it.
     """
-    configuration = scene.parts.configuration
+    configuration = gateway.parts.configuration
     assert configuration.apply(make_deployment(version=7))
     assert not configuration.apply(make_deployment(version=3))
 
     assert configuration.version == 7
 
 
-def test_keys_are_refused_when_the_store_has_been_silent(scene):
+def test_keys_are_refused_when_the_store_has_been_silent(gateway):
     """A revoked key that went on working.
 
     The store turns this instance away; meanwhile a key is taken back.  Beyond the time
     of trust no key may be accepted, for nobody here knows which ones were revoked.
     """
-    scene.advance(4_500)
-    assert scene.admit().rank == 8
-    scene.advance(1)
+    gateway.advance(4_500)
+    assert gateway.admit().rank == 8
+    gateway.advance(1)
 
-    verdict = scene.admit()
+    verdict = gateway.admit()
 
     assert verdict.code is ResultCode.NOT_READY
-    assert scene.admit('/open/1', key='').rank == 8
+    assert gateway.admit('/open/1', key='').rank == 8
 
 
 @pytest.mark.parametrize(
@@ -46,23 +46,23 @@
         ('/visit/1', '', ResultCode.UNAUTHENTICATED),
     ],
 )
-def test_absence_is_a_fact_only_while_it_is_fresh(scene, path, key, code):
+def test_absence_is_a_fact_only_while_it_is_fresh(gateway, path, key, code):
     """A 404 for a route that exists.
 
     A route was added while this instance was out of touch.  A caller does not repeat a
     request elsewhere after 404 or 401, but it does after 503.
     """
-    assert scene.admit(path, key).code is code
-    scene.advance(3_001)
+    assert gateway.admit(path, key).code is code
+    gateway.advance(3_001)
 
-    assert scene.admit(path, key).code is ResultCode.NOT_READY
+    assert gateway.admit(path, key).code is ResultCode.NOT_READY
 
 
 def test_nothing_is_known_before_the_first_configuration():
-    scene = make_scene()
-    scene.parts.configuration.table = None
+    gateway = make_gateway()
+    gateway.parts.configuration.table = None
 
-    assert scene.admit().code is ResultCode.NOT_READY
+    assert gateway.admit().code is ResultCode.NOT_READY
 
 
 def test_longest_prefix_wins():
@@ -79,8 +79,8 @@
     assert table.find_route('other', '/x').name == 'root'
 
 
-def test_confirmation_counts_from_the_begin_of_the_read(scene):
-    configuration = scene.parts.configuration
+def test_confirmation_counts_from_the_begin_of_the_read(gateway):
+    configuration = gateway.parts.configuration
     configuration.confirm(START_MS + 100)
     configuration.confirm(START_MS + 50)
 
--- a/tests/test_gateway/test_endpoint_runs.py
+++ b/tests/test_gateway/test_endpoint_runs.py
@@ -188,48 +188,48 @@
     assert ends == [[last.run], [last.run]]
 
 
-def test_report_of_a_restarted_engine_ends_the_old_run(scene):
+def test_report_of_a_restarted_engine_ends_the_old_run(gateway):
     """A prompt sent to an engine for the cache of its predecessor.
 
     The engine has started again within one heartbeat, so the list does not show it yet;
     its load report does.
     """
-    listed = scene.parts.roster.get('e0').entry
-    scene.parts.roster.apply(listed._replace(born_ms=FIRST_MS))
-    record = scene.parts.roster.get('e0')
+    listed = gateway.parts.roster.get('e0').entry
+    gateway.parts.roster.apply(listed._replace(born_ms=FIRST_MS))
+    record = gateway.parts.roster.get('e0')
     load = EngineLoad(0, 0, 0, 0, born_ms=SECOND_MS)
-    scene.attempts.loads['e0'] = load
-    scene.parts.loads.ask(record, lambda lives: None)  # noqa: ARG005
+    gateway.attempts.loads['e0'] = load
+    gateway.parts.loads.ask(record, lambda lives: None)  # noqa: ARG005
 
     assert record.over
-    assert scene.parts.roster.get('e0').entry.run == EndpointRun('e0', SECOND_MS)
+    assert gateway.parts.roster.get('e0').entry.run == EndpointRun('e0', SECOND_MS)
 
 
-def test_request_at_a_run_that_is_over_is_decided_as_at_a_crash(scene):
+def test_request_at_a_run_that_is_over_is_decided_as_at_a_crash(gateway):
     """A caller that waited for its deadline in vain.
 
     Its engine has lost power and starts again at the same address, so that the connection
     never breaks and probes find the new run alive.
     """
     prompt = make_prompt()
-    _, caller = scene.start('/draft/1', prompt=prompt)
-    attempt = scene.last
-    attempt.begin(STREAM, b'id: 1\ndata: x\n\n')
-    entry = scene.parts.roster.get(attempt.endpoint).entry
+    _, caller = gateway.start('/draft/1', prompt=prompt)
+    attempt = gateway.last_attempt
+    attempt.start_response(STREAM, b'id: 1\ndata: x\n\n')
+    entry = gateway.parts.roster.get(attempt.endpoint).entry
 
-    scene.parts.roster.apply(entry._replace(born_ms=SECOND_MS))
+    gateway.parts.roster.apply(entry._replace(born_ms=SECOND_MS))
 
     assert attempt.cancelled
     assert caller.state == 'cut'
 
 
-def test_one_name_crashed_three_times_is_three_crashes(scene):
+def test_one_name_crashed_three_times_is_three_crashes(gateway):
     """A request that took an endpoint down again and again.
 
     The endpoint starts again under its name within a second; counted by name, its three
     crashes were one.
     """
-    crashes = scene.parts.crashes
+    crashes = gateway.parts.crashes
     for born_ms in (1, 2, 3):
         run = EndpointRun('e0', born_ms)
         crashes.broke_off(CrashSighting('f', run), 1_000)
--- a/tests/test_gateway/test_failing_engines.py
+++ b/tests/test_gateway/test_failing_engines.py
@@ -10,58 +10,58 @@
 SHORT = make_prompt('s', shared=170, own=540, answer=280)
 
 
-def fail_lane(scene, times=12):
+def fail_lane(gateway, times=12):
     """Let the engine that serves diagnoses first fail all of them; return its name.
 
     The other engines answer.
     """
-    for record in scene.parts.roster:
-        record.report(IDLE, scene.clock.now_ms())
-    scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    failing = scene.last.endpoint
+    for record in gateway.parts.roster:
+        record.report(IDLE, gateway.clock.now_ms())
+    gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    failing = gateway.last_attempt.endpoint
     for _ in range(times):
-        while scene.last.endpoint == failing:
-            scene.last.answer(FAILURE)
-        scene.last.answer(STREAM, b'id: 1\ndata: x\n\n')
-        scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+        while gateway.last_attempt.endpoint == failing:
+            gateway.last_attempt.respond(FAILURE)
+        gateway.last_attempt.respond(STREAM, b'id: 1\ndata: x\n\n')
+        gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
     return failing
 
 
-def test_most_urgent_stream_is_not_refused_for_failures_of_one_engine(scene):
+def test_most_urgent_stream_is_not_refused_for_failures_of_one_engine(gateway):
     """The most urgent streams refused, the least urgent served.
 
     The engine of the steady lane fails half of its requests while its reports are good.
     The failures counted as a wait of a second, beyond what the most urgent streams may
     wait; refused, none succeeded any more, and they were refused for the rest of the day.
     """
-    fail_lane(scene)
-    _, caller = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+    fail_lane(gateway)
+    _, caller = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
 
     assert caller.refusal is None
     assert caller.state == 'waiting'
 
 
-def test_stream_leaves_a_lane_whose_engine_fails(scene):
-    failing = fail_lane(scene)
-    scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+def test_stream_leaves_a_lane_whose_engine_fails(gateway):
+    failing = fail_lane(gateway)
+    gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
 
-    assert scene.last.endpoint != failing
+    assert gateway.last_attempt.endpoint != failing
 
 
-def test_engine_that_failed_is_tried_again_after_a_while(scene):
+def test_engine_that_failed_is_tried_again_after_a_while(gateway):
     """An engine that got no more requests after it had recovered.
 
     Only a success could take the blame away, and none was sent there.
     """
-    failing = fail_lane(scene)
-    scene.advance(20_000)
-    for record in scene.parts.roster:
-        record.report(IDLE, scene.clock.now_ms())
-    scene.parts.configuration.confirm(scene.clock.now_ms())
+    failing = fail_lane(gateway)
+    gateway.advance(20_000)
+    for record in gateway.parts.roster:
+        record.report(IDLE, gateway.clock.now_ms())
+    gateway.parts.configuration.confirm(gateway.clock.now_ms())
     tried = set()
     for _ in range(8):
-        scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-        tried.add(scene.last.endpoint)
+        gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+        tried.add(gateway.last_attempt.endpoint)
 
     assert failing in tried
 
--- a/tests/test_gateway/test_leaving_engines.py
+++ b/tests/test_gateway/test_leaving_engines.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from gateway_fakes import IDLE, make_entry, make_prompt, make_scene
+from gateway_fakes import IDLE, make_entry, make_gateway, make_prompt
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -16,7 +16,7 @@
 @pytest.fixture
 def scene():
     """One gateway with an engine that leaves and has said so, and another one."""
-    scene = make_scene(engines=2)
+    scene = make_gateway(engines=2)
     scene.attempts.loads['e0'] = LEAVES
     scene.parts.loads.ask(scene.parts.roster.get('e0'), lambda lives: None)  # noqa: ARG005
     return scene
@@ -58,7 +58,7 @@
     """Guards against a request that was chosen before its engine said that it leaves."""
     scene.start('/diagnosis/1', prompt=make_prompt())
 
-    assert scene.last.endpoint == 'e1'
+    assert scene.last_attempt.endpoint == 'e1'
 
 
 NAMES = ['e0', 'e1', 'e2']
@@ -112,7 +112,7 @@
 @given(steps=st.lists(steps, max_size=30))
 def test_run_that_said_that_it_leaves_is_never_used_again(steps):
     """Guards against a leaving endpoint that any later word brings back."""
-    scene = make_scene(engines=3)
+    scene = make_gateway(engines=3)
     gone = set()
     for step in steps:
         gone.add(apply_step(scene, *step))
--- a/tests/test_gateway/test_limited_endpoints.py
+++ b/tests/test_gateway/test_limited_endpoints.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from gateway_fakes import SUCCESS, make_prompt, make_scene
+from gateway_fakes import SUCCESS, make_gateway, make_prompt
 
 from savorychute.gateway.dispatch.limited_endpoints import MOST_PERMITS
 from savorychute.gateway.endpoints.endpoint_statement import EndpointStatement
@@ -40,24 +40,24 @@
 
 
 def test_limited_endpoint_is_called_with_a_permit():
-    scene = make_scene(desks=1)
+    scene = make_gateway(desks=1)
     limit(scene, 'd0')
     fill(scene, 'd0')
     _, caller = scene.start()
 
-    assert isinstance(scene.last.attempt.permit, Permit)
-    scene.last.answer(SUCCESS, b'visit 7')
+    assert isinstance(scene.last_attempt.attempt.permit, Permit)
+    scene.last_attempt.respond(SUCCESS, b'visit 7')
     assert caller.status == 200
 
 
 def test_request_goes_to_another_endpoint_where_a_limit_is_used_up():
     """Guards against refusals while another endpoint has room."""
-    scene = make_scene(desks=3)
+    scene = make_gateway(desks=3)
     limit(scene, 'd0', 'd1')
     endpoints = set()
     for _ in range(20):
         scene.start()
-        endpoints.add(scene.last.endpoint)
+        endpoints.add(scene.last_attempt.endpoint)
 
     assert endpoints == {'d2'}
 
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize('path', ['/visit/1', '/draft/1'])
 def test_request_is_refused_at_once_where_all_limits_are_used_up(path):
     """Guards against a caller that waits for its deadline, or comes back too soon."""
-    scene = make_scene(desks=2, engines=2)
+    scene = make_gateway(desks=2, engines=2)
     limit(scene, 'd0', 'd1', 'e0', 'e1', per_s=0.5)
     _, caller = scene.start(path, prompt=make_prompt() if 'draft' in path else None)
 
@@ -77,7 +77,7 @@
 
 def test_limited_engine_is_not_asked_for_its_load():
     """Guards against load reports that use up what an engine takes."""
-    scene = make_scene(engines=1)
+    scene = make_gateway(engines=1)
     limit(scene, 'e0', per_s=20.0)
     fill(scene, 'e0')
     scene.start('/draft/1', prompt=make_prompt())
@@ -88,49 +88,49 @@
 
 def test_attempt_whose_endpoint_states_a_limit_meanwhile_goes_elsewhere():
     """Guards against a call that was chosen before the limit was known."""
-    scene = make_scene(desks=2)
+    scene = make_gateway(desks=2)
     course, caller = scene.start()
-    first = scene.last
+    first = scene.last_attempt
     limit(scene, first.endpoint)
     first.listener.attempt_withheld()
 
-    assert scene.last.endpoint != first.endpoint
-    scene.last.answer(SUCCESS)
+    assert scene.last_attempt.endpoint != first.endpoint
+    scene.last_attempt.respond(SUCCESS)
     assert caller.status == 200
-    assert course.possible_runs == 0
+    assert course.possible_executions == 0
 
 
 def test_withheld_attempt_gets_a_permit_where_no_other_endpoint_is_there():
     """Guards against a refusal by the only endpoint, which still takes the call."""
-    scene = make_scene(desks=1)
+    scene = make_gateway(desks=1)
     limit(scene, 'd0')
     fill(scene, 'd0')
     limit(scene, 'd0', per_s=None)
     _, caller = scene.start()
-    assert scene.last.attempt.permit is None
+    assert scene.last_attempt.attempt.permit is None
     limit(scene, 'd0')
-    scene.last.listener.attempt_withheld()
+    scene.last_attempt.listener.attempt_withheld()
 
     assert caller.state == 'waiting'
-    assert isinstance(scene.last.attempt.permit, Permit)
+    assert isinstance(scene.last_attempt.attempt.permit, Permit)
 
 
 def test_silent_engine_is_not_left_while_it_may_not_be_asked():
     """Guards against prompts read twice because an engine in need cannot be probed."""
-    scene = make_scene(engines=2)
+    scene = make_gateway(engines=2)
     scene.start('/diagnosis/1', prompt=make_prompt())
-    scene.last.reach()
+    scene.last_attempt.mark_sent()
     limit(scene, 'e0', 'e1')
-    scene.attempts.lives = False
+    scene.attempts.engines_alive = False
     scene.advance(700)
 
     assert len(scene.attempts.sent) == 1
-    assert not scene.last.cancelled
+    assert not scene.last_attempt.cancelled
 
 
 def test_limited_engine_serves_what_no_other_engine_takes():
     """Guards against refusals while a limited engine still takes some calls."""
-    scene = make_scene(engines=2)
+    scene = make_gateway(engines=2)
     limit(scene, 'e0', per_s=5.0)
     fill(scene, 'e0')
     for number in range(8):
@@ -141,7 +141,7 @@
     scene.start('/draft/1', prompt=make_prompt())
 
     assert len(scene.attempts.sent) == sent + 1
-    assert scene.last.endpoint == 'e0'
+    assert scene.last_attempt.endpoint == 'e0'
 
 
 def make_scarce(scene, endpoint):
@@ -155,17 +155,17 @@
 def test_engine_that_denied_a_call_is_the_last_choice(endpoint, path):
     """Guards against lanes and homes that move with each permit."""
     for number in range(5):
-        scene = make_scene(engines=3)
+        scene = make_gateway(engines=3)
         make_scarce(scene, endpoint)
         limit(scene, endpoint)
         scene.start(path, prompt=make_prompt(f'p{number}'))
 
-        assert scene.last.endpoint != endpoint
+        assert scene.last_attempt.endpoint != endpoint
 
 
 def test_engine_that_is_denied_for_a_moment_is_asked_once():
     """Guards against a caller that waits for one home again and again."""
-    scene = make_scene(engines=2)
+    scene = make_gateway(engines=2)
     limit(scene, 'e0', 'e1', per_s=40.0)
     _, caller = scene.start('/draft/1', prompt=make_prompt())
 
@@ -175,7 +175,7 @@
 
 def test_endpoint_that_leaves_while_its_permit_is_asked_for_gets_nothing():
     """Guards against a call to a leaving endpoint, chosen before it was known."""
-    scene = make_scene(desks=2)
+    scene = make_gateway(desks=2)
     questions = ask_others(scene, 'd0')
     limit(scene, 'd0')
     while not questions:
@@ -184,7 +184,7 @@
     scene.parts.roster.apply(entry._replace(draining=True, sequence=2))
     scene.parts.permits.take_answer(PermitAnswer(questions[-1].message.sequence, 0))
 
-    assert scene.last.endpoint == 'd1'
+    assert scene.last_attempt.endpoint == 'd1'
 
 
 def ask_others(scene, endpoint):
@@ -207,7 +207,7 @@
 
 def test_limited_engine_takes_a_request_that_would_wait_elsewhere():
     """Guards against calls that an engine takes and nobody sends, while others wait."""
-    scene = make_scene(engines=2)
+    scene = make_gateway(engines=2)
     make_scarce(scene, 'e0')
     limit(scene, 'e0')
     scene.attempts.loads['e1'] = EngineLoad(
@@ -215,21 +215,21 @@
     )
     scene.start('/diagnosis/1', prompt=make_prompt())
 
-    assert scene.last.endpoint == 'e0'
+    assert scene.last_attempt.endpoint == 'e0'
 
 
 def test_limited_engine_is_called_in_a_while_to_see_whether_its_limit_stands():
     """Guards against a limit that lasts because nobody calls the engine any more."""
-    scene = make_scene(engines=2)
+    scene = make_gateway(engines=2)
     make_scarce(scene, 'e0')
     scene.start('/draft/1', prompt=make_prompt())
 
-    assert scene.last.endpoint == 'e0'
+    assert scene.last_attempt.endpoint == 'e0'
 
 
 def test_plain_endpoint_is_called_for_all_that_it_takes():
     """Guards against a limit that is hardly used, where no lanes are at stake."""
-    scene = make_scene(desks=2)
+    scene = make_gateway(desks=2)
     limit(scene, 'd0')
     fill(scene, 'd0')
     limit(scene, 'd0')
@@ -243,7 +243,7 @@
 
 def test_request_asks_only_so_many_limited_endpoints():
     """Guards against a caller that waits for the homes of all endpoints in turn."""
-    scene = make_scene(desks=2 * MOST_PERMITS)
+    scene = make_gateway(desks=2 * MOST_PERMITS)
     limit(scene, *(f'd{number}' for number in range(2 * MOST_PERMITS)))
     _, caller = scene.start()
 
--- a/tests/test_gateway/test_loads_by_rank.py
+++ b/tests/test_gateway/test_loads_by_rank.py
@@ -9,9 +9,9 @@
     START_MS,
     make_deployment,
     make_entry,
+    make_gateway,
     make_prompt,
     make_route,
-    make_scene,
 )
 
 from savorychute.gateway.configuration.request_kind import RequestKind
@@ -133,7 +133,7 @@
         gap_target_ms=400,
         tier=1,
     )
-    scene = make_scene(deployment=make_deployment(routes=(note,)))
+    scene = make_gateway(deployment=make_deployment(routes=(note,)))
     engines = sorted(scene.parts.roster.usable('pool'), key=lambda each: each.lane_key)
     kept = engines[-1].entry.endpoint
     full = EngineLoad(40, 2, 64, 4_000, streams=(RunningStream(CHAT, 9),) * 64)
@@ -146,7 +146,7 @@
     )
 
     assert caller.refusal is None
-    assert scene.last.endpoint == kept
+    assert scene.last_attempt.endpoint == kept
 
 
 def test_shortages_travel_with_probes():
--- a/tests/test_gateway/test_overload_guard.py
+++ b/tests/test_gateway/test_overload_guard.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from gateway_fakes import make_entry, make_prompt, make_scene
+from gateway_fakes import make_entry, make_gateway, make_prompt
 
 from savorychute.gateway.dispatch.chooser import Choice
 from savorychute.gateway.dispatch.need import Need
@@ -56,7 +56,7 @@
     The engines report long queues; the request is refused at once, it reached none of
     them, and the caller is told when to come back.
     """
-    scene = make_scene()
+    scene = make_gateway()
     for record in scene.parts.roster:
         record.report(EngineLoad(120, 4, 40, 9_000), scene.clock.now_ms())
 
@@ -75,7 +75,7 @@
     Under load a prompt of 200,000 tokens takes three seconds to read.  If that counted as
     waiting, the largest would be refused while all others are served.
     """
-    scene = make_scene()
+    scene = make_gateway()
     for record in scene.parts.roster:
         record.report(EngineLoad(4, 0, 20, 9_000), scene.clock.now_ms())
 
--- a/tests/test_gateway/test_shortages.py
+++ b/tests/test_gateway/test_shortages.py
@@ -85,76 +85,76 @@
     assert held(shortages, SUMMARY) == 0.0
 
 
-def report_full(scene):
+def report_full(gateway):
     """Let all engines say that streams of the most urgent rank take all places."""
     streams = (RunningStream(0, 30),) * 64
-    for record in scene.parts.roster:
+    for record in gateway.parts.roster:
         load = EngineLoad(20, 0, 64, 700, streams=streams)
-        record.report(load, scene.clock.now_ms())
-    scene.attempts.holds_probes = True
+        record.report(load, gateway.clock.now_ms())
+    gateway.attempts.defers_probes = True
 
 
-def unserved(scene):
-    said = scene.parts.shortages.advertised(scene.clock.now_ms())
+def unserved(gateway):
+    said = gateway.parts.shortages.advertised(gateway.clock.now_ms())
     return {each.tier: round(each.unserved) for each in said}
 
 
-def test_refused_request_counts(scene):
-    for record in scene.parts.roster:
+def test_refused_request_counts(gateway):
+    for record in gateway.parts.roster:
         load = EngineLoad(200, 4, 200, 9_000)
-        record.report(load, scene.clock.now_ms())
-    scene.attempts.loads = {
-        record.entry.endpoint: record.load for record in scene.parts.roster
+        record.report(load, gateway.clock.now_ms())
+    gateway.attempts.loads = {
+        record.entry.endpoint: record.load for record in gateway.parts.roster
     }
 
-    _, caller = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+    _, caller = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
 
     assert caller.state == 'refused'
-    assert unserved(scene) == {0: 1}
+    assert unserved(gateway) == {0: 1}
 
 
-def test_refused_request_of_the_last_tier_is_not_told(scene):
-    for record in scene.parts.roster:
-        record.report(EngineLoad(120, 4, 40, 9_000), scene.clock.now_ms())
+def test_refused_request_of_the_last_tier_is_not_told(gateway):
+    for record in gateway.parts.roster:
+        record.report(EngineLoad(120, 4, 40, 9_000), gateway.clock.now_ms())
 
-    _, caller = scene.start('/draft/1', prompt=make_prompt())
+    _, caller = gateway.start('/draft/1', prompt=make_prompt())
 
     assert caller.state == 'refused'
-    assert unserved(scene) == {}
+    assert unserved(gateway) == {}
 
 
-def test_caller_that_waited_in_vain_at_a_full_engine_counts(scene):
-    course, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    scene.advance(2_000)
-    report_full(scene)
+def test_caller_that_waited_in_vain_at_a_full_engine_counts(gateway):
+    course, _ = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    gateway.advance(2_000)
+    report_full(gateway)
     course.caller_left()
 
-    assert unserved(scene) == {0: 1}
+    assert unserved(gateway) == {0: 1}
 
 
-def test_caller_that_leaves_early_does_not_count(scene):
-    course, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    scene.advance(500)
-    report_full(scene)
+def test_caller_that_leaves_early_does_not_count(gateway):
+    course, _ = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    gateway.advance(500)
+    report_full(gateway)
     course.caller_left()
 
-    assert unserved(scene) == {}
+    assert unserved(gateway) == {}
 
 
-def test_caller_that_leaves_a_silent_engine_with_room_does_not_count(scene):
+def test_caller_that_leaves_a_silent_engine_with_room_does_not_count(gateway):
     """Summaries held back for an engine that hangs while the others are idle."""
-    course, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    scene.advance(2_000)
+    course, _ = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    gateway.advance(2_000)
     course.caller_left()
 
-    assert unserved(scene) == {}
+    assert unserved(gateway) == {}
 
 
-def test_caller_that_leaves_a_stream_does_not_count(scene):
-    course, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    scene.last.begin(STREAM, b'id: 1\ndata: x\n\n')
-    scene.advance(2_000)
-    report_full(scene)
+def test_caller_that_leaves_a_stream_does_not_count(gateway):
+    course, _ = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    gateway.last_attempt.start_response(STREAM, b'id: 1\ndata: x\n\n')
+    gateway.advance(2_000)
+    report_full(gateway)
     course.caller_left()
 
-    assert unserved(scene) == {}
+    assert unserved(gateway) == {}
