--- a/benches/repeat_bound.py
+++ b/benches/repeat_bound.py
@@ -16,7 +16,7 @@
 
 sys.path.append(str(Path(__file__).parents[1] / 'tests' / 'test_gateway'))
 
-from repeat_rig import TICK_MS, RepeatFleet
+from retry_fixture import TICK_MS, RetryFleet
 
 if TYPE_CHECKING:
     import random
@@ -73,7 +73,7 @@
     return tuple(f'k{number}' for number in range(int(KILLED_SHARE * size.instances)))
 
 
-def play(size: Size, before: tuple[str, ...], within: tuple[str, ...]) -> RepeatFleet:
+def play(size: Size, before: tuple[str, ...], within: tuple[str, ...]) -> RetryFleet:
     """Play a calm and a storm.
 
     :param size: of the fleet.
@@ -82,7 +82,7 @@
     """
     requests = size.requests_per_s / size.instances * TICK_MS / MS_PER_S
     bounds = RetryBounds(RATIO, WINDOW_MS, size.slack)
-    fleet = RepeatFleet(size.instances, requests, bounds)
+    fleet = RetryFleet(size.instances, requests, bounds)
     pass_time(fleet, CALM_MS)
     restart(fleet, before)
     fleet.storm = True
@@ -92,13 +92,13 @@
     return fleet
 
 
-def pass_time(fleet: RepeatFleet, duration_ms: int) -> None:
+def pass_time(fleet: RetryFleet, duration_ms: int) -> None:
     """Let the instances work."""
     for _ in range(duration_ms // TICK_MS):
         fleet.tick()
 
 
-def restart(fleet: RepeatFleet, names: tuple[str, ...]) -> None:
+def restart(fleet: RetryFleet, names: tuple[str, ...]) -> None:
     """Kill instances and start them at once."""
     for name in names:
         fleet.kill(name)
@@ -107,6 +107,6 @@
         fleet.gossip()
 
 
-def find_used(fleet: RepeatFleet) -> float:
+def find_used(fleet: RetryFleet) -> float:
     """Return the share of the bound that the first window of the storm has."""
-    return fleet.count_repeats(CALM_MS) / fleet.find_allowed(CALM_MS)
+    return fleet.count_retries(CALM_MS) / fleet.find_allowed(CALM_MS)
--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -26,7 +26,7 @@
 from savorychute.gateway.metric_rows import GATEWAY_METRICS
 from savorychute.gateway.parts import GatewayParts
 from savorychute.gateway.permits.permit_desk import PermitDesk
-from savorychute.gateway.recovery.crash_book import CrashBook
+from savorychute.gateway.recovery.crash_table import CrashTable
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance
 from savorychute.gateway.requests.intake import Intake
 from savorychute.gateway.settings.key_trust import key_trust_ms
@@ -199,7 +199,7 @@
 ) -> GatewayParts:
     load_choosers()
     settings, clock, rng = around.settings, around.clock, around.rng
-    crashes = CrashBook()
+    crashes = CrashTable()
     metrics = Metrics(settings.instance, GATEWAY_METRICS)
     telemetry = GatewayTelemetry(around.log, metrics, clock)
     of_endpoints = EndpointTelemetry(telemetry)
--- a/savorychute/gateway/daemon/entry_keeper.py
+++ b/savorychute/gateway/daemon/entry_keeper.py
@@ -48,7 +48,7 @@
     ) -> None:
         self.registration = registration
         self._allowance = allowance
-        allowance.cap.on_needed = self.follow_cap
+        allowance.cap.on_increase_needed = self.follow_cap
         self._clock = clock
         self._rng = rng
         self._telemetry = telemetry
@@ -69,7 +69,7 @@
                 await asyncio.sleep(REGISTER_RETRY_MS / MS_PER_S)
             else:
                 self._telemetry.store_answered(TOPIC)
-                self._allowance.cap.entered()
+                self._allowance.cap.mark_stored()
                 self._registered = True
                 return
 
@@ -132,7 +132,7 @@
         :param listing: the entries of all.
         :param view: who is alive.
         """
-        self._sharers.list(listing.names)
+        self._sharers.set_listed(listing.names)
         self._counted = None
         self.follow_members(view)
 
@@ -144,7 +144,7 @@
         if view is self._counted:
             return
         self._counted = view
-        self._sharers.meet(member.instance for member in view.alive)
+        self._sharers.add_alive(member.instance for member in view.alive)
         self._allowance.instances = self._sharers.count
 
     def follow_cap(self) -> None:
@@ -153,19 +153,19 @@
         now_ms = self._clock.now_ms()
         if not self._registered or is_writing or now_ms < self._next_cap_ms:
             return
-        change = self._allowance.cap_change(now_ms)
+        change = self._allowance.find_cap_change(now_ms)
         if change is None:
             return
         loop = asyncio.get_running_loop()
         self._writing_cap = loop.create_task(self._write_cap(change))
 
     async def _write_cap(self, repeats: float) -> None:
-        self._allowance.cap.change_begins(repeats)
+        self._allowance.cap.change_started(repeats)
         try:
             await self.registration.allow_repeats(repeats)
         except StoreUnavailableError as error:
             self._next_cap_ms = self._clock.now_ms() + CAP_RETRY_MS
             self._telemetry.store_failed(TOPIC, error)
             return
-        self._allowance.cap.change_is_known(repeats)
+        self._allowance.cap.change_confirmed(repeats)
         self._telemetry.repeats_allowed(repeats)
--- a/savorychute/gateway/daemon/peer_messages.py
+++ b/savorychute/gateway/daemon/peer_messages.py
@@ -9,10 +9,10 @@
 from savorychute.gateway.duties.usage_told import UsageTold
 from savorychute.gateway.permits.permit_answer import PermitAnswer
 from savorychute.gateway.permits.permit_question import PermitQuestion
-from savorychute.gateway.recovery.crash_inquiry import CrashInquiry
+from savorychute.gateway.recovery.crash_broadcaster import CrashBroadcaster
+from savorychute.gateway.recovery.crash_history_fetcher import CrashHistoryFetcher
 from savorychute.gateway.recovery.crash_news import CrashNews
 from savorychute.gateway.recovery.crash_question import CrashQuestion
-from savorychute.gateway.recovery.crash_spread import CrashSpread
 from savorychute.gateway.store.store_answer import StoreAnswer
 from savorychute.gateway.store.store_question import StoreQuestion
 from savorychute.membership.ack import Ack
@@ -31,7 +31,7 @@
     from savorychute.gateway.duties.usage_spread import UsageSpread
     from savorychute.gateway.endpoints.statement_book import StatementBook
     from savorychute.gateway.permits.permit_desk import PermitDesk
-    from savorychute.gateway.recovery.crash_book import CrashBook
+    from savorychute.gateway.recovery.crash_table import CrashTable
     from savorychute.gateway.store.reading_plan import ReadingPlan
     from savorychute.gateway.store.shared_reading import SharedReading
     from savorychute.membership.member_view import MemberView
@@ -45,7 +45,7 @@
     """
 
     directory: InstanceDirectory
-    crashes: CrashBook
+    crashes: CrashTable
     demand: LaneDemand
     shortages: Shortages
     statements: StatementBook
@@ -67,8 +67,8 @@
 
     def __init__(self, parts: PeerParts, rng: random.Random) -> None:
         self.parts = parts
-        self._spread = CrashSpread(parts.crashes)
-        self._inquiry = CrashInquiry(rng)
+        self._spread = CrashBroadcaster(parts.crashes)
+        self._inquiry = CrashHistoryFetcher(rng)
 
     def make_news(self, now_ms: int) -> MemberNews:
         """Return what the others are told with each probe.
@@ -116,10 +116,12 @@
         parts = self.parts
         match message:
             case CrashNews():
-                parts.crashes.take_in(message.sightings, now_ms - message.age_ms)
+                parts.crashes.record_reported(
+                    message.sightings, now_ms - message.age_ms
+                )
             case CrashQuestion():
                 asker = view.address_of(sender)
-                return [] if asker is None else self._spread.answer(asker, now_ms)
+                return [] if asker is None else self._spread.respond(asker, now_ms)
             case StoreAnswer():
                 parts.reading.take_answer(message, now_ms)
             case StoreQuestion():
--- a/savorychute/gateway/parts.py
+++ b/savorychute/gateway/parts.py
@@ -20,7 +20,7 @@
     from savorychute.gateway.endpoints.load_watch import LoadWatch
     from savorychute.gateway.endpoints.statement_book import StatementBook
     from savorychute.gateway.permits.permit_desk import PermitDesk
-    from savorychute.gateway.recovery.crash_book import CrashBook
+    from savorychute.gateway.recovery.crash_table import CrashTable
     from savorychute.gateway.recovery.retry_allowance import RetryAllowance
     from savorychute.gateway.requests.attempt_port import AttemptPort, TimerPort
     from savorychute.gateway.telemetry import GatewayTelemetry
@@ -43,7 +43,7 @@
     statements: StatementBook
     permits: PermitDesk
     allowance: RetryAllowance
-    crashes: CrashBook
+    crashes: CrashTable
     usage: UsageLedger
     telemetry: GatewayTelemetry
     endpoint_telemetry: EndpointTelemetry
--- a/savorychute/gateway/recovery/__init__.py
+++ b/savorychute/gateway/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Retries that all instances share, and requests that crash endpoints."""
+"""Retry limits shared by all instances, and detection of requests that crash endpoints."""
--- a/savorychute/gateway/recovery/crash_news.py
+++ b/savorychute/gateway/recovery/crash_news.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of requests that crash endpoints."""
+"""The message that reports observed crashes to other instances."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @peer_message(90)
 class CrashNews(NamedTuple):
-    """Sightings, and how long ago the oldest of them was made."""
+    """Observed crashes, and the age of the oldest of them."""
 
     sightings: tuple[CrashSighting, ...]
     age_ms: int = 0
--- a/savorychute/gateway/recovery/crash_question.py
+++ b/savorychute/gateway/recovery/crash_question.py
@@ -1,4 +1,4 @@
-"""What an instance that has started asks the others."""
+"""The message by which a started instance requests recent crashes from others."""
 
 from __future__ import annotations
 
@@ -9,4 +9,4 @@
 
 @peer_message(94)
 class CrashQuestion(NamedTuple):
-    """Asks which requests have crashed endpoints lately."""
+    """Requests the crashes that another instance knows of."""
--- a/savorychute/gateway/recovery/crash_sighting.py
+++ b/savorychute/gateway/recovery/crash_sighting.py
@@ -1,4 +1,4 @@
-"""An endpoint that broke off while it ran a request."""
+"""An observed crash: an endpoint that was lost while it ran a request."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CrashSighting(NamedTuple):
-    """The request's fingerprint and the endpoint's run."""
+    """The fingerprint of the request and the run of the endpoint."""
 
     fingerprint: str
     run: EndpointRun
--- a/savorychute/gateway/recovery/slack_sharers.py
+++ b/savorychute/gateway/recovery/slack_sharers.py
@@ -9,10 +9,10 @@
 
 
 class SlackSharers:
-    """Counts the instances that may have sent repeats within the window.
+    """Counts the instances that may have sent retries within the window.
 
-    Those that were killed or have left count as long as the store lists them: what they
-    spent is still in the window, and their next run has their part again.
+    Instances that were killed or have left count as long as the store lists them: their
+    retries are still within the window, and their next run receives a share again.
     """
 
     def __init__(self) -> None:
@@ -20,18 +20,18 @@
 
     @property
     def count(self) -> int | None:
-        """How many there are; None before any is known."""
+        """The number of instances; None before any is known."""
         return len(self._names) or None
 
-    def list(self, names: frozenset[str]) -> None:
-        """Take the names that the store lists, in place of all that were known.
+    def set_listed(self, names: frozenset[str]) -> None:
+        """Replace all known names by those that the store lists.
 
-        :param names: those of instances that run, have left or were killed.
+        :param names: the names of instances that run, have left or were killed.
         """
         self._names = names
 
-    def meet(self, names: Iterable[str]) -> None:
-        """Take in instances that are alive, which may have started since the listing.
+    def add_alive(self, names: Iterable[str]) -> None:
+        """Add instances that are alive; they may have started since the listing.
 
         :param names: their names.
         """
--- a/savorychute/gateway/requests/intake.py
+++ b/savorychute/gateway/requests/intake.py
@@ -22,7 +22,7 @@
     from savorychute.gateway.configuration.route import Route
     from savorychute.gateway.configuration.route_table import RouteTable
     from savorychute.gateway.configuration.service import Service
-    from savorychute.gateway.recovery.crash_book import CrashBook
+    from savorychute.gateway.recovery.crash_table import CrashTable
     from savorychute.gateway.requests.inbound_request import InboundRequest
 
 # A caller refused by an instance with a stale configuration can try another instance
@@ -43,7 +43,7 @@
     def __init__(
         self,
         configuration: ConfigurationState,
-        crashes: CrashBook,
+        crashes: CrashTable,
         rng: random.Random,
     ) -> None:
         self._configuration = configuration
--- a/savorychute/gateway/requests/request_execution.py
+++ b/savorychute/gateway/requests/request_execution.py
@@ -86,7 +86,9 @@
 
     def start(self) -> None:
         """Send the first attempt."""
-        self._parts.allowance.request(self._admitted.service.name, self.started_ms)
+        self._parts.allowance.count_request(
+            self._admitted.service.name, self.started_ms
+        )
         if self._admitted.service.runs_models:
             self._observer.record_arrival(self.started_ms)
         if not self._send():
@@ -153,7 +155,7 @@
         self.possible_executions += 1
         if reason == 'connection-lost':
             crash = CrashSighting(self._admitted.fingerprint, record.entry.run)
-            self._parts.crashes.broke_off(crash, now_ms)
+            self._parts.crashes.record_interruption(crash, now_ms)
         self._log_attempt(attempt, 'broke', reason)
         if not self._retry():
             self._abandon(reason)
--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -20,7 +20,7 @@
     from savorychute.gateway.dispatch.engine_model import EngineFigures
     from savorychute.gateway.dispatch.need import Need
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
-    from savorychute.gateway.recovery.retry_allowance import RepeatDecision
+    from savorychute.gateway.recovery.retry_allowance import RetryDecision
     from savorychute.gateway.requests.admitted_request import AdmittedRequest
     from savorychute.gateway.requests.attempt import Attempt
     from savorychute.gateway.requests.execution_summary import ExecutionSummary
@@ -248,7 +248,7 @@
         )
 
     def repeat_decided(
-        self, request: InboundRequest, service: str, decision: RepeatDecision
+        self, request: InboundRequest, service: str, decision: RetryDecision
     ) -> None:
         """Log whether a further attempt may be sent, and out of what."""
         outcome = 'granted' if decision.granted else 'withheld'
--- a/tests/test_fleet/test_repeats_over_restarts.py
+++ b/tests/test_fleet/test_retries_over_restarts.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on repeats while instances end and start, over sockets."""
+"""Tests of the retry bound while instances end and start, over sockets."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 RATIO = 0.2
 SLACK = 40
 WINDOW_S = 10.0
-# Between two requests at one instance.
-SPACE_S = 0.25
+# Between two requests to one instance.
+REQUEST_INTERVAL_S = 0.25
 
 
-async def send_requests(rig, gateway, ends_s):
-    """Send requests to an instance, whether it runs or not."""
+async def send_requests(rig, gateway, end_s):
+    """Send requests to an instance, even while it is not running."""
     calls = set()
-    while rig.now_s() < ends_s:
+    while rig.now_s() < end_s:
         rig.sent_s.append(rig.now_s())
         call = asyncio.create_task(rig.call(gateway=gateway))
         calls.add(call)
-        await asyncio.sleep(SPACE_S)
+        await asyncio.sleep(REQUEST_INTERVAL_S)
     await asyncio.gather(*calls)
 
 
-def find_repeats(rig):
-    """Return when endpoints got a request that one of them had got before."""
+def find_retries(rig):
+    """Return when endpoints received a request that one of them had received before."""
     seen = set()
-    repeats = []
+    retries = []
     arrivals = sorted(
         (at_s, headers['attempt-id'])
         for endpoint in rig.endpoints.values()
@@ -39,34 +39,34 @@
     )
     for at_s, attempt in arrivals:
         if attempt in seen:
-            repeats.append(at_s)
+            retries.append(at_s)
         seen.add(attempt)
-    return repeats
+    return retries
 
 
 def find_excess(rig):
-    """Return by how much the worst window passes what endpoints may get there."""
-    repeats = find_repeats(rig)
-    assert repeats
+    """Return by how much the worst window exceeds the retry bound."""
+    retries = find_retries(rig)
+    assert retries
     return max(
-        count_between(repeats, at_s, at_s + WINDOW_S) - find_allowed(rig.sent_s, at_s)
-        for at_s in repeats
+        count_between(retries, at_s, at_s + WINDOW_S) - find_allowed(rig.sent_s, at_s)
+        for at_s in retries
     )
 
 
-def find_allowed(sent_s, begin_s):
-    """Return how many repeats the window that begins at a time may have."""
-    begins = (begin_s - WINDOW_S, begin_s - WINDOW_S / 2, begin_s)
-    requests = max(count_between(sent_s, each, each + WINDOW_S) for each in begins)
+def find_allowed(sent_s, start_s):
+    """Return the retry bound of the window that starts at a time."""
+    starts_s = (start_s - WINDOW_S, start_s - WINDOW_S / 2, start_s)
+    requests = max(count_between(sent_s, each, each + WINDOW_S) for each in starts_s)
     return RATIO * requests + SLACK
 
 
-def count_between(times, begin_s, end_s):
-    return sum(begin_s <= each < end_s for each in times)
+def count_between(times_s, start_s, end_s):
+    return sum(start_s <= each < end_s for each in times_s)
 
 
-def run_storm(disturb, lasts_s):
-    """Let all endpoints shed everything while instances are disturbed."""
+def run_storm(disturb, duration_s):
+    """Make all endpoints reject every request while instances are disturbed."""
 
     async def main():
         settings = {
@@ -81,22 +81,22 @@
             run_rig(GATEWAYS, desks=5, **settings) as rig,
         ):
             rig.sent_s = []
-            # The gateways have to hear of each other before the storm.
+            # The gateways must know each other before the storm.
             await asyncio.sleep(12)
             for endpoint in rig.endpoints.values():
                 endpoint.sheds = True
-            ends_s = rig.now_s() + lasts_s
+            end_s = rig.now_s() + duration_s
             async with asyncio.TaskGroup() as tasks:
                 for number in range(GATEWAYS):
-                    tasks.create_task(send_requests(rig, number, ends_s))
+                    tasks.create_task(send_requests(rig, number, end_s))
                 tasks.create_task(disturb(rig))
             return rig
 
     return run_virtual(main())
 
 
-def test_killed_instances_do_not_repeat_their_part_anew_when_they_start():
-    """Guards against repeats that an instance forgets with its process."""
+def test_killed_instances_do_not_spend_their_share_again_after_a_start():
+    """Guards against retries that an instance no longer counts after a restart."""
 
     async def kill_most(rig):
         await asyncio.sleep(4)
@@ -106,24 +106,24 @@
         for gateway in rig.gateways[1:]:
             await gateway.start()
 
-    assert find_excess(run_storm(kill_most, lasts_s=8)) <= 0
+    assert find_excess(run_storm(kill_most, duration_s=8)) <= 0
 
 
-def test_instances_that_restart_in_turn_do_not_divide_the_slack_by_too_few():
-    """Guards against parts of instances that left and still count in the window."""
+def test_slack_is_divided_by_instances_that_left_within_the_window():
+    """Guards against ignoring instances that left but whose retries still count."""
 
-    async def restart_in_turn(rig):
+    async def restart_most(rig):
         await asyncio.sleep(2)
         await asyncio.gather(*(rig.gateways[number].stop() for number in (1, 2, 3)))
         await asyncio.sleep(0.5)
         for gateway in rig.gateways[1:]:
             await gateway.start()
 
-    assert find_excess(run_storm(restart_in_turn, lasts_s=14)) <= 0
+    assert find_excess(run_storm(restart_most, duration_s=14)) <= 0
 
 
-def test_instances_that_were_killed_in_a_calm_hour_repeat_again_at_once():
-    """Guards against a bound that is kept by no second attempt after each kill."""
+def test_instances_killed_during_a_calm_phase_retry_at_once_after_a_start():
+    """Guards against keeping to the bound by sending no retries after each kill."""
 
     async def kill_all(rig):
         for gateway in rig.gateways:
@@ -132,8 +132,8 @@
             await gateway.start()
         rig.started_s = rig.now_s()
 
-    rig = run_storm(kill_all, lasts_s=8)
-    soon = count_between(find_repeats(rig), rig.started_s, rig.started_s + 5)
+    rig = run_storm(kill_all, duration_s=8)
+    soon = count_between(find_retries(rig), rig.started_s, rig.started_s + 5)
 
     assert find_excess(rig) <= 0
     assert soon >= GATEWAYS
--- a/tests/test_gateway/gateway_fakes.py
+++ b/tests/test_gateway/gateway_fakes.py
@@ -30,7 +30,7 @@
 from savorychute.gateway.metric_rows import GATEWAY_METRICS
 from savorychute.gateway.parts import GatewayParts
 from savorychute.gateway.permits.permit_desk import PermitDesk
-from savorychute.gateway.recovery.crash_book import CrashBook
+from savorychute.gateway.recovery.crash_table import CrashTable
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance, RetryBounds
 from savorychute.gateway.requests.endpoint_response import (
     EndpointResponse,
@@ -338,7 +338,7 @@
     bounds = RetryBounds(0.2, 10_000, slack)
     allowance = RetryAllowance(bounds, START_MS - bounds.window_ms)
     allowance.inherit(None)
-    allowance.cap.entered()
+    allowance.cap.mark_stored()
     return allowance
 
 
@@ -374,7 +374,7 @@
     configuration = ConfigurationState(key_trust_ms=4_500, fresh_ms=3_000)
     configuration.apply(deployment or make_deployment())
     configuration.confirm(clock.now_ms())
-    crashes = CrashBook()
+    crashes = CrashTable()
     models = EngineModels()
     shortages = Shortages()
     telemetry = make_telemetry(clock)
--- a/tests/test_gateway/repeat_rig.py
+++ b/tests/test_gateway/retry_fixture.py
@@ -1,4 +1,4 @@
-"""Instances that repeat all they may, on one clock, and a judge of what arrives."""
+"""Simulated instances that send every allowed retry, and checks of the retry bound."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class SharedTopic:
-    """The topic of instances: may be down, lose answers and go back."""
+    """The topic of instances; it can be down, lose responses and be restored."""
 
     def __init__(self, fleet):
         self._fleet = fleet
@@ -34,19 +34,19 @@
         self.records = []
         self.era = 1
         self.down = False
-        self.loses_answers = False
+        self.loses_responses = False
         self._fences = {}
-        # Writes without an answer, which take effect later if they still may.
+        # Writes without a response, which take effect later if there is no conflict.
         self._late = []
 
-    def go_back(self, age_s):
-        """Come back from a copy that is some seconds old."""
+    def restore_backup(self, age_s):
+        """Restore a backup that is *age_s* seconds old."""
         kept = bisect_right(self._written_ms, self._fleet.now_ms - age_s * MS_PER_S)
         del self.records[kept:]
         del self._written_ms[kept:]
         self.era += 1
 
-    def deliver_late(self):
+    def apply_late_writes(self):
         late, self._late = self._late, []
         for write in late:
             with suppress(WriteConflictError, WriteFencedError):
@@ -61,9 +61,9 @@
     async def write(self, key, value, expected_end=None, fence=None):
         if self.down:
             raise StoreUnavailableError('down')
-        if self.loses_answers:
+        if self.loses_responses:
             self._late.append((key, value, expected_end, fence))
-            raise StoreUnavailableError('no answer')
+            raise StoreUnavailableError('no response')
         self._append(key, value, expected_end, fence)
 
     def _append(self, key, value, expected_end, fence):
@@ -71,18 +71,18 @@
             raise WriteConflictError('written by another')
         if fence is not None:
             if fence.number <= self._fences.get(fence.writer, -1):
-                raise WriteFencedError('a later write was taken')
+                raise WriteFencedError('a later write was accepted')
             self._fences[fence.writer] = fence.number
         self._written_ms.append(self._fleet.now_ms)
         self.records.append(KeyedRecord(len(self.records), key, value))
 
 
-class Run:
-    """One run of an instance; its clock stands still while it is frozen."""
+class InstanceRun:
+    """One run of an instance; its clock stops while it is frozen."""
 
     def __init__(self, fleet, name):
         self._fleet = fleet
-        self._asleep_ms = 0
+        self._frozen_ms = 0
         self.frozen = False
         self.leaving = False
         address = MemberAddress(name, 0, 'kerala', 'kochi', '10.0.0.1', 80, 70)
@@ -97,64 +97,64 @@
         if self.registered or not complete(self.registration.register(inherit)):
             return
         self.registered = True
-        self.allowance.cap.entered()
-        self.sharers.list(self.registration.listing.names)
-        self.meet({self.registration.address.instance})
+        self.allowance.cap.mark_stored()
+        self.sharers.set_listed(self.registration.listing.names)
+        self.add_alive({self.registration.address.instance})
 
-    def meet(self, names):
+    def add_alive(self, names):
         if self.registered:
-            self.sharers.meet(names)
+            self.sharers.add_alive(names)
             self.allowance.instances = self.sharers.count
 
-    def notice_era(self):
+    def check_era(self):
         if self.registered and self.registration.era != self._fleet.topic.era:
             complete(self.registration.enter_again())
 
     def leave(self):
         self.leaving = True
-        repeats = self.allowance.close(self._now_ms())
+        retries = self.allowance.close(self._now_ms())
         if self.registered:
-            complete(self.registration.leave(repeats))
+            complete(self.registration.leave(retries))
 
     def tick(self, requests):
         if self.frozen:
-            self._asleep_ms += TICK_MS
+            self._frozen_ms += TICK_MS
             return
         self.try_register()
-        self.notice_era()
+        self.check_era()
         now_ms = self._now_ms()
-        self._follow_cap(now_ms)
+        self._update_cap(now_ms)
         for _ in range(requests):
-            self.allowance.request(SERVICE, now_ms)
+            self.allowance.count_request(SERVICE, now_ms)
         while self._fleet.storm and self.allowance.try_spend(SERVICE, now_ms).granted:
-            self._fleet.repeats_ms.append(self._fleet.now_ms)
+            self._fleet.retries_ms.append(self._fleet.now_ms)
 
-    def _follow_cap(self, now_ms):
-        change = self.allowance.cap_change(now_ms) if self.registered else None
+    def _update_cap(self, now_ms):
+        change = self.allowance.find_cap_change(now_ms) if self.registered else None
         if change is None:
             return
-        self.allowance.cap.change_begins(change)
+        self.allowance.cap.change_started(change)
         if complete(self.registration.allow_repeats(change)):
-            self.allowance.cap.change_is_known(change)
+            self.allowance.cap.change_confirmed(change)
 
     def _now_ms(self):
-        return self._fleet.now_ms - self._asleep_ms
+        return self._fleet.now_ms - self._frozen_ms
 
 
-class RepeatFleet:
-    """Instances by name, those that run, and what endpoints get of them."""
+class RetryFleet:
+    """Simulated instances, by name, and the requests and retries that they send."""
 
     def __init__(self, instances, requests, bounds=BOUNDS):
         self.now_ms = 0
         self.topic = SharedTopic(self)
         self.bounds = bounds
-        # Of each instance in a tick; parts of one add up.
+        # Requests of each instance per tick; fractions accumulate.
         self.requests = requests
         self._due = {}
         self.requests_ms = []
-        self.repeats_ms = []
+        self.retries_ms = []
         self.cut = set()
-        # Whether endpoints turn every attempt away.
+        # Whether endpoints reject every attempt.
         self.storm = False
         self.runs = {}
         for number in range(instances):
@@ -163,7 +163,7 @@
 
     def start(self, name):
         if self.runs.get(name) is None:
-            self.runs[name] = Run(self, name)
+            self.runs[name] = InstanceRun(self, name)
 
     def kill(self, name):
         self.runs[name] = None
@@ -172,55 +172,55 @@
         return self.runs.get(name)
 
     def gossip(self):
-        """Let all hear of each other that are not cut off."""
+        """Make all instances that are not cut off known to each other."""
         linked = {
             name
             for name, run in self.runs.items()
             if run is not None and run.registered and not run.frozen
         } - self.cut
         for name in linked:
-            self.runs[name].meet(linked)
+            self.runs[name].add_alive(linked)
 
     def tick(self):
         self.now_ms += TICK_MS
         for number, (name, run) in enumerate(list(self.runs.items())):
-            begun = self._due.get(name, number / len(self.runs)) + self.requests
-            requests, self._due[name] = int(begun), begun % 1
+            due = self._due.get(name, number / len(self.runs)) + self.requests
+            requests, self._due[name] = int(due), due % 1
             self.requests_ms += [self.now_ms] * requests
             if run is not None:
                 run.tick(requests)
 
     def find_excess(self):
-        """Return by how much the worst window passes the bound, and when it begins."""
+        """Return by how much the worst window exceeds the bound, and when it starts."""
         return max(
-            (self.count_repeats(at_ms) - self.find_allowed(at_ms), at_ms)
-            for at_ms in set(self.repeats_ms)
+            (self.count_retries(at_ms) - self.find_allowed(at_ms), at_ms)
+            for at_ms in set(self.retries_ms)
         )
 
-    def count_repeats(self, begin_ms):
-        end_ms = begin_ms + self.bounds.window_ms
-        return count_between(self.repeats_ms, begin_ms, end_ms)
+    def count_retries(self, start_ms):
+        end_ms = start_ms + self.bounds.window_ms
+        return count_between(self.retries_ms, start_ms, end_ms)
 
-    def find_allowed(self, begin_ms):
+    def find_allowed(self, start_ms):
         window_ms = self.bounds.window_ms
-        begins_ms = (begin_ms - window_ms, begin_ms - window_ms // 2, begin_ms)
+        starts_ms = (start_ms - window_ms, start_ms - window_ms // 2, start_ms)
         requests = max(
             count_between(self.requests_ms, each, each + window_ms)
-            for each in begins_ms
+            for each in starts_ms
         )
         return self.bounds.ratio * requests + self.bounds.slack
 
 
-def count_between(times_ms, begin_ms, end_ms):
-    return bisect_left(times_ms, end_ms) - bisect_left(times_ms, begin_ms)
+def count_between(times_ms, start_ms, end_ms):
+    return bisect_left(times_ms, end_ms) - bisect_left(times_ms, start_ms)
 
 
-def complete(work):
-    """Run work that waits for nothing; return whether the store did it."""
+def complete(coroutine):
+    """Run a coroutine that never waits; return whether the store completed it."""
     try:
-        work.send(None)
+        coroutine.send(None)
     except StopIteration:
         return True
     except StoreUnavailableError:
         return False
-    raise AssertionError('the work waits')
+    raise AssertionError('the coroutine waits')
--- a/tests/test_gateway/test_endpoint_runs.py
+++ b/tests/test_gateway/test_endpoint_runs.py
@@ -232,7 +232,7 @@
     crashes = gateway.parts.crashes
     for born_ms in (1, 2, 3):
         run = EndpointRun('e0', born_ms)
-        crashes.broke_off(CrashSighting('f', run), 1_000)
+        crashes.record_interruption(CrashSighting('f', run), 1_000)
         crashes.endpoint_ended(run, 1_100)
 
     assert crashes.is_suspect('f', 1_200)
--- a/tests/test_gateway/test_entry_keeper.py
+++ b/tests/test_gateway/test_entry_keeper.py
@@ -11,8 +11,8 @@
 
 from savorychute.clock import MS_PER_S
 from savorychute.gateway.daemon.entry_keeper import EntryKeeper
-from savorychute.gateway.recovery.repeat_cap import FIRST_REPEATS
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance, RetryBounds
+from savorychute.gateway.recovery.retry_cap import INITIAL_RETRIES
 from savorychute.gateway.store.instance_entry import decode_listing
 from savorychute.gateway.store.registration import Registration
 from savorychute.gateway.store.store_errors import StoreUnavailableError
@@ -94,7 +94,7 @@
         await scene.settle(1)
         return first, during, scene.spend(), scene.stated()
 
-    assert play(scenario) == (FIRST_REPEATS, False, True, 32)
+    assert play(scenario) == (INITIAL_RETRIES, False, True, 32)
 
 
 def test_needed_cap_is_stated_without_waiting_for_a_tick(play):
