--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -20,10 +20,10 @@
     from savorychute.gateway.dispatch.engine_model import EngineFigures
     from savorychute.gateway.dispatch.need import Need
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
-    from savorychute.gateway.recovery.retry_allowance import RepeatDecision
-    from savorychute.gateway.requests.admitted import Admitted
+    from savorychute.gateway.recovery.retry_allowance import RetryDecision
+    from savorychute.gateway.requests.admitted_request import AdmittedRequest
     from savorychute.gateway.requests.attempt import Attempt
-    from savorychute.gateway.requests.course_summary import CourseSummary
+    from savorychute.gateway.requests.execution_summary import ExecutionSummary
     from savorychute.gateway.requests.inbound_request import InboundRequest
     from savorychute.gateway.requests.refusal import Refusal
     from savorychute.gateway.store.unreadable_record import UnreadableRecord
@@ -243,12 +243,12 @@
             service=record.entry.service,
             state=outcome,
             reason=make_word(reason),
-            duration_ms=now_ms - attempt.began_ms,
+            duration_ms=now_ms - attempt.started_ms,
             count=record.outstanding,
         )
 
     def repeat_decided(
-        self, request: InboundRequest, service: str, decision: RepeatDecision
+        self, request: InboundRequest, service: str, decision: RetryDecision
     ) -> None:
         """Log whether a further attempt may be sent, and out of what."""
         outcome = 'granted' if decision.granted else 'withheld'
@@ -276,10 +276,10 @@
     def request_finished(
         self,
         request: InboundRequest,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         outcome: str,
         status: int,
-        summary: CourseSummary,
+        summary: ExecutionSummary,
     ) -> None:
         """Log how a request ended."""
         route = admitted.route
