--- a/benches/duty_holders.py
+++ b/benches/duty_holders.py
@@ -19,13 +19,13 @@
 
 sys.path.append(str(Path(__file__).parents[1] / 'tests' / 'test_duties'))
 
-from duty_world import (
+from duty_simulation import (
+    CallFaults,
+    DutySimulation,
     Instance,
     InstanceTopic,
-    Trouble,
-    World,
     loop_ms,
-    run_world,
+    run_simulation,
     sleep_ms,
 )
 
@@ -94,25 +94,25 @@
     _joining: asyncio.Task[None] | None = None
     _next_ms = 0.0
 
-    def tick(self, now_ms: int, *, wanted: bool) -> list[ConditionalWrite]:
+    def tick(self, now_ms: int, *, should_hold: bool) -> list[ConditionalWrite]:
         """Join from time to time."""
-        if wanted and now_ms >= self._next_ms:
+        if should_hold and now_ms >= self._next_ms:
             self._next_ms = now_ms + JOIN_MS
             self._joining = asyncio.get_running_loop().create_task(self._join(now_ms))
         return []
 
     async def _join(self, now_ms: int) -> None:
         try:
-            await self.topic.arrive()
+            await self.topic.reach_store()
         except StoreUnavailableError:
             return
         generation, owns = self.group.join(self.member)
         self._generation = generation
         self._until_ms = now_ms + GROUP_TTL_MS - JOIN_MARGIN_MS if owns else 0.0
 
-    def fencing(self, now_ms: int) -> int | None:
+    def fencing_number(self, now_ms: int) -> int | None:
         """Return era and generation while the partition is this member's."""
-        if now_ms >= self._until_ms or self._eras.current != self.records.era:
+        if now_ms >= self._until_ms or self._store_era.current != self.records.era:
             return None
         return number_in_era(self.records.era, self._generation)
 
@@ -128,53 +128,53 @@
     """What happens to the holder or to the store, and how long it lasts."""
 
     name: str
-    strike: Callable[[World, int], Awaitable[None]]
+    strike: Callable[[DutySimulation, int], Awaitable[None]]
 
 
-async def _kill(world: World, holder: int) -> None:
+async def _kill(world: DutySimulation, holder: int) -> None:
     world.instances[holder].kill()
     await sleep_ms(FAULT_MS)
 
 
-async def _freeze(world: World, holder: int) -> None:
-    world.instances[holder].line.freeze()
+async def _freeze(world: DutySimulation, holder: int) -> None:
+    world.instances[holder].connection.pause()
     await sleep_ms(FAULT_MS)
-    world.instances[holder].line.thaw()
+    world.instances[holder].connection.resume()
 
 
-async def _cut(world: World, holder: int) -> None:
-    world.instances[holder].line.cut_from_store = True
+async def _cut(world: DutySimulation, holder: int) -> None:
+    world.instances[holder].connection.cut_from_store = True
     await sleep_ms(FAULT_MS)
-    world.instances[holder].line.cut_from_store = False
+    world.instances[holder].connection.cut_from_store = False
 
 
-async def _store_down(world: World, holder: int) -> None:
+async def _store_down(world: DutySimulation, holder: int) -> None:
     del holder
-    world.store.down = True
+    world.store.is_down = True
     await sleep_ms(FAULT_MS)
-    world.store.down = False
+    world.store.is_down = False
 
 
-async def _store_slow(world: World, holder: int) -> None:
+async def _store_slow(world: DutySimulation, holder: int) -> None:
     del holder
-    world.store.trouble = Trouble(slow_ms=230)
+    world.store.faults = CallFaults(slow_ms=230)
     await sleep_ms(FAULT_MS)
-    world.store.trouble = Trouble()
+    world.store.faults = CallFaults()
 
 
-async def _answers_lost(world: World, holder: int) -> None:
+async def _answers_lost(world: DutySimulation, holder: int) -> None:
     del holder
-    world.store.trouble = Trouble(lost=0.3)
+    world.store.faults = CallFaults(lost=0.3)
     await sleep_ms(FAULT_MS)
-    world.store.trouble = Trouble()
+    world.store.faults = CallFaults()
 
 
-async def _older_copy(world: World, holder: int) -> None:
+async def _older_copy(world: DutySimulation, holder: int) -> None:
     del holder
-    world.store.go_back(3_000)
+    world.store.restore_older_copy(3_000)
 
 
-async def _dealt_anew(world: World, holder: int) -> None:
+async def _dealt_anew(world: DutySimulation, holder: int) -> None:
     del holder
     if hasattr(world, 'group'):
         world.group.deal(world.rng)
@@ -216,7 +216,7 @@
 
 def _play(seed: int, fault: Fault, *, joined: bool) -> Outcome:
     async def main() -> Outcome:
-        world: Any = World(seed)
+        world: Any = DutySimulation(seed)
         if joined:
             world.group = GroupModel()
             for each in world.instances:
@@ -228,10 +228,10 @@
         strike = asyncio.create_task(fault.strike(world, world.holder()))
         longest_ms = await _longest_gap(world)
         await strike
-        world.end()
+        world.stop()
         return Outcome(longest_ms, calls_per_minute)
 
-    return run_world(main())
+    return run_simulation(main())
 
 
 def _join_group(world: Any, instance: Instance) -> None:
@@ -249,14 +249,14 @@
     return float(others + JOIN_WEIGHT * world.group.joins)
 
 
-async def _longest_gap(world: World) -> float:
+async def _longest_gap(world: DutySimulation) -> float:
     """Return the longest time in which no living instance held the duties."""
     longest_ms = 0.0
     since_ms: float | None = None
     end_ms = loop_ms() + AFTER_MS
     while loop_ms() < end_ms:
         await sleep_ms(LOOK_MS)
-        holds = any(each.holds() for each in world.instances if each.acts())
+        holds = any(each.is_holder() for each in world.instances if each.is_available())
         if holds:
             since_ms = None
             continue
--- a/savorychute/cmd/capacity.py
+++ b/savorychute/cmd/capacity.py
@@ -60,7 +60,7 @@
         'policy': policy,
         'lasting': lasting,
         'reclaimable': fleet.total - lasting,
-        'left_after_a_reclaim': fleet.after_reclaim(),
+        'left_after_a_reclaim': fleet.remaining_after_reclaim(),
         'price_a_second': round(price, 2),
         'reason': fleet.reason or 'as it stands',
     }
--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -51,7 +51,7 @@
     from collections.abc import Awaitable, Callable
 
     from savorychute.gateway.daemon.surroundings import Surroundings
-    from savorychute.gateway.duties.usage_ledger import UsageLedger
+    from savorychute.gateway.duties.usage_counter import UsageCounter
     from savorychute.gateway.settings.gateway_settings import GatewaySettings
     from savorychute.gateway.store.keyed_topic import KeyedTopic
 
@@ -195,7 +195,7 @@
 
 
 def _make_parts(
-    around: Surroundings, demand: LaneDemand, usage: UsageLedger
+    around: Surroundings, demand: LaneDemand, usage: UsageCounter
 ) -> GatewayParts:
     load_choosers()
     settings, clock, rng = around.settings, around.clock, around.rng
--- a/savorychute/gateway/daemon/duty_assembly.py
+++ b/savorychute/gateway/daemon/duty_assembly.py
@@ -14,10 +14,10 @@
 from savorychute.gateway.duties.server_duty import ServerDuty
 from savorychute.gateway.duties.server_policies import SERVER_POLICIES
 from savorychute.gateway.duties.true_time import TrueTime
+from savorychute.gateway.duties.usage_aggregator import UsageAggregator
+from savorychute.gateway.duties.usage_broadcaster import UsageBroadcaster
+from savorychute.gateway.duties.usage_counter import UsageCounter
 from savorychute.gateway.duties.usage_duty import UsageDuty
-from savorychute.gateway.duties.usage_gathering import UsageGathering
-from savorychute.gateway.duties.usage_ledger import UsageLedger
-from savorychute.gateway.duties.usage_spread import UsageSpread
 from savorychute.gateway.duties.usage_windows import UsageWindows
 from savorychute.gateway.duty_telemetry import DutyTelemetry
 from savorychute.http.client_pool import ServerAddress
@@ -36,10 +36,10 @@
     kinds: frozenset[DutyKind]
     windows: UsageWindows
     time: TrueTime
-    ledger: UsageLedger
-    gathering: UsageGathering
+    ledger: UsageCounter
+    gathering: UsageAggregator
     candidates: DutyCandidates
-    spread: UsageSpread | None
+    spread: UsageBroadcaster | None
 
 
 def make_duty_side(around: Surroundings) -> DutySide:
@@ -55,10 +55,10 @@
         int(MS_PER_S * settings.usage_window_s), int(MS_PER_S * settings.usage_due_s)
     )
     time = TrueTime(around.clock, around.wall)
-    ledger = UsageLedger(windows if DutyKind.USAGE in kinds else None, time)
-    gathering = UsageGathering()
+    ledger = UsageCounter(windows if DutyKind.USAGE in kinds else None, time)
+    gathering = UsageAggregator()
     candidates = DutyCandidates()
-    spread = UsageSpread(candidates, ledger, gathering) if kinds else None
+    spread = UsageBroadcaster(candidates, ledger, gathering) if kinds else None
     return DutySide(kinds, windows, time, ledger, gathering, candidates, spread)
 
 
--- a/savorychute/gateway/daemon/duty_worker.py
+++ b/savorychute/gateway/daemon/duty_worker.py
@@ -167,14 +167,14 @@
             self._count_call(CallPurpose.LIST)
             snapshot = await self._topic.list_newest()
             now_ms = self._clock.now_ms()
-            self._claims.take_listing(snapshot, now_ms, self._time.now_ms())
+            self._claims.apply_snapshot(snapshot, now_ms, self._time.now_ms())
             return
         self._count_call(CallPurpose.READ_DUTIES)
         delta = await self._topic.read_from(offset, READ_WAIT_MS)
-        self._claims.take_delta(delta, self._clock.now_ms())
+        self._claims.apply_delta(delta, self._clock.now_ms())
 
     def _takes_part(self) -> bool:
-        if self._claims.fencing(self._clock.now_ms()) is not None:
+        if self._claims.fencing_number(self._clock.now_ms()) is not None:
             return True
         return self._candidates.is_candidate and not self._leaving
 
@@ -187,11 +187,11 @@
 
     def _tick(self, now_ms: int) -> None:
         wanted = self._candidates.is_candidate and not self._leaving
-        for write in self._claims.tick(now_ms, wanted=wanted):
+        for write in self._claims.tick(now_ms, should_hold=wanted):
             self._start(self._claim(write))
         for change in self._claims.take_changes():
             self._telemetry.duty_changed(change)
-        if self._claims.fencing(now_ms) is None:
+        if self._claims.fencing_number(now_ms) is None:
             return
         era_write = self._claims.records.era_write()
         if era_write is not None and not self._writing:
@@ -204,8 +204,8 @@
             self._report_usage(self._usage, now_ms)
 
     def _report_usage(self, usage: UsageDuty, now_ms: int) -> None:
-        members = self._candidates.members
-        for step in usage.steps(members, self._time.now_ms(), now_ms):
+        members = self._candidates.alive_members
+        for step in usage.due_steps(members, self._time.now_ms(), now_ms):
             work = self._settle if step.kind is StepKind.SETTLE else self._send
             self._start(work(usage, step))
 
@@ -220,7 +220,7 @@
             self._start(self._order(servers, order))
 
     async def _order(self, servers: ServerWork, order: ServerOrder) -> None:
-        fencing = self._claims.fencing(self._clock.now_ms())
+        fencing = self._claims.fencing_number(self._clock.now_ms())
         outcome = DutyOutcome.UNAVAILABLE
         if fencing is not None:
             outcome = await self._line.order(order, DutyOrder(self._instance, fencing))
@@ -269,7 +269,7 @@
         self._end_step(usage, step, outcome, 0)
 
     async def _send(self, usage: UsageDuty, step: UsageStep) -> None:
-        fencing = self._claims.fencing(self._clock.now_ms())
+        fencing = self._claims.fencing_number(self._clock.now_ms())
         if fencing is None:
             self._end_step(usage, step, DutyOutcome.UNAVAILABLE, 0)
             return
@@ -277,7 +277,7 @@
         outcome = await self._line.report(step, order)
         now_ms = self._clock.now_ms()
         if outcome is DutyOutcome.FENCED:
-            self._claims.refused(fencing, now_ms)
+            self._claims.handle_refusal(fencing, now_ms)
         self._note_reached(outcome, now_ms)
         self._end_step(usage, step, outcome, fencing)
 
--- a/savorychute/gateway/daemon/peer_group.py
+++ b/savorychute/gateway/daemon/peer_group.py
@@ -118,7 +118,7 @@
     def tell_usage(self) -> None:
         """Tell the last counts, before this instance ends."""
         if self._parts.usage is not None:
-            self._carry_out(self._parts.usage.tell())
+            self._carry_out(self._parts.usage.broadcast())
 
     def _tick(self) -> None:
         membership = self._membership
--- a/savorychute/gateway/daemon/peer_messages.py
+++ b/savorychute/gateway/daemon/peer_messages.py
@@ -28,7 +28,7 @@
     from savorychute.gateway.dispatch.shortages import Shortages
     from savorychute.gateway.duties.duty_candidates import DutyCandidates
     from savorychute.gateway.duties.true_time import TrueTime
-    from savorychute.gateway.duties.usage_spread import UsageSpread
+    from savorychute.gateway.duties.usage_broadcaster import UsageBroadcaster
     from savorychute.gateway.endpoints.statement_book import StatementBook
     from savorychute.gateway.permits.permit_desk import PermitDesk
     from savorychute.gateway.recovery.crash_book import CrashBook
@@ -54,7 +54,7 @@
     plan: ReadingPlan
     reading: SharedReading
     candidates: DutyCandidates
-    usage: UsageSpread | None
+    usage: UsageBroadcaster | None
     time: TrueTime
 
 
@@ -95,7 +95,7 @@
         parts.permits.follow(view)
         parts.demand.observe(parts.count_streams(), len(view.alive), now_ms)
         parts.shortages.instances = max(1, len(view.alive))
-        parts.candidates.follow(view)
+        parts.candidates.set_view(view)
         due = self._spread.tick(view, now_ms)
         due += self._inquiry.tick(view, now_ms)
         due += parts.reading.tick(now_ms)
@@ -131,7 +131,7 @@
                 return _reply(view, sender, parts.permits.answer(message))
             case UsageTold():
                 if parts.usage is not None:
-                    parts.usage.take(sender, message)
+                    parts.usage.handle(sender, message)
             case Ping() | Ack():
                 self._hear(sender, message, now_ms)
         return []
@@ -142,7 +142,7 @@
         parts.shortages.hear(probe.shortages, now_ms)
         parts.statements.limits.hear(probe.limits, now_ms)
         parts.statements.leaving.hear(probe.leaving, now_ms)
-        parts.time.hear(sender, probe.wall_ms, now_ms)
+        parts.time.record_wall_time(sender, probe.wall_ms, now_ms)
 
     def follow_readiness(
         self, sender: str, message: tuple[Any, ...], view: MemberView, now_ms: int
--- a/savorychute/gateway/daemon/server_work.py
+++ b/savorychute/gateway/daemon/server_work.py
@@ -36,13 +36,13 @@
             if not self.roster.is_leaving(record.entry)
         ]
         self.duty.observe(self._services, entries, now_ms)
-        return self.duty.undecided(self._services, now_ms)
+        return self.duty.decide_fleets(self._services, now_ms)
 
     def orders(self, now_ms: int) -> list[ServerOrder]:
         """Return the orders that are due."""
         if self._is_partial(now_ms):
             return []
-        return self.duty.orders(self._services, now_ms)
+        return self.duty.due_orders(self._services, now_ms)
 
     @property
     def _services(self) -> tuple[Service, ...]:
--- a/savorychute/gateway/duties/__init__.py
+++ b/savorychute/gateway/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties towards the platform that one instance at a time carries out for all."""
+"""Duties towards the platform that one instance at a time performs for all."""
--- a/savorychute/gateway/duties/conditional_write.py
+++ b/savorychute/gateway/duties/conditional_write.py
@@ -1,4 +1,4 @@
-"""A record that is written only if nobody has written meanwhile."""
+"""A record that is written only if the topic has not changed meanwhile."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ConditionalWrite(NamedTuple):
-    """A record to be written if the topic still ends where this instance has read it."""
+    """A record to write only if the topic ends where this instance last read it."""
 
     key: str
     value: bytes
--- a/savorychute/gateway/duties/duty_candidates.py
+++ b/savorychute/gateway/duties/duty_candidates.py
@@ -1,4 +1,4 @@
-"""Which instances may hold the duties."""
+"""Selects the instances that may hold the duties."""
 
 from __future__ import annotations
 
@@ -11,44 +11,47 @@
     from savorychute.membership.member_view import MemberView
 
 CANDIDATE_KEY = 'duties'
-# One may be killed and a second cut off at the same time.
-CANDIDATES = 3
+# One candidate may be killed and a second one disconnected at the same time.
+CANDIDATE_COUNT = 3
 
 
 class DutyCandidates:
-    """A few instances, the same for all, so that the others need not read claims."""
+    """Selects a few candidates, the same on every instance.
+
+    The other instances need not read the topic of claims.
+    """
 
     def __init__(self) -> None:
         self._view: MemberView | None = None
-        self._chosen: tuple[MemberAddress, ...] = ()
+        self._candidates: tuple[MemberAddress, ...] = ()
 
-    def follow(self, view: MemberView) -> None:
-        """Choose anew if the members have changed.
+    def set_view(self, view: MemberView) -> None:
+        """Select the candidates again if the members have changed.
 
-        :param view: the members.
+        :param view: the current members.
         """
         if view is self._view:
             return
         self._view = view
         alive = [each for each in view.alive if each.instance not in view.suspects]
-        self._chosen = choose_homes(CANDIDATE_KEY, alive, CANDIDATES)
+        self._candidates = choose_homes(CANDIDATE_KEY, alive, CANDIDATE_COUNT)
 
     @property
-    def own(self) -> MemberAddress | None:
-        """This instance, None before it knows the others."""
+    def own_address(self) -> MemberAddress | None:
+        """The address of this instance; None before the members are known."""
         return self._view.own if self._view is not None else None
 
     @property
     def is_candidate(self) -> bool:
         """Whether this instance may hold the duties."""
-        return self.own in self._chosen
+        return self.own_address in self._candidates
 
     @property
-    def others(self) -> list[MemberAddress]:
-        """The candidates besides this instance."""
-        return [each for each in self._chosen if each != self.own]
+    def other_candidates(self) -> list[MemberAddress]:
+        """The candidates other than this instance."""
+        return [each for each in self._candidates if each != self.own_address]
 
     @property
-    def members(self) -> tuple[MemberAddress, ...]:
-        """The instances that are alive, as far as this one knows."""
+    def alive_members(self) -> tuple[MemberAddress, ...]:
+        """The members that are alive according to the current view."""
         return self._view.alive if self._view is not None else ()
--- a/savorychute/gateway/duties/duty_claims.py
+++ b/savorychute/gateway/duties/duty_claims.py
@@ -1,4 +1,4 @@
-"""Who holds the duties, over the eras of the platform's store."""
+"""Tracks which instance holds the duties, across eras of the platform's store."""
 
 from __future__ import annotations
 
@@ -29,25 +29,26 @@
     from savorychute.leases.lease_settings import LeaseSettings
 
 LEASE_PREFIX = 'duties.'
-# In a new era the holder of the one before goes first: it knows what it has settled.
-ERA_PATIENCE_MS = 1_500
+# In a new era the previous holder claims first, because it knows which reports it has
+# settled.
+NEW_ERA_CLAIM_DELAY_MS = 1_500
 
 
 class DutyClaims:
-    """The lease of duties, and what else the topic of duties says.
+    """The lease of the duties and the other records of the topic of duties.
 
-    Claims follow the rules of :mod:`savorychute.leases`.  Each record is written on the
-    condition that its writer has read all before it, so a holder that was followed by
-    another can settle nothing any more.
+    Claims follow the rules of :mod:`savorychute.leases`. Each record is written on the
+    condition that its writer has read all earlier records, so a holder that has been
+    replaced can no longer settle anything.
 
-    Offsets are given out again when the store comes back from an older copy.  A lease
-    belongs to one era, and a fencing number begins with the era, so that it rises however
-    far offsets go back.
+    The store reuses offsets after it is restored from an older copy. A lease therefore
+    belongs to one era, and a fencing number starts with the era, so that it rises even
+    when offsets go back.
 
-    :param instance: this instance's name.
+    :param instance: the name of this instance.
     :param settings: durations of the lease.
-    :param rng: spreads claims.
-    :param eras: the newest era that any answer of the store has named.
+    :param rng: randomises the times of claims.
+    :param store_era: the newest era that any response of the store has named.
     """
 
     def __init__(
@@ -55,128 +56,141 @@
         instance: str,
         settings: LeaseSettings,
         rng: random.Random,
-        eras: StoreEra,
+        store_era: StoreEra,
     ) -> None:
         self._instance = instance
         self._settings = settings
         self._rng = rng
-        self._eras = eras
-        self._keeper: LeaseKeeper | None = None
-        self._claim_from_ms = 0
+        self._store_era = store_era
+        self._lease_manager: LeaseKeeper | None = None
+        self._next_claim_ms = 0
         self._changes: list[LeaseChange] = []
         self.records = DutyRecords()
 
-    # -- what the topic says
+    # -- reading the topic
 
-    def take_listing(self, snapshot: TopicSnapshot, now_ms: int, true_ms: int) -> None:
-        """Take the newest records, at the start and after a loss of history.
+    def apply_snapshot(
+        self, snapshot: TopicSnapshot, now_ms: int, true_ms: int
+    ) -> None:
+        """Apply the newest records, at the start and after a loss of history.
 
         :param snapshot: the records.
-        :param now_ms: the time.
-        :param true_ms: the true time.
+        :param now_ms: the current time.
+        :param true_ms: the current true time.
         """
         if snapshot.era != self.records.era:
-            self._begin_era(snapshot.era, now_ms, true_ms)
-        self.records.take(snapshot.records)
+            self._start_era(snapshot.era, now_ms, true_ms)
+        self.records.apply(snapshot.records)
         claims = [_log_record(each) for each in snapshot.records if _is_claim(each)]
         for claim in claims:
-            self._feed(claim.offset, (claim,), snapshot.next_offset, now_ms)
-        self._feed(snapshot.next_offset, (), snapshot.next_offset, now_ms)
+            self._apply_claims(claim.offset, (claim,), snapshot.next_offset, now_ms)
+        self._apply_claims(snapshot.next_offset, (), snapshot.next_offset, now_ms)
         self.records.next_offset = snapshot.next_offset
 
-    def take_delta(self, delta: TopicDelta, now_ms: int) -> None:
-        """Take the records that were written since.
+    def apply_delta(self, delta: TopicDelta, now_ms: int) -> None:
+        """Apply the records that were written since the last read.
 
         :param delta: the records.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         if delta.era != self.records.era or self.records.next_offset is None:
-            # The offset that was read from may hold another record in this era.
+            # In the new era, the offset that was read from may hold a different record.
             self.records.next_offset = None
             return
-        self.records.take(delta.records)
+        self.records.apply(delta.records)
         records = tuple(_log_record(each) for each in delta.records)
-        end = max(delta.end, delta.next_offset)
-        self._feed(self.records.next_offset, records, end, now_ms)
+        end_offset = max(delta.end, delta.next_offset)
+        self._apply_claims(self.records.next_offset, records, end_offset, now_ms)
         self.records.next_offset = delta.next_offset
 
-    def _begin_era(self, era: int, now_ms: int, true_ms: int) -> None:
+    def _start_era(self, era: int, now_ms: int, true_ms: int) -> None:
         self._collect_changes()
-        held = None
-        if self._keeper is not None:
-            held = self._keeper.holds(self._lease, now_ms)
-        if held is not None:
-            number = self._fencing_number(held)
-            lapsed = LeaseChange(self._lease, LAPSED, number, 'an older copy')
+        held_claim = None
+        if self._lease_manager is not None:
+            held_claim = self._lease_manager.holds(self._lease_name, now_ms)
+        if held_claim is not None:
+            fencing_number = self._to_fencing_number(held_claim)
+            lapsed = LeaseChange(
+                self._lease_name, LAPSED, fencing_number, 'an older copy'
+            )
             self._changes.append(lapsed)
-        self.records.begin_era(era, true_ms)
-        self._keeper = LeaseKeeper(self._settings, self._instance, self._rng)
-        patience_ms = ERA_PATIENCE_MS if held is None else 0
-        self._claim_from_ms = now_ms + patience_ms
+        self.records.start_era(era, true_ms)
+        self._lease_manager = LeaseKeeper(self._settings, self._instance, self._rng)
+        claim_delay_ms = NEW_ERA_CLAIM_DELAY_MS if held_claim is None else 0
+        self._next_claim_ms = now_ms + claim_delay_ms
 
-    def _feed(
-        self, first: int, records: Sequence[LogRecord], end: int, now_ms: int
+    def _apply_claims(
+        self,
+        first_offset: int,
+        records: Sequence[LogRecord],
+        end_offset: int,
+        now_ms: int,
     ) -> None:
-        assert self._keeper is not None
-        read = RecordsRead(LEASE_STREAM, True, tuple(records), first, end)
-        self._keeper.records_read(read, now_ms)
+        assert self._lease_manager is not None
+        read = RecordsRead(LEASE_STREAM, True, tuple(records), first_offset, end_offset)
+        self._lease_manager.records_read(read, now_ms)
 
-    # -- the lease
+    # -- holding the lease
 
-    def tick(self, now_ms: int, *, wanted: bool) -> list[ConditionalWrite]:
-        """Return claims that are due.
+    def tick(self, now_ms: int, *, should_hold: bool) -> list[ConditionalWrite]:
+        """Return the claims that are due.
 
-        :param now_ms: the time.
-        :param wanted: whether this instance should hold the duties if nobody does.
+        :param now_ms: the current time.
+        :param should_hold: whether this instance should take the duties when they are
+            free.
         """
-        keeper = self._keeper
-        if keeper is None or self._is_behind():
+        lease_manager = self._lease_manager
+        if lease_manager is None or self._is_behind():
             return []
-        holds = keeper.holds(self._lease, now_ms) is not None
-        if holds or (wanted and now_ms >= self._claim_from_ms):
-            keeper.want(self._lease)
+        holds = lease_manager.holds(self._lease_name, now_ms) is not None
+        if holds or (should_hold and now_ms >= self._next_claim_ms):
+            lease_manager.want(self._lease_name)
         else:
-            keeper.release(self._lease, now_ms)
-        return self._writes(keeper.tick(now_ms))
+            lease_manager.release(self._lease_name, now_ms)
+        return self._to_writes(lease_manager.tick(now_ms))
 
-    def fencing(self, now_ms: int) -> int | None:
-        """Return the fencing number if the duties are held now, or None.
+    def fencing_number(self, now_ms: int) -> int | None:
+        """Return the fencing number if this instance holds the duties, else None.
 
-        To be asked right before each call to the platform.
+        Call this immediately before each call to the platform.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        if self._keeper is None or self._is_behind():
+        if self._lease_manager is None or self._is_behind():
             return None
-        first_claim = self._keeper.holds(self._lease, now_ms)
+        first_claim = self._lease_manager.holds(self._lease_name, now_ms)
         if first_claim is None:
             return None
-        return self._fencing_number(first_claim)
+        return self._to_fencing_number(first_claim)
 
-    def refused(self, fencing: int, now_ms: int) -> None:
-        """Stop holding at once: another instance has called with a larger number.
+    def handle_refusal(self, refused_number: int, now_ms: int) -> None:
+        """Give up the duties at once: the platform has seen a larger fencing number.
 
-        This instance stays out for a whole lease, so that the two do not take turns.
+        This instance makes no claim for a whole lease duration, so that the two
+        instances do not take the duties from each other in turn.
 
-        :param fencing: the number that was refused.
-        :param now_ms: the time.
+        :param refused_number: the fencing number that was refused.
+        :param now_ms: the current time.
         """
-        first_claim = fencing - self._fencing_number(0)
-        self._claim_from_ms = now_ms + self._settings.duration_ms
-        if self._keeper is not None:
-            self._keeper.surrender(self._lease, first_claim, 'a larger number was seen')
-            self._keeper.release(self._lease, now_ms)
+        first_claim = refused_number - self._to_fencing_number(0)
+        self._next_claim_ms = now_ms + self._settings.duration_ms
+        if self._lease_manager is not None:
+            self._lease_manager.surrender(
+                self._lease_name, first_claim, 'a larger number was seen'
+            )
+            self._lease_manager.release(self._lease_name, now_ms)
 
-    def release(self, now_ms: int, again_ms: int) -> list[ConditionalWrite]:
-        """Give the duties up, so that another instance need not wait.
+    def release(self, now_ms: int, next_claim_ms: int) -> list[ConditionalWrite]:
+        """Release the duties, so that another instance can claim them without waiting.
 
-        :param now_ms: the time.
-        :param again_ms: when this instance may claim them again.
+        :param now_ms: the current time.
+        :param next_claim_ms: the earliest time at which this instance may claim them
+            again.
         """
-        self._claim_from_ms = max(self._claim_from_ms, again_ms)
-        if self._keeper is None or self._is_behind():
+        self._next_claim_ms = max(self._next_claim_ms, next_claim_ms)
+        if self._lease_manager is None or self._is_behind():
             return []
-        return self._writes(self._keeper.release(self._lease, now_ms))
+        return self._to_writes(self._lease_manager.release(self._lease_name, now_ms))
 
     def write_finished(
         self,
@@ -186,21 +200,21 @@
         *,
         refused: bool,
     ) -> None:
-        """Take in how a write ended.
+        """Record the result of a write.
 
         :param write: the write.
-        :param receipt: where the record stands, None without an answer.
-        :param now_ms: the time.
-        :param refused: whether it certainly was not written.
+        :param receipt: the position of the record; None without a response.
+        :param now_ms: the current time.
+        :param refused: whether the record was certainly not written.
         """
         if receipt is not None and receipt.era != self.records.era:
             self.records.next_offset = None
-        if self._keeper is None or not write.append_id:
+        if self._lease_manager is None or not write.append_id:
             return
         outcome = 'appended' if receipt is not None else 'unknown'
         if refused:
             outcome = 'refused'
-        self._keeper.append_finished(
+        self._lease_manager.append_finished(
             AppendFinished(write.append_id, LEASE_STREAM, outcome), now_ms
         )
 
@@ -211,25 +225,25 @@
         return changes
 
     def _collect_changes(self) -> None:
-        if self._keeper is not None:
+        if self._lease_manager is not None:
             self._changes += [
-                change._replace(fencing=self._fencing_number(change.fencing))
-                for change in self._keeper.take_changes()
+                change._replace(fencing=self._to_fencing_number(change.fencing))
+                for change in self._lease_manager.take_changes()
             ]
 
-    def _fencing_number(self, first_claim: int) -> int:
+    def _to_fencing_number(self, first_claim: int) -> int:
         return number_in_era(self.records.era, first_claim)
 
     @property
-    def _lease(self) -> str:
-        """The lease of this era: whoever held one before it holds nothing now."""
+    def _lease_name(self) -> str:
+        """The lease of the current era; leases of earlier eras are no longer valid."""
         return f'{LEASE_PREFIX}{self.records.era}'
 
     def _is_behind(self) -> bool:
-        """Return whether the store has begun an era that is not read here yet."""
-        return self._eras.current != self.records.era
+        """Return whether the store has started an era that is not read here yet."""
+        return self._store_era.current != self.records.era
 
-    def _writes(self, actions: Sequence[object]) -> list[ConditionalWrite]:
+    def _to_writes(self, actions: Sequence[object]) -> list[ConditionalWrite]:
         appends = [each for each in actions if isinstance(each, AppendRecord)]
         if self.records.next_offset is None:
             return []
@@ -246,7 +260,7 @@
 
 
 def _log_record(record: KeyedRecord | UnreadableRecord) -> LogRecord:
-    """Return a record as the lease sees it; others only move its offset on."""
+    """Convert a record for the lease; a record other than a claim has no payload."""
     payload = b''
     if isinstance(record, KeyedRecord) and record.key == CLAIM_KEY:
         payload = record.value or b''
--- a/savorychute/gateway/duties/duty_kind.py
+++ b/savorychute/gateway/duties/duty_kind.py
@@ -1,4 +1,4 @@
-"""What one instance does for all."""
+"""The kinds of duties."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DutyKind(Enum):
-    """A duty towards the platform; the value is the metric's label."""
+    """A duty towards the platform; the value is the label of the metric."""
 
     USAGE = 'usage'
     SERVERS = 'servers'
--- a/savorychute/gateway/duties/duty_lease.py
+++ b/savorychute/gateway/duties/duty_lease.py
@@ -1,12 +1,13 @@
-"""For how long an instance holds the duties."""
+"""The durations of the lease of the duties."""
 
 from __future__ import annotations
 
 from savorychute.leases.lease_settings import LeaseSettings
 
-# A report is due some seconds after its window has ended.  A successor follows within the
-# lease and one poll, and has the rest for the report.  Calls of an earlier holder that are
-# still under way bear a smaller number, so nobody waits for them.
+# A report is due some seconds after its window has ended. A successor takes over within
+# the lease duration and one poll; the remaining time is for the report. Calls of the
+# previous holder that are still in flight carry a smaller fencing number, so there is
+# no need to wait for them.
 DUTY_LEASE = LeaseSettings(
     duration_ms=4_000,
     renew_before_ms=2_500,
--- a/savorychute/gateway/duties/duty_order.py
+++ b/savorychute/gateway/duties/duty_order.py
@@ -1,4 +1,4 @@
-"""A call to the platform that only the holder of a duty may make."""
+"""Calls to the platform that are reserved for the holder of a duty."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 
 class DutyOrder(NamedTuple):
-    """Who makes a call, and the number by which a later holder is told from it."""
+    """The sender of a call, and the fencing number that a later holder exceeds."""
 
     holder: str
     fencing: int
 
 
 class DutyOutcome(Enum):
-    """How the platform took a call.
+    """The result of a call to the platform.
 
-    ``FENCED``: another instance has called with a larger number.  ``UNKNOWN``: there was no
-    answer that tells, so the call may still be carried out.
+    ``FENCED``: another instance has called with a larger fencing number. ``UNKNOWN``:
+    no conclusive response was received, so the platform may still execute the call.
     """
 
     ACCEPTED = auto()
--- a/savorychute/gateway/duties/duty_record.py
+++ b/savorychute/gateway/duties/duty_record.py
@@ -9,30 +9,30 @@
 from savorychute.gateway.duties.server_fleet import ServerFleet  # noqa: TC001
 from savorychute.gateway.duties.usage_report import UsageReport  # noqa: TC001
 
-# Keys.  Reports take turns in a few keys, so that the store, which keeps the newest record
-# of each key for good, does not grow.
+# Keys of records. Reports reuse a fixed number of keys, because the store keeps the
+# newest record of each key forever and would grow otherwise.
 CLAIM_KEY = 'claim'
 ERA_KEY = 'era'
 FLEET_KEY = 'servers'
-REPORT_KEYS = 16
+REPORT_KEY_COUNT = 16
 
 
 class EraRecord(NamedTuple):
-    """An era of the store, and a moment of true time by which it had begun."""
+    """An era of the store, and a true time at which it had already started."""
 
     era: int
     since_ms: int
 
 
 class SettledRecord(NamedTuple):
-    """A report that is never changed again, and the era of the store for its writer."""
+    """A final report, and the era of the store in which it was written."""
 
     era: int
     report: UsageReport
 
 
 class FleetRecord(NamedTuple):
-    """The endpoints that are wanted of each service."""
+    """The desired endpoints of each service."""
 
     fleets: tuple[ServerFleet, ...]
 
@@ -41,27 +41,27 @@
 
 
 def report_key(window: int) -> str:
-    """Return the key of a window's report."""
-    return f'usage-{window % REPORT_KEYS}'
+    """Return the key for the report of a window."""
+    return f'usage-{window % REPORT_KEY_COUNT}'
 
 
 def is_report_key(key: str) -> bool:
-    """Return whether a key is that of a report."""
+    """Return whether a key belongs to a report."""
     return key.startswith('usage-')
 
 
 def encode_record(record: EraRecord | SettledRecord | FleetRecord) -> bytes:
-    """Return a record as JSON."""
+    """Encode a record as JSON."""
     return msgspec.json.encode(record)
 
 
-def decode_record(data: bytes, kind: type[R]) -> R | None:
-    """Return the record in some bytes, or None if they hold none of its kind.
+def decode_record(data: bytes, record_type: type[R]) -> R | None:
+    """Decode a record; return None if the data is not a record of this type.
 
-    :param data: anybody may have written them.
-    :param kind: which one the key says it is.
+    :param data: the encoded record; it may come from any writer.
+    :param record_type: the type that belongs to the record's key.
     """
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=record_type)
     except msgspec.MsgspecError:
         return None
--- a/savorychute/gateway/duties/server_fleet.py
+++ b/savorychute/gateway/duties/server_fleet.py
@@ -1,4 +1,4 @@
-"""How many endpoints of a service stand, or are wanted, in each failure domain."""
+"""The current or desired number of a service's endpoints in each failure domain."""
 
 from __future__ import annotations
 
@@ -6,21 +6,26 @@
 
 
 class DomainFleet(NamedTuple):
-    """Endpoints in one failure domain: those that stay, and those that may be taken away."""
+    """The endpoints of one failure domain.
+
+    The platform may take ``reclaimable`` endpoints away at any time, ``lasting`` ones
+    never.
+    """
 
     lasting: int = 0
     reclaimable: int = 0
 
     @property
     def total(self) -> int:
-        """All of them."""
+        """The number of endpoints of both kinds."""
         return self.lasting + self.reclaimable
 
 
 class ServerFleet(NamedTuple):
-    """The endpoints of one service by failure domain, and why so many.
+    """The endpoints of one service by failure domain, and the reason for their number.
 
-    ``replaced`` is how many stood before; what is left after a loss is never less.
+    ``replaced`` is the original number of endpoints; the loss of a failure domain's
+    reclaimable endpoints never leaves fewer than that.
     """
 
     service: str
@@ -30,22 +35,23 @@
 
     @property
     def total(self) -> int:
-        """All endpoints."""
+        """The number of all endpoints."""
         return sum(fleet.total for _, fleet in self.domains)
 
-    def after_reclaim(self) -> int:
-        """Return how many are left when the most that can be taken at once are."""
+    def remaining_after_reclaim(self) -> int:
+        """Return how many endpoints remain after the largest possible reclaim."""
         return self.total - self.largest_reclaim()
 
     def largest_reclaim(self) -> int:
-        """Return the most endpoints that can be taken away together."""
+        """Return the largest number of endpoints that can be reclaimed together."""
         return max(fleet.reclaimable for _, fleet in self.domains)
 
     def price(self, prices: dict[str, float], reclaimable_price: float) -> float:
-        """Return what a second of all of them costs.
+        """Return the price of one second of the whole fleet.
 
-        :param prices: of a lasting endpoint, by failure domain.
-        :param reclaimable_price: of a reclaimable one, as a part of that.
+        :param prices: the price of a lasting endpoint in each failure domain.
+        :param reclaimable_price: the price of a reclaimable endpoint as a share of
+            that.
         """
         return sum(
             prices.get(domain, 1.0)
--- a/savorychute/gateway/duties/server_policies.py
+++ b/savorychute/gateway/duties/server_policies.py
@@ -1,4 +1,4 @@
-"""How many endpoints of a service to order, of which kind, in which failure domain."""
+"""Policies that decide how many endpoints of which kind a service should have."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 if TYPE_CHECKING:
     from savorychute.gateway.configuration.service_scaling import ServiceScaling
 
-# Lasting endpoints that each failure domain keeps: they serve the most urgent streams while
-# all others of a domain are taken away together.
-KEPT_LASTING = 1
+# Lasting endpoints that each failure domain retains: they serve the most urgent streams
+# when all other endpoints of a domain are reclaimed together.
+MIN_LASTING_PER_DOMAIN = 1
 
 
 class ServerPolicy(Protocol):
-    """One way to decide."""
+    """A policy for the number and kind of endpoints."""
 
     def __call__(
-        self, standing: ServerFleet, scaling: ServiceScaling
+        self, current: ServerFleet, scaling: ServiceScaling
     ) -> ServerFleet | None:
-        """Return what is wanted instead of what stands, or None to leave it.
+        """Return the desired fleet, or None to leave the current one unchanged.
 
-        :param standing: the endpoints as their operators set them up.
-        :param scaling: bounds and prices.
+        :param current: the endpoints as the operators set them up.
+        :param scaling: limits and prices.
         """
         ...
 
@@ -35,7 +35,7 @@
 
 @SERVER_POLICIES.register('as-found')
 def leave_as_found(
-    standing: ServerFleet,  # noqa: ARG001
+    current: ServerFleet,  # noqa: ARG001
     scaling: ServiceScaling,  # noqa: ARG001
 ) -> ServerFleet | None:
     """Order nothing."""
@@ -44,31 +44,32 @@
 
 @SERVER_POLICIES.register('reclaimable')
 def prefer_reclaimable(
-    standing: ServerFleet, scaling: ServiceScaling
+    current: ServerFleet, scaling: ServiceScaling
 ) -> ServerFleet | None:
-    """Replace lasting endpoints by reclaimable ones, with enough to lose a domain's.
+    """Replace lasting endpoints by reclaimable ones, with spares for a domain's loss.
 
-    All reclaimable endpoints of a failure domain may be taken away together.  As many are
-    wanted in each domain that what is left then is no less than what stood before, so
-    nobody is served worse by the loss, and at other times there is more room for crowds.
-    It is done only where it costs less than what stands.
+    All reclaimable endpoints of a failure domain may be taken away together. Each
+    domain gets so many that the remaining endpoints are then no fewer than the original
+    ones, so the loss degrades no service, and at other times there is spare capacity
+    for load peaks. The fleet is changed only if the new one costs less than the current
+    one.
     """
-    domains = [domain for domain, _ in standing.domains]
+    domains = [domain for domain, _ in current.domains]
     if scaling.reclaimable_price is None or len(domains) < 2:
         return None
-    lasting = max(KEPT_LASTING, scaling.least)
-    lost = standing.total - lasting * len(domains)
-    each = ceil(lost / (len(domains) - 1))
-    if each <= 0 or lasting + each > scaling.most:
+    lasting = max(MIN_LASTING_PER_DOMAIN, scaling.least)
+    to_replace = current.total - lasting * len(domains)
+    reclaimable = ceil(to_replace / (len(domains) - 1))
+    if reclaimable <= 0 or lasting + reclaimable > scaling.most:
         return None
-    wanted = ServerFleet(
-        standing.service,
-        tuple((domain, DomainFleet(lasting, each)) for domain in domains),
-        f'{standing.total}-stood,{lasting}+{each}-in-each-of-{len(domains)}',
-        standing.total,
+    desired = ServerFleet(
+        current.service,
+        tuple((domain, DomainFleet(lasting, reclaimable)) for domain in domains),
+        f'{current.total}-stood,{lasting}+{reclaimable}-in-each-of-{len(domains)}',
+        current.total,
     )
     prices = dict(scaling.prices)
-    price = wanted.price(prices, scaling.reclaimable_price)
-    if price >= standing.price(prices, scaling.reclaimable_price):
+    price = desired.price(prices, scaling.reclaimable_price)
+    if price >= current.price(prices, scaling.reclaimable_price):
         return None
-    return wanted
+    return desired
--- a/savorychute/gateway/duties/service_file.py
+++ b/savorychute/gateway/duties/service_file.py
@@ -1,4 +1,4 @@
-"""A service's endpoints, bounds and prices, read from a file."""
+"""Reads the endpoints, limits and prices of a service from a file."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 
 def read_service_file(path: Path) -> tuple[ServerFleet, ServiceScaling]:
-    """Return what stands of a service, and its bounds and prices.
+    """Return the current fleet of a service, and its limits and prices.
 
     :param path: JSON with comments: ``service``, ``least``, ``most``,
-        ``reclaimable_price`` and for each of ``domains`` how many ``lasting`` endpoints
-        stand there at which ``price``.
-    :raises ServiceFileError: if the file has faults.
+        ``reclaimable_price`` and, for each of ``domains``, how many ``lasting``
+        endpoints exist there and their ``price``.
+    :raises ServiceFileError: if the file is invalid.
     """
     try:
         document = msgspec.convert(json5.loads(path.read_text()), _Service)
@@ -51,7 +51,7 @@
     if not document.domains:
         raise ServiceFileError(f'{path}: "domains" is empty')
     domains = sorted(document.domains.items())
-    standing = ServerFleet(
+    current = ServerFleet(
         document.service,
         tuple(
             (name, DomainFleet(each.lasting, each.reclaimable))
@@ -59,6 +59,6 @@
         ),
     )
     prices = tuple((name, each.price) for name, each in domains)
-    return standing, ServiceScaling(
+    return current, ServiceScaling(
         document.least, document.most, document.reclaimable_price, prices
     )
--- a/savorychute/gateway/duties/true_time.py
+++ b/savorychute/gateway/duties/true_time.py
@@ -8,54 +8,55 @@
 if TYPE_CHECKING:
     from savorychute.clock import Clock, WallClock
 
-# Instances whose clocks are compared, those that were heard last.  With so many a third of
-# clocks that are wrong is no majority by chance.
-HEARD_KEPT = 64
+# The number of most recently received clocks that are compared. With this sample size,
+# it is unlikely that a third of wrong clocks forms a majority by chance.
+MAX_TRACKED_INSTANCES = 64
 
 
 class TrueTime:
-    """Compares this host's time of day with that of others.
+    """Estimates the true time from the clocks of this host and of other instances.
 
-    A time of day may jump by seconds on a part of all hosts, and windows of time that each
-    host cut by its own would then differ.  The steady clock goes on evenly, so what is
-    estimated is its distance from the true time: the median of what others told and of what
-    this host says itself.
+    The time of day may jump by seconds on some of the hosts, and hosts that divided
+    time into windows by their own clocks would then disagree. The steady clock advances
+    evenly, so only its offset from the true time is estimated: the median of the
+    offsets of other instances' clocks and of this host's own clock.
 
     :param clock: the steady clock.
-    :param wall: this host's time of day.
+    :param wall_clock: the time of day of this host.
     """
 
-    def __init__(self, clock: Clock, wall: WallClock) -> None:
+    def __init__(self, clock: Clock, wall_clock: WallClock) -> None:
         self._clock = clock
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._offsets_ms: dict[str, int] = {}
         self._offset_ms: int | None = None
 
     def own_offset_ms(self) -> int:
-        """Return this host's time of day less its steady clock."""
-        return self._wall.wall_ms() - self._clock.now_ms()
+        """Return this host's time of day minus its steady clock."""
+        return self._wall_clock.wall_ms() - self._clock.now_ms()
 
-    def hear(self, instance: str, wall_ms: int, now_ms: int) -> None:
-        """Take in the time of day of another instance.
+    def record_wall_time(self, instance: str, wall_ms: int, now_ms: int) -> None:
+        """Record the time of day of another instance.
 
-        A message takes a few ms at most, far less than a clock that is set wrong is off.
+        A message takes a few ms at most, which is far less than the error of a wrong
+        clock.
 
-        :param instance: which told it.
-        :param wall_ms: its time of day; 0 for none.
-        :param now_ms: the steady clock when it was heard.
+        :param instance: the name of the sender.
+        :param wall_ms: its time of day; 0 if unknown.
+        :param now_ms: the steady clock when the message was received.
         """
         if not wall_ms:
             return
         self._offsets_ms.pop(instance, None)
         self._offsets_ms[instance] = wall_ms - now_ms
-        if len(self._offsets_ms) > HEARD_KEPT:
+        if len(self._offsets_ms) > MAX_TRACKED_INSTANCES:
             del self._offsets_ms[next(iter(self._offsets_ms))]
         self._offset_ms = None
 
     def at_ms(self, steady_ms: int) -> int:
-        """Return the true time of a moment of the steady clock.
+        """Convert a time of the steady clock to the true time.
 
-        :param steady_ms: the moment.
+        :param steady_ms: the time of the steady clock.
         """
         if self._offset_ms is None:
             offsets_ms = [*self._offsets_ms.values(), self.own_offset_ms()]
@@ -63,5 +64,5 @@
         return steady_ms + self._offset_ms
 
     def now_ms(self) -> int:
-        """Return the true time."""
+        """Return the current true time."""
         return self.at_ms(self._clock.now_ms())
--- a/savorychute/gateway/duties/usage_told.py
+++ b/savorychute/gateway/duties/usage_told.py
@@ -1,4 +1,4 @@
-"""What one instance tells of the requests that endpoints began for it."""
+"""The message with one instance's usage counts."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class OrganisationCount(NamedTuple):
-    """Requests of an organisation."""
+    """The number of requests of an organisation."""
 
     organisation: str
     requests: int
 
 
 class WindowCounts(NamedTuple):
-    """Requests that began in a window."""
+    """The requests that started in a window."""
 
     window: int
     counts: tuple[OrganisationCount, ...]
@@ -25,8 +25,9 @@
 class UsageTold(NamedTuple):
     """All counts of some windows so far; a later message replaces an earlier one.
 
-    ``run`` is the sender's incarnation: an instance that starts again counts anew, and what
-    it told before still holds.  Until ``whole_until_ms`` of true time nothing is missing.
+    ``run`` is the incarnation of the sender: a restarted instance counts from zero, and
+    the counts of its earlier runs remain valid. The counts are complete up to
+    ``whole_until_ms`` of true time.
     """
 
     run: int
--- a/savorychute/gateway/parts.py
+++ b/savorychute/gateway/parts.py
@@ -14,7 +14,7 @@
     from savorychute.gateway.dispatch.engine_models import EngineModels
     from savorychute.gateway.dispatch.overload_guard import OverloadGuard
     from savorychute.gateway.dispatch.shortages import Shortages
-    from savorychute.gateway.duties.usage_ledger import UsageLedger
+    from savorychute.gateway.duties.usage_counter import UsageCounter
     from savorychute.gateway.endpoint_telemetry import EndpointTelemetry
     from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
     from savorychute.gateway.endpoints.load_watch import LoadWatch
@@ -44,7 +44,7 @@
     permits: PermitDesk
     allowance: RetryAllowance
     crashes: CrashBook
-    usage: UsageLedger
+    usage: UsageCounter
     telemetry: GatewayTelemetry
     endpoint_telemetry: EndpointTelemetry
 
--- a/savorychute/gateway/requests/usage_observer.py
+++ b/savorychute/gateway/requests/usage_observer.py
@@ -7,7 +7,7 @@
 from savorychute.gateway.requests.endpoint_answer import AnswerKind
 
 if TYPE_CHECKING:
-    from savorychute.gateway.duties.usage_ledger import UsageLedger
+    from savorychute.gateway.duties.usage_counter import UsageCounter
     from savorychute.gateway.requests.admitted import Admitted
     from savorychute.gateway.requests.attempt import Attempt
 
@@ -24,7 +24,7 @@
     :param admitted: the request.
     """
 
-    def __init__(self, ledger: UsageLedger, admitted: Admitted) -> None:
+    def __init__(self, ledger: UsageCounter, admitted: Admitted) -> None:
         self._ledger = ledger
         self._organisation = admitted.organisation
         self._runs_models = admitted.service.runs_models
@@ -34,7 +34,7 @@
 
         :param now_ms: the time.
         """
-        self._ledger.began(self._organisation, now_ms)
+        self._ledger.record_start(self._organisation, now_ms)
 
     def ended(self, attempt: Attempt) -> None:
         """Count a run of a plain service once nothing more comes of it.
@@ -45,4 +45,4 @@
             return
         if attempt.answer is not None and attempt.answer.kind in NOT_RUN:
             return
-        self._ledger.began(self._organisation, attempt.sent_ms)
+        self._ledger.record_start(self._organisation, attempt.sent_ms)
--- a/tests/test_duties/duty_world.py
+++ b/tests/test_duties/duty_simulation.py
@@ -1,4 +1,4 @@
-"""Instances that share duties, a store that fails and goes back, and a platform."""
+"""Simulates instances that share duties, a fallible store and a platform."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from savorychute.gateway.duties.duty_claims import DutyClaims
 from savorychute.gateway.duties.duty_lease import DUTY_LEASE
 from savorychute.gateway.duties.duty_order import DutyOutcome
+from savorychute.gateway.duties.usage_aggregator import UsageAggregator
 from savorychute.gateway.duties.usage_duty import UsageDuty
-from savorychute.gateway.duties.usage_gathering import UsageGathering
 from savorychute.gateway.duties.usage_told import (
     OrganisationCount,
     UsageTold,
@@ -31,17 +31,17 @@
 from savorychute.gateway.store.write_receipt import WriteReceipt
 from savorychute.testing.virtual_loop import VirtualLoop, VirtualSelector
 
-# The true time at which a world begins: in the middle of a window.
-BEGIN_MS = 1_800_000_002_500
+# The true time at which a simulation starts: in the middle of a window.
+START_TRUE_MS = 1_800_000_002_500
 WINDOWS = UsageWindows(5_000, 10_000)
-STORE_MS = 4
+STORE_LATENCY_MS = 4
 STORE_TIMEOUT_MS = 1_000
 CALL_TIMEOUT_MS = 1_500
 ORGANISATIONS = ('kochi', 'thrissur')
 
 
 class TimerSelector(VirtualSelector):
-    """Lets time pass at once: nobody here has a socket."""
+    """Advances virtual time at once, because no task here has a socket."""
 
     def select(self, timeout=None):
         ready = super(VirtualSelector, self).select(0)
@@ -51,15 +51,15 @@
 
 
 class TimerLoop(VirtualLoop):
-    """A loop on virtual time for tasks that only meet in memory."""
+    """An event loop on virtual time for tasks that communicate in memory only."""
 
     def __init__(self):
         self._virtual = TimerSelector()
         asyncio.SelectorEventLoop.__init__(self, self._virtual)
 
 
-def run_world(scenario):
-    """Run a coroutine on a loop without sockets."""
+def run_simulation(scenario):
+    """Run a coroutine on an event loop without sockets."""
     with asyncio.Runner(loop_factory=TimerLoop) as runner:
         return runner.run(scenario)
 
@@ -72,123 +72,129 @@
     await asyncio.sleep(duration_ms / 1_000)
 
 
-class Trouble(NamedTuple):
-    """What a call to the store, or to the platform, may meet; shares from 0 to 1."""
+class CallFaults(NamedTuple):
+    """Faults of calls to the store or to the platform; shares are from 0 to 1.
+
+    ``lost`` is the share of calls without a response, ``late`` that of calls that are
+    executed after their timeout.
+    """
 
     lost: float = 0.0
     late: float = 0.0
     slow_ms: int = 0
-    # When a late one is carried out, at the earliest and at the latest.
+    # The shortest and the longest delay of a late call.
     late_ms: tuple[int, int] = (1_000, 6_000)
 
 
-class ModelStore:
-    """One topic that may forget its history, be away, and go back to an older copy."""
+class FakeStore:
+    """One topic that can drop its history, be down, and restore an older copy."""
 
     def __init__(self, rng):
         self.rng = rng
         self.records = []
-        self.times_ms = []
-        self.first = 0
+        self.written_ms = []
+        self.first_offset = 0
         self.era = 1
-        self.down = False
-        self.trouble = Trouble()
+        self.is_down = False
+        self.faults = CallFaults()
         self.calls = 0
         self._written = asyncio.Event()
 
-    def go_back(self, age_ms):
-        """Come back from a copy of some time ago."""
-        kept = sum(each <= loop_ms() - age_ms for each in self.times_ms)
-        del self.records[kept:]
-        del self.times_ms[kept:]
-        self.first = min(self.first, kept)
+    def restore_older_copy(self, age_ms):
+        """Restore the copy of some time ago."""
+        kept_count = sum(each <= loop_ms() - age_ms for each in self.written_ms)
+        del self.records[kept_count:]
+        del self.written_ms[kept_count:]
+        self.first_offset = min(self.first_offset, kept_count)
         self.era += 1
-        self._wake()
+        self._notify()
 
-    def forget(self):
+    def drop_history(self):
         """Drop the history; the newest record of each key stays."""
-        self.first = len(self.records)
+        self.first_offset = len(self.records)
 
     def append(self, key, value, expected_end):
         if expected_end not in (None, len(self.records)):
-            raise WriteConflictError('written by another')
+            raise WriteConflictError('another record was written')
         offset = len(self.records)
         self.records.append(KeyedRecord(offset, key, value))
-        self.times_ms.append(loop_ms())
-        self._wake()
+        self.written_ms.append(loop_ms())
+        self._notify()
         return WriteReceipt(offset, self.era)
 
-    async def until_written(self, wait_ms):
+    async def wait_until_written(self, wait_ms):
         with suppress(TimeoutError):
             await asyncio.wait_for(self._written.wait(), wait_ms / 1_000)
 
-    def _wake(self):
+    def _notify(self):
         self._written.set()
         self._written = asyncio.Event()
 
 
 class InstanceTopic:
-    """The topic as one instance reaches it."""
+    """The topic as one instance accesses it."""
 
-    def __init__(self, store, eras, line):
+    def __init__(self, store, store_era, connection):
         self._store = store
-        self._eras = eras
-        self._line = line
+        self._store_era = store_era
+        self._connection = connection
 
     async def list_newest(self):
-        await self.arrive()
+        await self.reach_store()
         newest = {each.key: each for each in self._store.records}
-        self._eras.note(self._store.era)
+        self._store_era.note(self._store.era)
         end = len(self._store.records)
         return TopicSnapshot(tuple(newest.values()), end, self._store.era)
 
     async def read_from(self, offset, wait_ms):
-        await self.arrive()
+        await self.reach_store()
         store = self._store
         if offset == len(store.records):
-            await store.until_written(wait_ms)
-            await self.arrive()
-        self._eras.note(store.era)
-        if offset > len(store.records) or offset < store.first:
-            raise HistoryLostError('not kept')
+            await store.wait_until_written(wait_ms)
+            await self.reach_store()
+        self._store_era.note(store.era)
+        if offset > len(store.records) or offset < store.first_offset:
+            raise HistoryLostError('records are no longer kept')
         records = tuple(store.records[offset:])
         end = len(store.records)
         return TopicDelta(records, end, end, store.era)
 
     async def write(self, key, value, expected_end=None):
-        await self.arrive()
+        await self.reach_store()
         store, rng = self._store, self._store.rng
-        if rng.random() < store.trouble.late:
-            self._line.start(self._append_late(key, value, expected_end))
+        if rng.random() < store.faults.late:
+            self._connection.run_in_background(
+                self._append_late(key, value, expected_end)
+            )
             await sleep_ms(STORE_TIMEOUT_MS)
             raise StoreUnavailableError('no answer')
         try:
             receipt = store.append(key, value, expected_end)
         finally:
-            self._eras.note(store.era)
-        if rng.random() < store.trouble.lost:
+            self._store_era.note(store.era)
+        if rng.random() < store.faults.lost:
             await sleep_ms(STORE_TIMEOUT_MS)
             raise StoreUnavailableError('no answer')
-        await self._line.thawed()
+        await self._connection.until_resumed()
         return receipt
 
     async def _append_late(self, key, value, expected_end):
-        await sleep_ms(self._store.rng.uniform(*self._store.trouble.late_ms))
+        await sleep_ms(self._store.rng.uniform(*self._store.faults.late_ms))
         with suppress(WriteConflictError):
             self._store.append(key, value, expected_end)
 
-    async def arrive(self):
-        await self._line.thawed()
+    async def reach_store(self):
+        await self._connection.until_resumed()
         self._store.calls += 1
-        if self._store.down or self._line.cut_from_store:
+        if self._store.is_down or self._connection.cut_from_store:
             await sleep_ms(STORE_TIMEOUT_MS)
-            raise StoreUnavailableError('silent')
-        await sleep_ms(STORE_MS + self._store.trouble.slow_ms)
-        await self._line.thawed()
+            raise StoreUnavailableError('the store is down')
+        await sleep_ms(STORE_LATENCY_MS + self._store.faults.slow_ms)
+        await self._connection.until_resumed()
 
 
-class Send(NamedTuple):
-    """A call that the platform has carried out."""
+class PlatformCall(NamedTuple):
+    """A call that the platform has executed."""
 
     at_ms: float
     instance: str
@@ -198,26 +204,26 @@
     accepted: bool
 
 
-class ModelPlatform:
-    """Checks fencing numbers, and may carry out a call long after it was sent."""
+class FakePlatform:
+    """Checks fencing numbers."""
 
     def __init__(self, rng):
         self.rng = rng
-        self.down = False
-        self.trouble = Trouble()
+        self.is_down = False
+        self.faults = CallFaults()
         self.highest = 0
         self.calls = []
 
-    def take(self, instance, fencing, report):
+    def handle_report(self, instance, fencing, report):
         accepted = fencing >= self.highest
         self.highest = max(self.highest, fencing)
         self.calls.append(
-            Send(loop_ms(), instance, fencing, *report, accepted=accepted)
+            PlatformCall(loop_ms(), instance, fencing, *report, accepted=accepted)
         )
         return DutyOutcome.ACCEPTED if accepted else DutyOutcome.FENCED
 
-    def accepted(self):
-        """Return the different counts that were accepted, by window."""
+    def accepted_counts(self):
+        """Return the distinct counts that were accepted, by window."""
         found = {}
         for call in self.calls:
             if call.accepted:
@@ -225,61 +231,64 @@
         return found
 
 
-class InstanceLine:
-    """One instance's way to the platform; the instance may be paused or cut off."""
+class InstanceConnection:
+    """One instance's connection to store and platform, which can be cut.
+
+    The instance can also be paused; calls may be executed long after they were sent.
+    """
 
     def __init__(self, platform):
         self._platform = platform
         self.cut_from_store = False
         self.cut_from_platform = False
         self._late = set()
-        self._thawed = asyncio.Event()
-        self._thawed.set()
+        self._resumed = asyncio.Event()
+        self._resumed.set()
 
-    def start(self, work):
-        """Carry out something late, whatever becomes of the instance."""
+    def run_in_background(self, work):
+        """Run a delayed call even if the instance ends meanwhile."""
         task = asyncio.create_task(work)
         self._late.add(task)
         task.add_done_callback(self._late.discard)
 
     @property
-    def is_frozen(self):
-        return not self._thawed.is_set()
+    def is_paused(self):
+        return not self._resumed.is_set()
 
-    def freeze(self):
-        self._thawed.clear()
+    def pause(self):
+        self._resumed.clear()
 
-    def thaw(self):
-        self._thawed.set()
+    def resume(self):
+        self._resumed.set()
 
-    async def thawed(self):
-        await self._thawed.wait()
+    async def until_resumed(self):
+        await self._resumed.wait()
 
     async def report(self, step, order):
-        await self.thawed()
+        await self.until_resumed()
         platform, rng = self._platform, self._platform.rng
-        if platform.down or self.cut_from_platform:
+        if platform.is_down or self.cut_from_platform:
             await sleep_ms(CALL_TIMEOUT_MS)
             return DutyOutcome.UNKNOWN
-        await sleep_ms(2 + platform.trouble.slow_ms)
-        if rng.random() < platform.trouble.late:
-            self.start(self._take_late(step, order))
+        await sleep_ms(2 + platform.faults.slow_ms)
+        if rng.random() < platform.faults.late:
+            self.run_in_background(self._handle_late(step, order))
             await sleep_ms(CALL_TIMEOUT_MS)
             return DutyOutcome.UNKNOWN
-        outcome = platform.take(order.holder, order.fencing, step.report)
-        if rng.random() < platform.trouble.lost:
+        outcome = platform.handle_report(order.holder, order.fencing, step.report)
+        if rng.random() < platform.faults.lost:
             await sleep_ms(CALL_TIMEOUT_MS)
             return DutyOutcome.UNKNOWN
-        await self.thawed()
+        await self.until_resumed()
         return outcome
 
-    async def _take_late(self, step, order):
+    async def _handle_late(self, step, order):
         await sleep_ms(self._platform.rng.uniform(2_000, 12_000))
-        self._platform.take(order.holder, order.fencing, step.report)
+        self._platform.handle_report(order.holder, order.fencing, step.report)
 
 
 class SkewedClock:
-    """A steady clock that runs a little too fast or too slow."""
+    """A steady clock that runs slightly too fast or too slow."""
 
     def __init__(self, rate):
         self._rate = rate
@@ -289,25 +298,25 @@
         return int((loop_ms() - self._start_ms) * self._rate) + 1_000
 
 
-class NearTime:
-    """The true time, as far as an instance knows it."""
+class SkewedTrueTime:
+    """The true time with the error of one instance's estimate."""
 
     def __init__(self, error_ms):
         self._error_ms = error_ms
 
     def now_ms(self):
-        return int(BEGIN_MS + loop_ms() + self._error_ms)
+        return int(START_TRUE_MS + loop_ms() + self._error_ms)
 
 
-class Everyone:
-    """All instances may hold the duties; nobody waits for what others tell."""
+class AllCandidates:
+    """Makes every instance a candidate; no holder waits for the counts of others."""
 
     is_candidate = True
-    members = ()
+    alive_members = ()
 
 
-class Silent:
-    """Telemetry that keeps the changes of the lease."""
+class RecordingTelemetry:
+    """Telemetry that records the changes of the lease."""
 
     def __init__(self):
         self.changes = []
@@ -326,30 +335,30 @@
 
 
 class Instance:
-    """One run of an instance, with counts that no other has."""
+    """One run of an instance, with counts that differ from those of all others."""
 
-    def __init__(self, world, name, rng):
+    def __init__(self, simulation, name, rng):
         self.name = name
         self._killed = False
-        self.line = InstanceLine(world.platform)
-        self.telemetry = Silent()
-        eras = StoreEra()
+        self.connection = InstanceConnection(simulation.platform)
+        self.telemetry = RecordingTelemetry()
+        store_era = StoreEra()
         clock = SkewedClock(rng.uniform(0.995, 1.005))
-        time = NearTime(rng.uniform(-100, 100))
-        claims = DutyClaims(name, DUTY_LEASE, random.Random(rng.random()), eras)
-        gathering = UsageGathering()
+        time = SkewedTrueTime(rng.uniform(-100, 100))
+        claims = DutyClaims(name, DUTY_LEASE, random.Random(rng.random()), store_era)
+        aggregator = UsageAggregator()
         self.claims = claims
         self.clock = clock
-        self._gathering = gathering
+        self._aggregator = aggregator
         self._rng = rng
         self.worker = DutyWorker(
             name,
-            InstanceTopic(world.store, eras, self.line),
-            self.line,
+            InstanceTopic(simulation.store, store_era, self.connection),
+            self.connection,
             claims,
-            UsageDuty(WINDOWS, claims.records, gathering),
+            UsageDuty(WINDOWS, claims.records, aggregator),
             None,
-            Everyone(),
+            AllCandidates(),
             time,
             clock,
             self.telemetry,
@@ -357,70 +366,75 @@
         )
         self._tasks = [
             asyncio.create_task(self.worker.run()),
-            asyncio.create_task(self._count()),
+            asyncio.create_task(self._count_usage()),
         ]
 
-    def acts(self):
-        """Return whether it is neither killed, paused nor cut off."""
-        line = self.line
-        cut = line.cut_from_store or line.cut_from_platform
-        return not (self._killed or cut or line.is_frozen)
+    def is_available(self):
+        """Return whether the instance is neither killed, paused nor disconnected."""
+        connection = self.connection
+        cut = connection.cut_from_store or connection.cut_from_platform
+        return not (self._killed or cut or connection.is_paused)
 
     def kill(self):
         self._killed = True
         for task in (*self._tasks, *self.worker._tasks):
             task.cancel()
 
-    def holds(self):
-        return self.claims.fencing(self.clock.now_ms()) is not None
+    def is_holder(self):
+        return self.claims.fencing_number(self.clock.now_ms()) is not None
 
-    async def _count(self):
-        """Know something else of each window than any other instance does."""
+    async def _count_usage(self):
+        """Add counts to each window that differ from those of all other instances."""
         number = 0
         while True:
-            now_ms = int(BEGIN_MS + loop_ms())
+            now_ms = int(START_TRUE_MS + loop_ms())
             counts = tuple(
                 OrganisationCount(each, self._rng.randrange(1, 1_000))
                 for each in ORGANISATIONS
             )
-            windows = (WindowCounts(WINDOWS.at(now_ms), counts),)
+            windows = (WindowCounts(WINDOWS.window_at(now_ms), counts),)
             number += 1
-            self._gathering.take(self.name, UsageTold(1, number, windows))
+            self._aggregator.apply(self.name, UsageTold(1, number, windows))
             await sleep_ms(1_000)
 
 
-class World:
+class DutySimulation:
     """A store, a platform and some instances."""
 
     def __init__(self, seed, instances=3):
         self.rng = random.Random(seed)
-        self.store = ModelStore(self.rng)
-        self.platform = ModelPlatform(self.rng)
+        self.store = FakeStore(self.rng)
+        self.platform = FakePlatform(self.rng)
         self._started = 0
-        self.instances = [self.start(f'k{number}') for number in range(instances)]
-        # When and whom something harmed, for promises about calm instances alone.
-        self.harmed = []
+        self.instances = [
+            self.start_instance(f'k{number}') for number in range(instances)
+        ]
+        # The times and targets of faults, for invariants that hold for undisturbed
+        # instances only.
+        self.disruptions = []
 
-    def start(self, name):
+    def start_instance(self, name):
         """Start a run of an instance."""
         self._started += 1
         return Instance(self, name, random.Random(self.rng.random()))
 
     def restart(self, number):
-        """Kill an instance and start it again under its name."""
+        """Kill an instance and start it again under the same name."""
         old = self.instances[number]
         old.kill()
-        self.instances[number] = self.start(old.name)
+        self.instances[number] = self.start_instance(old.name)
 
     def holder(self):
         """Return the number of the instance that holds the duties, or None."""
-        holding = [number for number, each in enumerate(self.instances) if each.holds()]
+        holding = [
+            number for number, each in enumerate(self.instances) if each.is_holder()
+        ]
         return holding[0] if holding else None
 
-    async def until_held(self):
+    async def wait_until_held(self):
         while self.holder() is None:
             await sleep_ms(50)
 
-    def end(self):
+    def stop(self):
         for each in self.instances:
             each.kill()
--- a/tests/test_duties/test_duty_holder.py
+++ b/tests/test_duties/test_duty_holder.py
@@ -1,332 +1,351 @@
-"""Tests of duties that one instance at a time carries out, under failures."""
+"""Tests of duties that one instance at a time performs, under failures."""
 
 from __future__ import annotations
 
 import pytest
-from duty_world import WINDOWS, Trouble, World, loop_ms, run_world, sleep_ms
-
-from savorychute.gateway.duties.duty_claims import ERA_PATIENCE_MS
+from duty_simulation import (
+    WINDOWS,
+    CallFaults,
+    DutySimulation,
+    loop_ms,
+    run_simulation,
+    sleep_ms,
+)
+
+from savorychute.gateway.duties.duty_claims import NEW_ERA_CLAIM_DELAY_MS
 from savorychute.gateway.duties.duty_order import DutyOutcome
 
-# A report is due so long after its window.
+# A report is due this long after the end of its window.
 DUE_MS = WINDOWS.due_ms
 
 
-def play(scenario, seed=1, instances=3):
-    """Run a scenario in a world; return the world."""
+def run_scenario(scenario, seed=1, instances=3):
+    """Run a scenario in a simulation; return the simulation."""
 
     async def main():
-        world = World(seed, instances)
+        simulation = DutySimulation(seed, instances)
         try:
-            await scenario(world)
+            await scenario(simulation)
         finally:
-            world.end()
-        return world
+            simulation.stop()
+        return simulation
 
-    return run_world(main())
+    return run_simulation(main())
 
 
-def missed(world, until_ms):
-    """Return the windows of a calm world whose report was not accepted in time."""
-    first_ms, begin_ms = 10_000, 1_800_000_002_500
-    wanted = range(
-        WINDOWS.at(begin_ms + first_ms), WINDOWS.at(begin_ms + until_ms - DUE_MS)
+def missed_windows(simulation, until_ms):
+    """Return the windows of a fault-free simulation with no accepted report in time."""
+    warm_up_ms, start_true_ms = 10_000, 1_800_000_002_500
+    expected = range(
+        WINDOWS.window_at(start_true_ms + warm_up_ms),
+        WINDOWS.window_at(start_true_ms + until_ms - DUE_MS),
     )
     in_time = {
         call.window
-        for call in world.platform.calls
+        for call in simulation.platform.calls
         if call.accepted
-        and begin_ms + call.at_ms <= WINDOWS.end_ms(call.window) + DUE_MS
+        and start_true_ms + call.at_ms <= WINDOWS.end_ms(call.window) + DUE_MS
     }
-    return [window for window in wanted if window not in in_time]
+    return [window for window in expected if window not in in_time]
 
 
 def test_each_window_is_reported_once():
-    async def scenario(world):
+    async def scenario(simulation):
         await sleep_ms(60_000)
 
-    world = play(scenario)
+    simulation = run_scenario(scenario)
 
-    assert not missed(world, 60_000)
-    windows = [call.window for call in world.platform.calls]
-    assert len(windows) == len(set(windows))
+    assert not missed_windows(simulation, 60_000)
+    reported = [call.window for call in simulation.platform.calls]
+    assert len(reported) == len(set(reported))
 
 
-def test_report_whose_answer_was_lost_is_sent_again_with_the_same_counts():
-    """Two reports for one window.
+def test_report_with_a_lost_response_is_resent_with_the_same_counts():
+    """Guards against two different reports for one window.
 
-    The holder sends a report, its answer is lost, and the holder is killed.  Its successor
-    has other counts, and a larger fencing number, so its report would be accepted too.
+    The holder sends a report, the response is lost, and the holder is killed. Its
+    successor has other counts and a larger fencing number, so the platform would accept
+    its report too.
     """
 
-    async def scenario(world):
-        world.platform.trouble = Trouble(lost=1.0)
+    async def scenario(simulation):
+        simulation.platform.faults = CallFaults(lost=1.0)
         for _ in range(4):
-            sent = len(world.platform.calls)
-            while len(world.platform.calls) == sent:
+            sent = len(simulation.platform.calls)
+            while len(simulation.platform.calls) == sent:
                 await sleep_ms(20)
-            world.restart(world.holder())
+            simulation.restart(simulation.holder())
             await sleep_ms(7_000)
-        world.platform.trouble = Trouble()
+        simulation.platform.faults = CallFaults()
         await sleep_ms(20_000)
 
-    world = play(scenario)
+    simulation = run_scenario(scenario)
 
-    counts = world.platform.accepted().values()
+    counts = simulation.platform.accepted_counts().values()
     assert len(counts) > 5
     assert all(len(each) == 1 for each in counts)
 
 
 @pytest.mark.parametrize('seed', range(8))
-def test_killed_holder_is_followed_in_time_for_its_report(seed):
-    """A report that came too late because nobody held the duty."""
+def test_killed_holder_is_replaced_before_its_report_is_due(seed):
+    """Guards against a late report because no instance holds the duty."""
 
-    async def scenario(world):
+    async def scenario(simulation):
         await sleep_ms(20_000 + 700 * seed)
-        world.restart(world.holder())
+        simulation.restart(simulation.holder())
         await sleep_ms(30_000)
 
-    assert not missed(play(scenario, seed), 50_000)
+    assert not missed_windows(run_scenario(scenario, seed), 50_000)
 
 
 @pytest.mark.parametrize('seed', range(4))
-def test_paused_holder_sends_nothing_that_counts_after_its_successor(seed):
-    """A holder that stands still for four seconds with a call on its way.
+def test_calls_of_a_paused_holder_are_fenced_after_its_successor(seed):
+    """A holder is paused for four seconds with a call in flight.
 
-    When it goes on, its call arrives after its successor's.
+    When it resumes, its call arrives after its successor's.
     """
 
-    async def scenario(world):
+    async def scenario(simulation):
         for _ in range(4):
             await sleep_ms(9_000 + 500 * seed)
-            line = world.instances[world.holder() or 0].line
-            line.freeze()
+            connection = simulation.instances[simulation.holder() or 0].connection
+            connection.pause()
             await sleep_ms(4_000)
-            line.thaw()
+            connection.resume()
         await sleep_ms(20_000)
 
-    world = play(scenario, seed)
+    simulation = run_scenario(scenario, seed)
 
-    assert all(len(each) == 1 for each in world.platform.accepted().values())
+    assert all(
+        len(each) == 1 for each in simulation.platform.accepted_counts().values()
+    )
     highest = 0
-    for call in world.platform.calls:
+    for call in simulation.platform.calls:
         assert call.accepted == (call.fencing >= highest)
         highest = max(highest, call.fencing)
 
 
 @pytest.mark.parametrize('harm', ['cut_from_store', 'cut_from_platform'])
-def test_holder_that_is_cut_off_is_followed(harm):
-    async def scenario(world):
+def test_disconnected_holder_is_replaced(harm):
+    async def scenario(simulation):
         await sleep_ms(20_000)
-        setattr(world.instances[world.holder()].line, harm, True)
+        setattr(simulation.instances[simulation.holder()].connection, harm, True)
         await sleep_ms(30_000)
 
-    assert not missed(play(scenario), 50_000)
+    assert not missed_windows(run_scenario(scenario), 50_000)
 
 
-def test_reports_go_on_after_the_store_was_away():
-    async def scenario(world):
+def test_reports_continue_after_a_store_outage():
+    async def scenario(simulation):
         await sleep_ms(20_000)
-        world.store.down = True
+        simulation.store.is_down = True
         await sleep_ms(5_000)
-        world.store.down = False
+        simulation.store.is_down = False
         await sleep_ms(30_000)
 
-    assert not missed(play(scenario), 55_000)
+    assert not missed_windows(run_scenario(scenario), 55_000)
 
 
-def test_reports_go_on_when_the_platform_was_away_for_four_seconds():
-    async def scenario(world):
+def test_reports_continue_after_a_platform_outage_of_four_seconds():
+    async def scenario(simulation):
         await sleep_ms(22_000)
-        world.platform.down = True
+        simulation.platform.is_down = True
         await sleep_ms(4_000)
-        world.platform.down = False
+        simulation.platform.is_down = False
         await sleep_ms(30_000)
 
-    assert not missed(play(scenario), 55_000)
+    assert not missed_windows(run_scenario(scenario), 55_000)
 
 
-def test_lost_history_costs_no_report():
-    async def scenario(world):
+def test_lost_history_loses_no_report():
+    async def scenario(simulation):
         for _ in range(5):
             await sleep_ms(6_000)
-            world.store.forget()
+            simulation.store.drop_history()
         await sleep_ms(20_000)
 
-    assert not missed(play(scenario), 50_000)
+    assert not missed_windows(run_scenario(scenario), 50_000)
 
 
 @pytest.mark.parametrize('age_ms', [200, 3_000, 9_000, 14_000])
-def test_fencing_numbers_rise_when_the_store_goes_back(age_ms):
-    """A number that two holders had.
+def test_fencing_numbers_rise_when_an_older_copy_is_restored(age_ms):
+    """Guards against one fencing number for two holders.
 
-    The store comes back from an older copy, and the offset of the holder's claim is given
-    out again, to the claim of another instance.
+    The store restores an older copy and reuses the offset of the holder's claim for the
+    claim of another instance.
     """
 
-    async def scenario(world):
+    async def scenario(simulation):
         for _ in range(4):
             await sleep_ms(9_000)
-            world.restart(world.holder())
+            simulation.restart(simulation.holder())
             await sleep_ms(10_000)
-            world.store.go_back(age_ms)
+            simulation.store.restore_older_copy(age_ms)
         await sleep_ms(20_000)
 
-    world = play(scenario)
+    simulation = run_scenario(scenario)
 
     holders = {}
-    for call in world.platform.calls:
+    for call in simulation.platform.calls:
         holders.setdefault(call.fencing, set()).add(call.instance)
     assert len(holders) > 4
     assert all(len(each) == 1 for each in holders.values())
-    assert all(call.accepted for call in world.platform.calls)
+    assert all(call.accepted for call in simulation.platform.calls)
 
 
-def test_report_that_an_older_copy_lacks_is_not_made_anew():
-    """A second report for a window, after the first one's record was lost.
+def test_report_missing_from_an_older_copy_is_not_recreated():
+    """Guards against a second report for a window whose first record was lost.
 
-    The holder settles a report and sends it; then the store comes back from a copy without
-    it, and the holder ends.  Whoever follows finds no report for a window that has one.
+    The holder settles a report and sends it; then the store restores a copy without it,
+    and the holder ends. Its successor finds no settled report for a window that has
+    been reported.
     """
 
-    async def scenario(world):
+    async def scenario(simulation):
         await sleep_ms(20_000)
-        sent = len(world.platform.calls)
-        world.platform.trouble = Trouble(lost=1.0)
-        while len(world.platform.calls) == sent:
+        sent = len(simulation.platform.calls)
+        simulation.platform.faults = CallFaults(lost=1.0)
+        while len(simulation.platform.calls) == sent:
             await sleep_ms(10)
-        world.platform.trouble = Trouble()
-        holder = world.holder()
+        simulation.platform.faults = CallFaults()
+        holder = simulation.holder()
         for each in range(3):
-            world.restart(each)
-        world.store.go_back(2_000)
+            simulation.restart(each)
+        simulation.store.restore_older_copy(2_000)
         assert holder is not None
         await sleep_ms(30_000)
 
-    world = play(scenario)
+    simulation = run_scenario(scenario)
 
-    assert all(len(each) == 1 for each in world.platform.accepted().values())
-    assert len(world.platform.accepted()) > 6
+    assert all(
+        len(each) == 1 for each in simulation.platform.accepted_counts().values()
+    )
+    assert len(simulation.platform.accepted_counts()) > 6
 
 
 def test_late_write_of_an_earlier_holder_settles_nothing():
-    """A report that the store wrote seconds after its writer had been followed.
+    """The store executes the write of a report seconds after its writer was replaced.
 
-    The successor settles its own, sends it and leaves.  The next one has just started; the
-    history is dropped, and it finds the newest record, which must not be the late one.
+    The successor settles its own report, sends it and leaves. The next holder has just
+    started. The history is dropped, so it reads only the newest record of the key,
+    which must not be the late one.
     """
 
-    async def scenario(world):
+    async def scenario(simulation):
         await sleep_ms(20_000)
-        first = world.holder()
-        while not world.instances[first].worker._usage._busy:
+        first = simulation.holder()
+        while not simulation.instances[first].worker._usage._in_progress:
             await sleep_ms(5)
-            world.store.trouble = Trouble(late=1.0, late_ms=(7_000, 7_000))
-        window = max(world.instances[first].worker._usage._busy)
+            simulation.store.faults = CallFaults(late=1.0, late_ms=(7_000, 7_000))
+        window = max(simulation.instances[first].worker._usage._in_progress)
         settled_ms = loop_ms()
         await sleep_ms(50)
-        world.store.trouble = Trouble()
-        world.restart(first)
-        world.platform.trouble = Trouble(lost=1.0)
-        while not any(call.window == window for call in world.platform.calls):
+        simulation.store.faults = CallFaults()
+        simulation.restart(first)
+        simulation.platform.faults = CallFaults(lost=1.0)
+        while not any(call.window == window for call in simulation.platform.calls):
             await sleep_ms(20)
         await sleep_ms(settled_ms + 7_300 - loop_ms())
-        world.store.forget()
-        second = world.holder()
+        simulation.store.drop_history()
+        second = simulation.holder()
         for number in {0, 1, 2} - {second}:
-            world.restart(number)
+            simulation.restart(number)
         await sleep_ms(100)
-        world.instances[second].worker.leave()
-        world.platform.trouble = Trouble()
+        simulation.instances[second].worker.leave()
+        simulation.platform.faults = CallFaults()
         await sleep_ms(20_000)
 
-    world = play(scenario)
+    simulation = run_scenario(scenario)
 
-    assert all(len(each) == 1 for each in world.platform.accepted().values())
+    assert all(
+        len(each) == 1 for each in simulation.platform.accepted_counts().values()
+    )
 
 
-def test_holder_that_stays_sends_what_it_settled_before_the_store_went_back():
-    async def scenario(world):
+def test_holder_sends_reports_settled_before_an_older_copy_was_restored():
+    async def scenario(simulation):
         await sleep_ms(20_000)
-        world.store.go_back(6_000)
+        simulation.store.restore_older_copy(6_000)
         await sleep_ms(30_000)
 
-    assert not missed(play(scenario), 50_000)
+    assert not missed_windows(run_scenario(scenario), 50_000)
 
 
-def test_refused_number_is_not_used_again():
-    """A holder whose number another instance has passed goes on calling with it."""
+def test_refused_fencing_number_is_not_reused():
+    """Guards against a holder that continues to call with a refused fencing number."""
 
-    async def scenario(world):
+    async def scenario(simulation):
         await sleep_ms(20_000)
-        world.platform.highest = (1 << 32) + 50
+        simulation.platform.highest = (1 << 32) + 50
         await sleep_ms(30_000)
 
-    world = play(scenario)
+    simulation = run_scenario(scenario)
 
     refused = {}
-    for call in world.platform.calls:
+    for call in simulation.platform.calls:
         if not call.accepted:
             refused.setdefault(call.fencing, []).append(call.at_ms)
     assert refused
     assert all(max(each) - min(each) < 3_000 for each in refused.values())
 
 
-def test_leaving_holder_is_followed_at_once():
-    async def scenario(world):
+def test_leaving_holder_is_replaced_at_once():
+    async def scenario(simulation):
         await sleep_ms(20_000)
-        holder = world.holder()
-        world.instances[holder].worker.leave()
-        began_ms = loop_ms()
-        while world.holder() in (None, holder):
+        holder = simulation.holder()
+        simulation.instances[holder].worker.leave()
+        started_ms = loop_ms()
+        while simulation.holder() in (None, holder):
             await sleep_ms(20)
-        assert loop_ms() - began_ms < 2_000
+        assert loop_ms() - started_ms < 2_000
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_outcome_without_an_answer_is_not_taken_for_accepted():
-    async def scenario(world):
-        world.platform.trouble = Trouble(late=1.0)
+def test_unknown_outcome_is_not_treated_as_accepted():
+    async def scenario(simulation):
+        simulation.platform.faults = CallFaults(late=1.0)
         await sleep_ms(20_000)
-        world.platform.trouble = Trouble()
+        simulation.platform.faults = CallFaults()
         await sleep_ms(30_000)
 
-    world = play(scenario)
+    simulation = run_scenario(scenario)
 
-    assert all(len(each) == 1 for each in world.platform.accepted().values())
+    assert all(
+        len(each) == 1 for each in simulation.platform.accepted_counts().values()
+    )
     assert DutyOutcome.UNKNOWN is not DutyOutcome.ACCEPTED
 
 
-def test_holder_goes_on_when_the_store_went_back():
-    """Seconds without a holder after each older copy.
+def test_holder_keeps_the_duties_when_an_older_copy_is_restored():
+    """Guards against seconds without a holder after each restore of an older copy.
 
-    The copy holds a claim of the holder, and in the new era it took itself for another one,
-    which has to wait until that claim has lapsed.
+    The copy contains a claim of the holder. The holder must not treat it as the claim
+    of another instance, whose expiry it would have to wait for.
     """
 
-    async def scenario(world):
+    async def scenario(simulation):
         await sleep_ms(20_000)
-        holder = world.holder()
-        world.store.go_back(3_000)
-        await sleep_ms(ERA_PATIENCE_MS)
-        assert world.holder() == holder
+        holder = simulation.holder()
+        simulation.store.restore_older_copy(3_000)
+        await sleep_ms(NEW_ERA_CLAIM_DELAY_MS)
+        assert simulation.holder() == holder
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_window_that_nobody_remembers_is_not_reported_as_empty():
-    """A report of no requests, after all instances had lost power together."""
+def test_window_without_known_counts_is_not_reported_as_empty():
+    """Guards against an empty report after all instances have lost power together."""
 
-    async def scenario(world):
+    async def scenario(simulation):
         await sleep_ms(19_000)
-        world.store.down = True
+        simulation.store.is_down = True
         await sleep_ms(4_000)
-        world.store.down = False
+        simulation.store.is_down = False
         for number in range(3):
-            world.restart(number)
+            simulation.restart(number)
         await sleep_ms(30_000)
 
-    world = play(scenario)
+    simulation = run_scenario(scenario)
 
-    assert all(call.counts for call in world.platform.calls)
+    assert all(call.counts for call in simulation.platform.calls)
--- a/tests/test_duties/test_servers.py
+++ b/tests/test_duties/test_servers.py
@@ -1,4 +1,4 @@
-"""Tests of how many endpoints are ordered, and when."""
+"""Tests of the number of endpoints that are ordered, and of the times of orders."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from savorychute.gateway.configuration.service_scaling import ServiceScaling
 from savorychute.gateway.duties.duty_order import DutyOutcome
 from savorychute.gateway.duties.server_duty import (
-    AGAIN_MS,
-    MISSING_MS,
-    RETRY_MS,
-    STABLE_MS,
+    FAILED_ORDER_RETRY_MS,
+    MISSING_GRACE_MS,
+    REORDER_INTERVAL_MS,
+    STABLE_VIEW_MS,
     ServerDuty,
 )
 from savorychute.gateway.duties.server_fleet import DomainFleet, ServerFleet
@@ -31,47 +31,47 @@
 POOL = Service('pool', runs_models=True, scaling=SCALING)
 DESK = Service('desk', runs_models=False)
 START_MS = 10_000
-STEP_MS = 100
-BEGIN_MS = 4_000
+TICK_MS = 100
+ENDPOINT_START_MS = 4_000
 
 
-class Shelf:
-    """Where what is wanted lies."""
+class FakeRecords:
+    """Holds the desired fleets in memory."""
 
     def __init__(self):
         self.fleets = {}
 
-    def wanted_fleet(self, service):
+    def desired_fleet(self, service):
         return self.fleets.get(service)
 
 
-class Platform:
-    """Starts and takes away endpoints as it is told; they need time to serve."""
+class FakePlatform:
+    """Starts and removes endpoints as ordered; new ones take time to serve."""
 
     def __init__(self, lasting):
         self.now_ms = START_MS
-        self.dry_until_ms = 0
+        self.unavailable_until_ms = 0
         self.desired = {(domain, False): lasting for domain in DOMAINS}
-        # Endpoints by the time from which on they serve.
-        self.standing = {key: [0] * number for key, number in self.desired.items()}
+        # For each endpoint, the time from which it serves.
+        self.current = {key: [0] * number for key, number in self.desired.items()}
         self.orders = []
 
-    def take(self, order):
+    def apply_order(self, order):
         key = (order.failure_domain, order.reclaimable)
         self.orders.append((self.now_ms, order))
-        if order.reclaimable and self.now_ms < self.dry_until_ms:
+        if order.reclaimable and self.now_ms < self.unavailable_until_ms:
             return DutyOutcome.UNAVAILABLE
-        other = self.standing.get((order.failure_domain, not order.reclaimable), [])
+        other = self.current.get((order.failure_domain, not order.reclaimable), [])
         number = min(order.number, SCALING.most - len(other))
-        have = self.standing.setdefault(key, [])
-        while len(have) < number:
-            have.append(self.now_ms + BEGIN_MS)
-        del have[number:]
+        endpoints = self.current.setdefault(key, [])
+        while len(endpoints) < number:
+            endpoints.append(self.now_ms + ENDPOINT_START_MS)
+        del endpoints[number:]
         return DutyOutcome.ACCEPTED
 
-    def reclaim(self, domain, dry_ms):
-        self.standing[domain, True] = []
-        self.dry_until_ms = self.now_ms + dry_ms
+    def reclaim(self, domain, unavailable_ms):
+        self.current[domain, True] = []
+        self.unavailable_until_ms = self.now_ms + unavailable_ms
 
     def entries(self):
         return [
@@ -85,52 +85,52 @@
                 sequence=1,
                 reclaimable=reclaimable,
             )
-            for (domain, reclaimable), have in self.standing.items()
-            for number, from_ms in enumerate(have)
-            if from_ms <= self.now_ms
+            for (domain, reclaimable), endpoints in self.current.items()
+            for number, serves_from_ms in enumerate(endpoints)
+            if serves_from_ms <= self.now_ms
         ]
 
-    def serving(self):
+    def serving_count(self):
         return len(self.entries())
 
 
-class Holder:
-    """One instance's duty, which goes on with what lies on the shelf."""
+class DutyHolder:
+    """One instance's duty, which uses the desired fleets in the given records."""
 
-    def __init__(self, platform, shelf, policy='reclaimable'):
+    def __init__(self, platform, records, policy='reclaimable'):
         self.platform = platform
-        self.shelf = shelf
-        self.duty = ServerDuty(SERVER_POLICIES.get(policy), shelf)
-
-    def play(self, duration_ms, services=(POOL, DESK)):
-        """Let time pass; return the fewest endpoints that served."""
-        fewest = self.platform.serving()
-        for _ in range(duration_ms // STEP_MS):
-            self.platform.now_ms += STEP_MS
+        self.records = records
+        self.duty = ServerDuty(SERVER_POLICIES.get(policy), records)
+
+    def run_for(self, duration_ms, services=(POOL, DESK)):
+        """Let time pass; return the lowest number of serving endpoints."""
+        fewest = self.platform.serving_count()
+        for _ in range(duration_ms // TICK_MS):
+            self.platform.now_ms += TICK_MS
             now_ms = self.platform.now_ms
             self.duty.observe(services, self.platform.entries(), now_ms)
-            for fleet in self.duty.undecided(services, now_ms):
-                self.shelf.fleets[fleet.service] = fleet
-            for order in self.duty.orders(services, now_ms):
-                outcome = self.platform.take(order)
+            for fleet in self.duty.decide_fleets(services, now_ms):
+                self.records.fleets[fleet.service] = fleet
+            for order in self.duty.due_orders(services, now_ms):
+                outcome = self.platform.apply_order(order)
                 self.duty.order_ended(order, outcome, now_ms)
-            fewest = min(fewest, self.platform.serving())
+            fewest = min(fewest, self.platform.serving_count())
         return fewest
 
 
 @pytest.fixture
 def platform():
-    return Platform(lasting=10)
+    return FakePlatform(lasting=10)
 
 
 @pytest.fixture
-def shelf():
-    return Shelf()
+def records():
+    return FakeRecords()
 
 
 @pytest.fixture
-def holder(platform, shelf):
-    return Holder(platform, shelf)
+def holder(platform, records):
+    return DutyHolder(platform, records)
 
 
 def fleet_of(*domains):
@@ -145,47 +145,51 @@
     lasting=st.lists(st.integers(0, 40), min_size=1, max_size=6),
     least=st.integers(0, 3),
     most=st.integers(1, 60),
-    part=st.floats(0.01, 1.5),
+    price_share=st.floats(0.01, 1.5),
     prices=st.lists(st.floats(0.5, 2.0), min_size=6, max_size=6),
 )
-def test_law_what_is_wanted(lasting, least, most, part, prices):
-    """A saving that callers pay for.
+def test_preferred_fleet_invariants(lasting, least, most, price_share, prices):
+    """A new fleet is cheaper and degrades no service.
 
-    Whatever stands: the bounds of each failure domain hold, what is left after the loss of a
-    domain's reclaimable endpoints is no less than what stood, and it costs less.
+    For any current fleet, the limits of each failure domain hold, the endpoints that
+    remain after the loss of a domain's reclaimable ones are no fewer than the current
+    ones, and the price is lower.
     """
-    standing = fleet_of(*(DomainFleet(number) for number in lasting))
-    priced = {
+    current = fleet_of(*(DomainFleet(number) for number in lasting))
+    price_by_domain = {
         domain: price
-        for (domain, _), price in zip(standing.domains, prices, strict=False)
+        for (domain, _), price in zip(current.domains, prices, strict=False)
     }
-    scaling = ServiceScaling(least, most, part, tuple(priced.items()))
+    scaling = ServiceScaling(least, most, price_share, tuple(price_by_domain.items()))
 
-    wanted = prefer_reclaimable(standing, scaling)
+    desired = prefer_reclaimable(current, scaling)
 
-    if wanted is None:
+    if desired is None:
         return
-    assert all(least <= fleet.total <= most for _, fleet in wanted.domains)
-    assert all(fleet.lasting >= 1 for _, fleet in wanted.domains)
-    assert wanted.after_reclaim() >= standing.total
-    assert wanted.price(priced, part) < standing.price(priced, part)
+    assert all(least <= fleet.total <= most for _, fleet in desired.domains)
+    assert all(fleet.lasting >= 1 for _, fleet in desired.domains)
+    assert desired.remaining_after_reclaim() >= current.total
+    assert desired.price(price_by_domain, price_share) < current.price(
+        price_by_domain, price_share
+    )
 
 
-def test_nothing_is_wanted_where_none_can_be_reclaimed():
+def test_no_fleet_is_desired_where_no_endpoint_is_reclaimable():
     scaling = SCALING._replace(reclaimable_price=None)
 
     assert prefer_reclaimable(fleet_of(DomainFleet(9), DomainFleet(9)), scaling) is None
 
 
-def test_lasting_endpoints_are_given_back_when_all_others_serve(platform, holder):
-    """A service that lost its engines before the new ones had started.
+def test_lasting_endpoints_are_released_once_reclaimable_ones_serve(platform, holder):
+    """Guards against the release of endpoints before their replacements have started.
 
-    The bound of a failure domain has no room for both kinds, so they change in steps.
+    The limit of a failure domain leaves no headroom for both kinds at once, so they are
+    replaced in steps.
     """
-    fewest = holder.play(30_000)
+    fewest = holder.run_for(30_000)
 
     assert fewest >= 30
-    assert {key: len(have) for key, have in platform.standing.items()} == {
+    assert {key: len(endpoints) for key, endpoints in platform.current.items()} == {
         (domain, reclaimable): 14 if reclaimable else 1
         for domain in DOMAINS
         for reclaimable in (False, True)
@@ -193,127 +197,131 @@
     assert len(platform.orders) == 12
 
 
-def test_nothing_is_ordered_before_what_stands_is_known(platform, holder):
-    """A holder that took the first entries for all there are.
+def test_nothing_is_ordered_before_the_current_fleet_is_known(platform, holder):
+    """Guards against a decision based on the first few entries.
 
-    Endpoints and instances start together, and entries come one by one.
+    Endpoints and instances start together, and entries arrive one by one.
     """
-    every = dict(platform.standing)
+    all_endpoints = dict(platform.current)
     for number in range(3):
-        platform.standing = {
-            (domain, False): have[: 2 * number + 1]
-            for (domain, _), have in every.items()
+        platform.current = {
+            (domain, False): endpoints[: 2 * number + 1]
+            for (domain, _), endpoints in all_endpoints.items()
         }
-        holder.play(STABLE_MS - STEP_MS)
+        holder.run_for(STABLE_VIEW_MS - TICK_MS)
     assert not platform.orders
-    platform.standing = every
-    holder.play(30_000)
+    platform.current = all_endpoints
+    holder.run_for(30_000)
+
+    assert holder.records.fleets['pool'].remaining_after_reclaim() >= 30
 
-    assert holder.shelf.fleets['pool'].after_reclaim() >= 30
 
+def test_loss_of_a_domain_leaves_the_original_endpoint_count(platform, holder):
+    """A failure domain loses all reclaimable endpoints.
 
-def test_loss_of_a_domain_leaves_as_many_as_stood(platform, holder):
-    """All reclaimable endpoints of a failure domain taken, and none to be had for ten
-    seconds.
+    None can be ordered for ten seconds.
     """
-    holder.play(30_000)
+    holder.run_for(30_000)
     platform.reclaim('thrissur', 10_000)
     orders = len(platform.orders)
 
-    assert holder.play(9_000) >= 30
-    assert len(platform.orders) - orders <= 9_000 // RETRY_MS
-    holder.play(8_000)
-    assert platform.serving() == 45
+    assert holder.run_for(9_000) >= 30
+    assert len(platform.orders) - orders <= 9_000 // FAILED_ORDER_RETRY_MS
+    holder.run_for(8_000)
+    assert platform.serving_count() == 45
 
 
-def test_endpoints_that_crash_and_come_back_are_not_replaced(platform, holder):
-    """A swing: an order for each crash, and one less for each return."""
-    holder.play(30_000)
+def test_endpoints_that_crash_and_return_are_not_replaced(platform, holder):
+    """Guards against an order at each crash that is reversed after each return."""
+    holder.run_for(30_000)
     orders = len(platform.orders)
     for _ in range(4):
-        kept = platform.standing['kochi', False]
-        platform.standing['kochi', False] = []
-        holder.play(MISSING_MS - 1_000)
-        platform.standing['kochi', False] = kept
-        holder.play(3_000)
+        kept = platform.current['kochi', False]
+        platform.current['kochi', False] = []
+        holder.run_for(MISSING_GRACE_MS - 1_000)
+        platform.current['kochi', False] = kept
+        holder.run_for(3_000)
 
     assert len(platform.orders) == orders
 
 
-def test_endpoint_that_is_lost_for_good_is_replaced(platform, holder):
-    holder.play(30_000)
-    platform.standing['kochi', False] = []
-    holder.play(MISSING_MS + BEGIN_MS + 1_000)
+def test_permanently_lost_endpoint_is_replaced(platform, holder):
+    holder.run_for(30_000)
+    platform.current['kochi', False] = []
+    holder.run_for(MISSING_GRACE_MS + ENDPOINT_START_MS + 1_000)
 
-    assert len(platform.standing['kochi', False]) == 1
+    assert len(platform.current['kochi', False]) == 1
 
 
-def test_successor_goes_on_with_what_was_decided(platform, shelf, holder):
-    """A fleet that grew with each holder.
+def test_successor_uses_the_decided_fleet(platform, records, holder):
+    """Guards against a fleet that grows with each new holder.
 
-    The second holder finds more endpoints than the operators had set up, and must not take
-    these for what is needed.
+    The second holder finds more endpoints than the operators had set up, and must not
+    treat that number as the required one.
     """
-    holder.play(5_000)
+    holder.run_for(5_000)
     for _ in range(3):
-        Holder(platform, shelf).play(8_000)
+        DutyHolder(platform, records).run_for(8_000)
 
-    assert platform.serving() == 45
-    assert shelf.fleets['pool'].total == 45
+    assert platform.serving_count() == 45
+    assert records.fleets['pool'].total == 45
 
 
-def test_successor_that_finds_nothing_decided_orders_nothing(platform, holder):
-    holder.play(30_000)
+def test_successor_without_a_decided_fleet_orders_nothing(platform, holder):
+    holder.run_for(30_000)
     orders = len(platform.orders)
-    Holder(platform, Shelf()).play(20_000)
+    DutyHolder(platform, FakeRecords()).run_for(20_000)
 
     assert len(platform.orders) == orders
 
 
 def test_order_is_not_repeated_while_endpoints_start(platform, holder):
-    holder.play(STABLE_MS + BEGIN_MS)
+    holder.run_for(STABLE_VIEW_MS + ENDPOINT_START_MS)
 
-    assert BEGIN_MS < AGAIN_MS
+    assert ENDPOINT_START_MS < REORDER_INTERVAL_MS
     assert len(platform.orders) == len(DOMAINS)
 
 
-def test_bounds_that_were_changed_since_stop_orders(platform, holder):
+def test_changed_limits_stop_orders(platform, holder):
     narrow = POOL._replace(scaling=SCALING._replace(most=12))
-    holder.play(STABLE_MS + 500)
+    holder.run_for(STABLE_VIEW_MS + 500)
     orders = len(platform.orders)
     platform.reclaim('kochi', 0)
-    holder.play(20_000, services=(narrow, DESK))
+    holder.run_for(20_000, services=(narrow, DESK))
 
     assert len(platform.orders) == orders
 
 
-def test_policy_that_leaves_things_as_found(platform, shelf):
-    Holder(platform, shelf, 'as-found').play(30_000)
+def test_policy_as_found_orders_nothing(platform, records):
+    DutyHolder(platform, records, 'as-found').run_for(30_000)
 
     assert not platform.orders
 
 
 @pytest.mark.parametrize('seed', range(10))
-def test_orders_end_where_they_should_whatever_the_platform_does(seed):
-    """Reclaims and dry spells at any moment, holders that change: no swing, no loss."""
+def test_fleet_converges_whatever_the_platform_does(seed):
+    """Reclaims, shortages and changes of the holder at any time.
+
+    The fleet neither oscillates nor loses capacity.
+    """
     rng = random.Random(seed)
-    platform, shelf = Platform(lasting=10), Shelf()
-    holder = Holder(platform, shelf)
+    platform, records = FakePlatform(lasting=10), FakeRecords()
+    holder = DutyHolder(platform, records)
     for _ in range(12):
-        holder.play(rng.randrange(500, 9_000))
+        holder.run_for(rng.randrange(500, 9_000))
         event = rng.randrange(3)
         if event == 0:
             platform.reclaim(rng.choice(DOMAINS), rng.randrange(10_000))
         elif event == 1:
-            holder = Holder(platform, shelf)
-    holder.play(40_000)
+            holder = DutyHolder(platform, records)
+    holder.run_for(40_000)
 
-    assert platform.serving() in (45, 30)
-    assert platform.serving() == 45 or not shelf.fleets
+    assert platform.serving_count() in (45, 30)
+    assert platform.serving_count() == 45 or not records.fleets
 
 
-def test_second_step_follows_as_soon_as_there_is_room(platform, holder):
-    """Steps that took as long as a crash, so that callers came in between."""
-    holder.play(STABLE_MS + 2 * BEGIN_MS + 1_000)
+def test_second_step_follows_as_soon_as_the_limit_allows(platform, holder):
+    """Guards against steps with long pauses, during which requests arrive."""
+    holder.run_for(STABLE_VIEW_MS + 2 * ENDPOINT_START_MS + 1_000)
 
-    assert platform.serving() == 45
+    assert platform.serving_count() == 45
--- a/tests/test_gateway/gateway_fakes.py
+++ b/tests/test_gateway/gateway_fakes.py
@@ -20,7 +20,7 @@
 from savorychute.gateway.dispatch.overload_guard import OverloadGuard
 from savorychute.gateway.dispatch.shortages import Shortages
 from savorychute.gateway.duties.true_time import TrueTime
-from savorychute.gateway.duties.usage_ledger import UsageLedger
+from savorychute.gateway.duties.usage_counter import UsageCounter
 from savorychute.gateway.endpoint_telemetry import EndpointTelemetry
 from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
 from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
@@ -398,7 +398,7 @@
         permits=permits,
         allowance=make_allowance(slack),
         crashes=crashes,
-        usage=UsageLedger(None, TrueTime(clock, StillWall())),
+        usage=UsageCounter(None, TrueTime(clock, StillWall())),
         telemetry=telemetry,
         endpoint_telemetry=of_endpoints,
     )
