--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -34,11 +34,11 @@
 from savorychute.gateway.store.configuration_listener import ConfigurationListener
 from savorychute.gateway.store.endpoint_journal import EndpointJournal
 from savorychute.gateway.store.endpoint_listener import EndpointListener
-from savorychute.gateway.store.gates import ConfigurationGate, EndpointGate
-from savorychute.gateway.store.pace import Pace
-from savorychute.gateway.store.reading_plan import ReadingPlan
+from savorychute.gateway.store.read_gates import ConfigurationGate, EndpointGate
+from savorychute.gateway.store.read_plan import ReadPlan
+from savorychute.gateway.store.read_timing import ReadTiming
 from savorychute.gateway.store.registration import Registration
-from savorychute.gateway.store.shared_reading import SharedReading
+from savorychute.gateway.store.shared_reader import SharedReader
 from savorychute.gateway.store.store_access import StoreAccess
 from savorychute.gateway.store.store_era import StoreEra
 from savorychute.gateway.store.topic_follower import TopicFollower
@@ -95,7 +95,7 @@
     side = make_duty_side(around)
     parts = _make_parts(around, demand, side.ledger)
     calls = parts.telemetry.calls
-    plan = ReadingPlan(parts.configuration, int(settings.drain_notice_ms), around.clock)
+    plan = ReadPlan(parts.configuration, int(settings.drain_notice_ms), around.clock)
     journal = EndpointJournal()
     entries = EndpointListener(
         parts.roster,
@@ -105,11 +105,11 @@
         parts.telemetry,
         around.clock,
     )
-    reading = SharedReading(
+    reading = SharedReader(
         plan,
         parts.configuration,
         journal,
-        entries.take_changes,
+        entries.apply_changes,
         eras,
         int(VOUCH_SHARE * settings.configuration_notice_ms),
         around.rng,
@@ -117,7 +117,7 @@
     own = _find_address(settings)
     directory = InstanceDirectory(own)
     entry = EntryKeeper(
-        Registration(topics.instances, own, calls.topic('instances')),
+        Registration(topics.instances, own, calls.counter_for('instances')),
         parts.allowance,
         around.clock,
         around.rng,
@@ -155,21 +155,21 @@
     works: dict[str, Callable[[], Awaitable[None]]] = {
         'configuration': TopicFollower(
             topics.configuration,
-            Pace(int(POLL_SHARE * settings.configuration_notice_ms), 0),
+            ReadTiming(int(POLL_SHARE * settings.configuration_notice_ms), 0),
             ConfigurationGate(plan),
             configuration,
             around.clock,
             around.rng,
-            calls.topic('configuration'),
+            calls.counter_for('configuration'),
         ).run,
         'endpoints': TopicFollower(
             topics.endpoints,
-            Pace(0, int(ENDPOINT_READ_SHARE * settings.drain_notice_ms)),
+            ReadTiming(0, int(ENDPOINT_READ_SHARE * settings.drain_notice_ms)),
             EndpointGate(plan, journal),
             entries,
             around.clock,
             around.rng,
-            calls.topic('endpoints'),
+            calls.counter_for('endpoints'),
         ).run,
         'peers': peers.run,
         'housekeeping': host.run,
--- a/savorychute/gateway/daemon/duty_assembly.py
+++ b/savorychute/gateway/daemon/duty_assembly.py
@@ -26,7 +26,7 @@
     from savorychute.gateway.daemon.surroundings import Surroundings
     from savorychute.gateway.parts import GatewayParts
     from savorychute.gateway.store.keyed_topic import KeyedTopic
-    from savorychute.gateway.store.reading_plan import ReadingPlan
+    from savorychute.gateway.store.read_plan import ReadPlan
     from savorychute.gateway.store.store_era import StoreEra
 
 
@@ -68,7 +68,7 @@
     topic: KeyedTopic,
     eras: StoreEra,
     parts: GatewayParts,
-    plan: ReadingPlan,
+    plan: ReadPlan,
 ) -> DutyWorker | None:
     """Return what carries out the duties, None where none is wanted.
 
@@ -104,5 +104,5 @@
         side.time,
         around.clock,
         DutyTelemetry(parts.telemetry),
-        parts.telemetry.calls.topic('duties'),
+        parts.telemetry.calls.counter_for('duties'),
     )
--- a/savorychute/gateway/daemon/entry_keeper.py
+++ b/savorychute/gateway/daemon/entry_keeper.py
@@ -91,7 +91,7 @@
         """
         await asyncio.sleep(self._rng.uniform(0, ENTER_AGAIN_MS) / MS_PER_S)
         try:
-            listing = await self.registration.enter_again()
+            listing = await self.registration.restore_entry()
         except StoreUnavailableError as error:
             self._telemetry.store_failed(TOPIC, error)
             return None
@@ -110,7 +110,7 @@
         try:
             listing = await self.registration.list_instances()
             if own not in listing.live and own.instance not in view.leaving:
-                await self.registration.enter()
+                await self.registration.write_entry()
             for instance in self._find_absent(listing, view):
                 await self.registration.remove(instance)
         except StoreUnavailableError as error:
@@ -162,7 +162,7 @@
     async def _write_cap(self, repeats: float) -> None:
         self._allowance.cap.change_begins(repeats)
         try:
-            await self.registration.allow_repeats(repeats)
+            await self.registration.write_retry_limit(repeats)
         except StoreUnavailableError as error:
             self._next_cap_ms = self._clock.now_ms() + CAP_RETRY_MS
             self._telemetry.store_failed(TOPIC, error)
--- a/savorychute/gateway/daemon/peer_messages.py
+++ b/savorychute/gateway/daemon/peer_messages.py
@@ -32,8 +32,8 @@
     from savorychute.gateway.endpoints.statement_book import StatementBook
     from savorychute.gateway.permits.permit_desk import PermitDesk
     from savorychute.gateway.recovery.crash_book import CrashBook
-    from savorychute.gateway.store.reading_plan import ReadingPlan
-    from savorychute.gateway.store.shared_reading import SharedReading
+    from savorychute.gateway.store.read_plan import ReadPlan
+    from savorychute.gateway.store.shared_reader import SharedReader
     from savorychute.membership.member_view import MemberView
 
 
@@ -51,8 +51,8 @@
     statements: StatementBook
     permits: PermitDesk
     count_streams: Callable[[], int]
-    plan: ReadingPlan
-    reading: SharedReading
+    plan: ReadPlan
+    reading: SharedReader
     candidates: DutyCandidates
     usage: UsageBroadcaster | None
     time: TrueTime
@@ -91,7 +91,7 @@
         :param now_ms: the time.
         """
         parts = self.parts
-        parts.plan.follow(view)
+        parts.plan.set_view(view)
         parts.permits.follow(view)
         parts.demand.observe(parts.count_streams(), len(view.alive), now_ms)
         parts.shortages.instances = max(1, len(view.alive))
@@ -121,9 +121,9 @@
                 asker = view.address_of(sender)
                 return [] if asker is None else self._spread.answer(asker, now_ms)
             case StoreAnswer():
-                parts.reading.take_answer(message, now_ms)
+                parts.reading.handle_response(message, now_ms)
             case StoreQuestion():
-                answer = parts.reading.answer(message, now_ms)
+                answer = parts.reading.respond(message, now_ms)
                 return _reply(view, sender, answer)
             case PermitAnswer():
                 parts.permits.take_answer(message)
--- a/savorychute/gateway/daemon/server_work.py
+++ b/savorychute/gateway/daemon/server_work.py
@@ -12,7 +12,7 @@
     from savorychute.gateway.duties.server_duty import ServerDuty, ServerOrder
     from savorychute.gateway.duties.server_fleet import ServerFleet
     from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
-    from savorychute.gateway.store.reading_plan import ReadingPlan
+    from savorychute.gateway.store.read_plan import ReadPlan
 
 # Entries that were read longer ago may not show what stands.
 STALE_MS = 3_000
@@ -24,7 +24,7 @@
     duty: ServerDuty
     configuration: ConfigurationState
     roster: EndpointRoster
-    plan: ReadingPlan
+    plan: ReadPlan
 
     def look(self, now_ms: int) -> list[ServerFleet]:
         """Take in what stands; return what is newly decided."""
--- a/savorychute/gateway/store/__init__.py
+++ b/savorychute/gateway/store/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway keeps in, and learns from, the platform's store."""
+"""State that a gateway keeps in the platform's store, or reads from it."""
--- a/savorychute/gateway/store/call_purpose.py
+++ b/savorychute/gateway/store/call_purpose.py
@@ -1,4 +1,4 @@
-"""What a call to the platform's store is made for."""
+"""The purposes of calls to the platform's store."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CallPurpose(Enum):
-    """Why an instance calls; the value is the metric's label."""
+    """The purpose of a call; the value is the label of the metric."""
 
     REGISTER = 'register'
     MEMBERS = 'members'
--- a/savorychute/gateway/store/configuration_listener.py
+++ b/savorychute/gateway/store/configuration_listener.py
@@ -1,4 +1,4 @@
-"""Puts published configurations in force."""
+"""Applies published configurations."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     )
     from savorychute.gateway.configuration.deployment import Deployment
     from savorychute.gateway.store.keyed_record import KeyedRecord
-    from savorychute.gateway.store.reading_plan import ReadingPlan
+    from savorychute.gateway.store.read_plan import ReadPlan
     from savorychute.gateway.store.store_errors import StoreUnavailableError
     from savorychute.gateway.store.topic_delta import TopicDelta
     from savorychute.gateway.store.topic_snapshot import TopicSnapshot
@@ -23,25 +23,26 @@
 
 
 class ConfigurationListener:
-    """Decodes records and hands newer versions to the state.
+    """Decodes records and applies newer versions of the configuration.
 
-    A read that shows nothing new confirms the version in force.  A record that
-    cannot be read confirms nothing: a newer version exists that is not known here.  Nor
-    does a read that left records behind, one of which may take a key back, nor one in which
-    the store, back from an older copy, shows no version as new as the one in force: a newer
-    one may be lost until the operator writes it again.
+    A read without a newer version confirms the applied one. There are three exceptions.
+    A record that cannot be decoded confirms nothing, because it is a newer version that
+    is unknown here. A read that left records unread confirms nothing, because one of
+    them may revoke a key. After the store was restored from an older copy, a read whose
+    newest version is older than the applied one confirms nothing, because a newer
+    version may be lost until the operator writes it again.
 
-    :param state: the version in force.
-    :param plan: is told whether the store can be read.
-    :param decode: turns a record into a configuration.
-    :param telemetry: is told of each version.
-    :param on_applied: called with each version put in force.
+    :param state: the applied version.
+    :param plan: records whether the store can be read.
+    :param decode: decodes a record into a configuration.
+    :param telemetry: logs each version.
+    :param on_applied: called with each version that was applied.
     """
 
     def __init__(
         self,
         state: ConfigurationState,
-        plan: ReadingPlan,
+        plan: ReadPlan,
         decode: Callable[[str, bytes], Deployment | None],
         telemetry: GatewayTelemetry,
         on_applied: Callable[[Deployment], None],
@@ -51,36 +52,36 @@
         self._decode = decode
         self._telemetry = telemetry
         self._on_applied = on_applied
-        # The newest version since the last listing, -1 for none.
-        self._shown_version = -1
+        # The newest version read since the last listing; -1 if there is none.
+        self._newest_read_version = -1
 
-    def topic_listed(self, snapshot: TopicSnapshot, began_ms: int) -> None:
-        """Take the newest records."""
-        self._shown_version = -1
-        self._take(snapshot.records, began_ms, read_all=True)
+    def on_snapshot(self, snapshot: TopicSnapshot, started_ms: int) -> None:
+        """Apply the newest records."""
+        self._newest_read_version = -1
+        self._apply(snapshot.records, started_ms, read_all=True)
 
-    def topic_changed(self, delta: TopicDelta, began_ms: int) -> None:
-        """Take further records."""
-        self._take(delta.records, began_ms, read_all=delta.left == 0)
+    def on_delta(self, delta: TopicDelta, started_ms: int) -> None:
+        """Apply further records."""
+        self._apply(delta.records, started_ms, read_all=delta.remaining == 0)
 
-    def topic_failed(self, error: StoreUnavailableError) -> None:
-        """Note that the version in force could not be confirmed."""
+    def on_failure(self, error: StoreUnavailableError) -> None:
+        """Record that the applied version could not be confirmed."""
         self._telemetry.store_failed('configuration', error)
         self._plan.failing_topics.add('configuration')
 
-    def _take(
+    def _apply(
         self,
         records: Sequence[KeyedRecord | UnreadableRecord],
-        began_ms: int,
+        started_ms: int,
         *,
         read_all: bool,
     ) -> None:
         self._telemetry.store_answered('configuration')
         self._plan.failing_topics.discard('configuration')
-        newest_read = True
+        newest_is_readable = True
         for record in records:
             if isinstance(record, UnreadableRecord):
-                # Not even its key can be had, so it is not the operator's document.
+                # Its key cannot be read either, so it is not the operator's document.
                 self._telemetry.record_unreadable('configuration', record)
                 continue
             if record.value is None:
@@ -88,17 +89,24 @@
             try:
                 deployment = self._decode(record.key, record.value)
             except TranslationError as error:
-                bad = UnreadableRecord(record.offset, record.key, error.message)
-                self._telemetry.record_unreadable('configuration', bad)
-                newest_read = False
+                unreadable = UnreadableRecord(record.offset, record.key, error.message)
+                self._telemetry.record_unreadable('configuration', unreadable)
+                newest_is_readable = False
                 continue
             if deployment is None:
                 continue
-            newest_read = True
-            self._shown_version = max(self._shown_version, deployment.version)
+            newest_is_readable = True
+            self._newest_read_version = max(
+                self._newest_read_version, deployment.version
+            )
             if self._state.apply(deployment):
                 self._telemetry.configuration_applied(deployment, record.offset)
                 self._on_applied(deployment)
-        shown = self._shown_version >= self._state.version
-        if read_all and newest_read and shown and self._state.table is not None:
-            self._state.confirm(began_ms)
+        is_current = self._newest_read_version >= self._state.version
+        if (
+            read_all
+            and newest_is_readable
+            and is_current
+            and self._state.table is not None
+        ):
+            self._state.confirm(started_ms)
--- a/savorychute/gateway/store/endpoint_journal.py
+++ b/savorychute/gateway/store/endpoint_journal.py
@@ -1,4 +1,4 @@
-"""The latest changes of endpoints' entries."""
+"""The latest changes of endpoint entries."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 if TYPE_CHECKING:
     from savorychute.gateway.store.endpoint_news import EndpointNews
 
-KEPT = 512
+MAX_CHANGES = 512
 
 
 class EndpointJournal:
-    """What an instance can tell another that has read up to some offset.
+    """Changes for other instances that have read up to some offset.
 
-    Most records are heartbeats that change nothing; only those that do are kept.
-    ``offset`` is where the topic was read last, ``first`` where the journal begins, both in
-    one ``era`` of the store.
+    Most records are heartbeats that change nothing; only changes are kept. ``offset``
+    is the position up to which the topic was read, ``first_offset`` the position at
+    which the journal starts; both belong to one ``era`` of the store.
     """
 
     def __init__(self) -> None:
         self.offset = -1
-        self.first = -1
+        self.first_offset = -1
         self.era = 0
-        self._news: deque[EndpointNews] = deque()
+        self._changes: deque[EndpointNews] = deque()
 
-    def restart(self, offset: int, era: int) -> None:
-        """Begin anew after a listing, which shows no single changes.
+    def reset(self, offset: int, era: int) -> None:
+        """Start again after a listing, which does not contain individual changes.
 
-        :param offset: where reading goes on.
-        :param era: of the store.
+        :param offset: the offset from which the topic is read next.
+        :param era: the era of the store.
         """
-        self._news.clear()
-        self.first = offset
+        self._changes.clear()
+        self.first_offset = offset
         self.offset = offset
         self.era = era
 
-    def add(self, news: EndpointNews) -> None:
-        """Keep a change.
+    def add(self, change: EndpointNews) -> None:
+        """Add a change.
 
-        :param news: the change; its offset is larger than all before.
+        :param change: the change; its offset is larger than all earlier ones.
         """
-        self._news.append(news)
-        if len(self._news) > KEPT:
-            self.first = self._news.popleft().offset + 1
+        self._changes.append(change)
+        if len(self._changes) > MAX_CHANGES:
+            self.first_offset = self._changes.popleft().offset + 1
 
-    def since(self, offset: int) -> tuple[EndpointNews, ...] | None:
-        """Return the changes from an offset on, or None if they are not all kept.
+    def changes_since(self, offset: int) -> tuple[EndpointNews, ...] | None:
+        """Return the changes from an offset on, or None if some are no longer kept.
 
-        :param offset: the first record that the other has not read.
+        :param offset: the first offset that the other instance has not read.
         """
-        if not 0 <= self.first <= offset:
+        if not 0 <= self.first_offset <= offset:
             return None
-        return tuple(news for news in self._news if news.offset >= offset)
+        return tuple(change for change in self._changes if change.offset >= offset)
--- a/savorychute/gateway/store/endpoint_listener.py
+++ b/savorychute/gateway/store/endpoint_listener.py
@@ -1,11 +1,11 @@
-"""Keeps the roster of endpoints by what they register."""
+"""Updates the roster of endpoints from their registered entries."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from savorychute.gateway.endpoints.run_order import EntryVerdict
-from savorychute.gateway.store.endpoint_news import EndpointNews, make_news
+from savorychute.gateway.store.endpoint_news import EndpointNews, make_endpoint_news
 from savorychute.gateway.store.unreadable_record import UnreadableRecord
 from savorychute.gateway.translation_error import TranslationError
 
@@ -18,7 +18,7 @@
     from savorychute.gateway.endpoints.endpoint_run import EndpointRun
     from savorychute.gateway.store.endpoint_journal import EndpointJournal
     from savorychute.gateway.store.keyed_record import KeyedRecord
-    from savorychute.gateway.store.reading_plan import ReadingPlan
+    from savorychute.gateway.store.read_plan import ReadPlan
     from savorychute.gateway.store.store_errors import StoreUnavailableError
     from savorychute.gateway.store.topic_delta import TopicDelta
     from savorychute.gateway.store.topic_snapshot import TopicSnapshot
@@ -26,21 +26,23 @@
 
 
 class EndpointListener:
-    """Hands entries to the roster, and changes to the journal for other instances.
+    """Applies entries to the roster, and adds changes to the journal.
+
+    The journal is for other instances, which query it.
 
     :param roster: the endpoints.
     :param journal: the changes.
-    :param plan: is told of each read.
-    :param decode: turns a record into an entry.
-    :param telemetry: is told of what changes.
-    :param clock: the time.
+    :param plan: records each read.
+    :param decode: decodes a record into an entry.
+    :param telemetry: logs changes.
+    :param clock: the current time.
     """
 
     def __init__(
         self,
         roster: EndpointRoster,
         journal: EndpointJournal,
-        plan: ReadingPlan,
+        plan: ReadPlan,
         decode: Callable[[str, bytes], EndpointEntry],
         telemetry: GatewayTelemetry,
         clock: Clock,
@@ -51,119 +53,123 @@
         self._decode = decode
         self._telemetry = telemetry
         self._clock = clock
-        # What the topic said last of each endpoint: its run, and whether it drains.
-        self._told: dict[str, tuple[EndpointRun, bool]] = {}
+        # The last state of each endpoint in the topic: its run, and whether it is
+        # draining.
+        self._last_states: dict[str, tuple[EndpointRun, bool]] = {}
 
-    def topic_listed(self, snapshot: TopicSnapshot, began_ms: int) -> None:
-        """Take all entries."""
+    def on_snapshot(self, snapshot: TopicSnapshot, started_ms: int) -> None:
+        """Apply all entries."""
         self._telemetry.store_answered('endpoints')
         self._plan.failing_topics.discard('endpoints')
-        read = [self._read(record) for record in snapshot.records]
-        entries = [each for each in read if not isinstance(each, EndpointNews)]
+        decoded = [self._decode_record(record) for record in snapshot.records]
+        entries = [each for each in decoded if not isinstance(each, EndpointNews)]
         now_ms = self._clock.now_ms()
         if snapshot.era != self._journal.era:
-            # An older copy lacks endpoints that came since, until they write again.
+            # The older copy lacks recently added endpoints until they write their
+            # entries again.
             self._roster.store_failed(now_ms)
-        for news in read:
-            if isinstance(news, EndpointNews) and news.unreadable:
-                self._roster.withhold(news.endpoint)
+        for update in decoded:
+            if isinstance(update, EndpointNews) and update.unreadable:
+                self._roster.withhold(update.endpoint)
         self._roster.apply_all(entries, now_ms)
-        self._told = {each.endpoint: (each.run, each.draining) for each in entries}
+        self._last_states = {
+            each.endpoint: (each.run, each.draining) for each in entries
+        }
         self._roster.expire(now_ms)
-        self._journal.restart(snapshot.next_offset, snapshot.era)
+        self._journal.reset(snapshot.next_offset, snapshot.era)
         self._plan.must_list_endpoints = False
-        self._plan.endpoints_confirmed(began_ms)
+        self._plan.confirm_endpoints(started_ms)
 
-    def topic_changed(self, delta: TopicDelta, began_ms: int) -> None:
-        """Take entries that were written or removed, in their order."""
+    def on_delta(self, delta: TopicDelta, started_ms: int) -> None:
+        """Apply entries that were written or removed, in their order."""
         self._telemetry.store_answered('endpoints')
         self._plan.failing_topics.discard('endpoints')
         if delta.next_offset < self._journal.offset:
-            # Another instance told of later changes while this read was under way.
+            # Another instance reported later changes while this read was in progress.
             return
         for record in delta.records:
-            read = self._read(record)
-            if isinstance(read, EndpointNews):
-                self._take(read)
+            decoded = self._decode_record(record)
+            if isinstance(decoded, EndpointNews):
+                self._apply_update(decoded)
             else:
-                self._take(make_news(record.offset, read))
+                self._apply_update(make_endpoint_news(record.offset, decoded))
         self._journal.offset = delta.next_offset
         self._roster.expire(self._clock.now_ms())
-        self._plan.endpoints_confirmed(began_ms)
+        self._plan.confirm_endpoints(started_ms)
 
-    def topic_failed(self, error: StoreUnavailableError) -> None:
-        """Note that entries may lapse because nobody can write them."""
+    def on_failure(self, error: StoreUnavailableError) -> None:
+        """Record that entries may expire because endpoints cannot renew them."""
         self._telemetry.store_failed('endpoints', error)
         self._plan.failing_topics.add('endpoints')
         self._roster.store_failed(self._clock.now_ms())
 
-    def take_changes(self, changes: Sequence[EndpointNews], offset: int) -> None:
-        """Take changes that another instance has read.
+    def apply_changes(self, changes: Sequence[EndpointNews], offset: int) -> None:
+        """Apply changes that another instance has read.
 
-        :param changes: in their order.
-        :param offset: up to which they are all.
+        :param changes: the changes in their order.
+        :param offset: the offset up to which the changes are complete.
         """
-        for news in changes:
-            if news.offset >= self._journal.offset:
-                self._take(news)
+        for update in changes:
+            if update.offset >= self._journal.offset:
+                self._apply_update(update)
         self._journal.offset = max(self._journal.offset, offset)
         self._roster.expire(self._clock.now_ms())
 
-    def _take(self, news: EndpointNews) -> None:
-        """Apply a record, and keep it if it says more than the heartbeat before it.
+    def _apply_update(self, update: EndpointNews) -> None:
+        """Apply a record, and add it to the journal if it is more than a heartbeat.
 
-        What counts is what the topic said before, not what the roster knows: this
-        instance may have learned from an endpoint itself that it leaves, and the others
-        still have to be told.
+        It is compared with the previous record of the topic rather than with the
+        roster: an endpoint may have announced to this instance directly that it leaves,
+        and the other instances still need the change.
         """
-        if news.gone:
-            self._take_absence(news)
+        if update.gone:
+            self._apply_removal(update)
             return
-        entry = news.to_entry()
+        entry = update.to_entry()
         known = self._roster.get(entry.endpoint)
-        verdict = self._roster.apply(entry, convinced=news.convinced)
+        verdict = self._roster.apply(entry, convinced=update.convinced)
         if verdict is EntryVerdict.OLD_RUN:
             return
-        told = (entry.run, entry.draining)
-        if self._told.get(entry.endpoint) == told:
+        state = (entry.run, entry.draining)
+        if self._last_states.get(entry.endpoint) == state:
             return
-        self._told[entry.endpoint] = told
+        self._last_states[entry.endpoint] = state
         self._telemetry.endpoint_changed(entry)
         seems_older = known is not None and entry.born_ms < known.entry.born_ms
-        self._journal.add(news._replace(convinced=news.convinced or seems_older))
+        self._journal.add(update._replace(convinced=update.convinced or seems_older))
 
-    def _take_absence(self, news: EndpointNews) -> None:
-        """Apply a record that names no endpoint to use."""
-        if not news.endpoint:
+    def _apply_removal(self, update: EndpointNews) -> None:
+        """Apply a record that makes an endpoint unusable."""
+        if not update.endpoint:
             return
-        self._telemetry.endpoint_gone(news.endpoint)
-        if news.unreadable:
-            self._roster.withhold(news.endpoint)
+        self._telemetry.endpoint_gone(update.endpoint)
+        if update.unreadable:
+            self._roster.withhold(update.endpoint)
         else:
-            self._roster.remove(news.endpoint, self._clock.now_ms())
-        self._told.pop(news.endpoint, None)
-        self._journal.add(news)
+            self._roster.remove(update.endpoint, self._clock.now_ms())
+        self._last_states.pop(update.endpoint, None)
+        self._journal.add(update)
 
-    def _read(
+    def _decode_record(
         self, record: KeyedRecord | UnreadableRecord
     ) -> EndpointEntry | EndpointNews:
-        """Return the entry in a record, or the news that there is none.
+        """Decode a record; return an update without an entry if it holds none.
 
-        Another writer may have left the record.  It names no endpoint to use, and hides
-        no other one.
+        The record may come from another writer. In that case it yields no usable
+        endpoint, and does not affect any other record.
         """
         if isinstance(record, UnreadableRecord):
             self._telemetry.record_unreadable('endpoints', record)
-            return _absence(record.offset, record.key or '', unreadable=True)
+            return _make_removal(record.offset, record.key or '', unreadable=True)
         if record.value is None:
-            return _absence(record.offset, record.key, unreadable=False)
+            return _make_removal(record.offset, record.key, unreadable=False)
         try:
             return self._decode(record.key, record.value)
         except TranslationError as error:
-            bad = UnreadableRecord(record.offset, record.key, error.message)
-            self._telemetry.record_unreadable('endpoints', bad)
-            return _absence(record.offset, record.key, unreadable=True)
+            unreadable = UnreadableRecord(record.offset, record.key, error.message)
+            self._telemetry.record_unreadable('endpoints', unreadable)
+            return _make_removal(record.offset, record.key, unreadable=True)
 
 
-def _absence(offset: int, endpoint: str, *, unreadable: bool) -> EndpointNews:
+def _make_removal(offset: int, endpoint: str, *, unreadable: bool) -> EndpointNews:
     return EndpointNews(offset, endpoint, gone=True, unreadable=unreadable)
--- a/savorychute/gateway/store/endpoint_news.py
+++ b/savorychute/gateway/store/endpoint_news.py
@@ -1,4 +1,4 @@
-"""A change of one endpoint's entry, as instances tell it to each other."""
+"""An update of one endpoint's entry, as exchanged between instances."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 class EndpointNews(NamedTuple):
     """The entry after the record at ``offset``; only its name if it is ``gone``.
 
-    ``unreadable`` goes with ``gone``: the newest entry cannot be read.  ``convinced``: the
-    run seems older than one before it, and went on reporting.
+    ``unreadable`` is set together with ``gone`` if the newest entry cannot be decoded.
+    ``convinced`` is set if the run seemed older than the previous one but continued to
+    report.
     """
 
     offset: int
@@ -45,10 +46,10 @@
         )
 
 
-def make_news(offset: int, entry: EndpointEntry) -> EndpointNews:
-    """Return the news of an entry.
+def make_endpoint_news(offset: int, entry: EndpointEntry) -> EndpointNews:
+    """Return an update with an entry.
 
-    :param offset: of the record that holds it.
+    :param offset: the offset of the record that holds the entry.
     :param entry: the entry.
     """
     return EndpointNews(
--- a/savorychute/gateway/store/instance_entry.py
+++ b/savorychute/gateway/store/instance_entry.py
@@ -1,4 +1,4 @@
-"""What an instance has written of itself in the platform's store."""
+"""The entries of instances in the platform's store."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 
     from savorychute.gateway.store.keyed_record import KeyedRecord
 
-# No instance can have this name: names begin with a letter or a digit.
+# No instance can have this name: names start with a letter or a digit.
 SECRET_KEY = '@secret'
 
 
 class InstanceEntry(NamedTuple):
-    """Where an instance is, or was.
+    """The current or last address of an instance.
 
-    ``left`` says that it has ended in order.  ``repeats`` is the most that it sends to any
-    service within the window of the retry bounds; None if nobody knows.
+    ``left`` is set once the instance has left gracefully. ``repeats`` is the largest
+    number of retries that it sends to any service within the window of the retry
+    limits; None if unknown.
     """
 
     address: MemberAddress
@@ -31,7 +32,7 @@
 
 
 class InstanceListing(NamedTuple):
-    """The entries of all instances, those of ones that ended among them."""
+    """The entries of all instances, including those that have ended."""
 
     entries: tuple[InstanceEntry, ...]
 
@@ -48,7 +49,7 @@
     def find(self, instance: str) -> InstanceEntry | None:
         """Return the entry of an instance, or None.
 
-        :param instance: its name.
+        :param instance: the name of the instance.
         """
         for entry in self.entries:
             if entry.address.instance == instance:
@@ -57,7 +58,7 @@
 
 
 def encode_entry(entry: InstanceEntry) -> bytes:
-    """Return an entry as a record's value.
+    """Encode an entry as the value of a record.
 
     :param entry: the entry.
     """
@@ -67,14 +68,14 @@
 def decode_listing(
     records: Iterable[KeyedRecord | UnreadableRecord],
 ) -> InstanceListing:
-    """Return the entries in some records; others are passed over.
+    """Decode the entries in some records; other records are ignored.
 
-    :param records: of the topic of instances.
+    :param records: records of the topic of instances.
     """
     entries = []
     for record in records:
         if isinstance(record, UnreadableRecord):
-            # Whatever wrote it, it is no instance that could be asked.
+            # It was not written by an instance, so there is no address to contact.
             continue
         if record.key == SECRET_KEY or record.value is None:
             continue
@@ -90,8 +91,9 @@
     except msgspec.DecodeError:
         pass
     try:
-        # Earlier versions wrote the address alone.
+        # Earlier versions wrote only the address.
         return InstanceEntry(msgspec.json.decode(value, type=MemberAddress))
     except msgspec.DecodeError:
-        # An instance of a later version may write more than this one reads.
+        # An instance of a later version may write an entry that this version cannot
+        # decode.
         return None
--- a/savorychute/gateway/store/keyed_topic.py
+++ b/savorychute/gateway/store/keyed_topic.py
@@ -1,4 +1,4 @@
-"""What a gateway needs of one keyed topic."""
+"""The interface of a keyed topic."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class KeyedTopic(Protocol):
-    """A log whose newest record of each key is kept for good.
+    """A log that keeps the newest record of each key forever.
 
-    Every method raises :class:`~savorychute.gateway.store.store_errors.StoreUnavailableError`
-    if the store does not answer in time or refuses the call.
+    Every method raises
+    :class:`~savorychute.gateway.store.store_errors.StoreUnavailableError` if the store
+    does not respond in time or refuses the call.
     """
 
     async def list_newest(self) -> TopicSnapshot:
@@ -23,11 +24,11 @@
         ...
 
     async def read_from(self, offset: int, wait_ms: int) -> TopicDelta:
-        """Return the records from an offset on; without any, wait for the first.
+        """Return the records from an offset on; if there are none, wait for the first.
 
-        :param offset: the first one wanted.
-        :param wait_ms: how long to wait.
-        :raises HistoryLostError: if they are no longer kept.
+        :param offset: the first offset to return.
+        :param wait_ms: the longest time to wait.
+        :raises HistoryLostError: if the records are no longer kept.
         """
         ...
 
@@ -38,13 +39,14 @@
         expected_end: int | None = None,
         fence: WriteFence | None = None,
     ) -> WriteReceipt:
-        """Append a record, and return where it stands.
+        """Append a record, and return its position.
 
-        :param key: the record's key.
+        :param key: the key of the record.
         :param value: its value, or None to remove the key.
-        :param expected_end: write only if the topic ends at this offset.
-        :param fence: write only if the store has taken no later write of this writer.
-        :raises WriteConflictError: if the topic ends elsewhere.
-        :raises WriteFencedError: if the store has taken a later one.
+        :param expected_end: if given, write only if the topic ends at this offset.
+        :param fence: if given, write only if the store has accepted no later write of
+            this writer.
+        :raises WriteConflictError: if the topic ends at a different offset.
+        :raises WriteFencedError: if the store has accepted a later write.
         """
         ...
--- a/savorychute/gateway/store/pace.py
+++ b/savorychute/gateway/store/read_timing.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 
-class Pace(NamedTuple):
-    """``wait_ms`` is how long a read waits for news, ``pause_ms`` is between reads."""
+class ReadTiming(NamedTuple):
+    """How long a read waits for updates, and the pause between two reads."""
 
     wait_ms: int
     pause_ms: int
--- a/savorychute/gateway/store/registration.py
+++ b/savorychute/gateway/store/registration.py
@@ -1,4 +1,4 @@
-"""This instance's entry among its peers, in the platform's store."""
+"""Registers this instance with its peers, in the platform's store."""
 
 from __future__ import annotations
 
@@ -31,20 +31,22 @@
     from savorychute.member_address import MemberAddress
 
 SECRET_BYTES = 32
-# One run writes its entry less often than the number that these bits hold.
-WRITE_BITS = 16
+# The number of bits for the sequence number of writes; one run writes its entry less
+# often.
+WRITE_NUMBER_BITS = 16
 
 
 class Registration:
-    """Enters, reads and removes the addresses of instances.
+    """Writes, reads and removes the entries of instances.
 
-    The settings name no peers and hold no shared secret.  Whoever may write to the
-    store is a peer, so the secret that signs messages between instances lies there
-    too.  The first instance writes it on the condition that nobody has written
-    meanwhile; the others use what they find.
+    The settings name no peers and contain no shared secret. Every instance that may
+    write to the store is a peer, so the store also holds the secret that signs messages
+    between instances. The first instance writes it on the condition that the topic has
+    not changed meanwhile; the others use it.
 
-    :param topic: where instances register.
-    :param address: this instance; its incarnation is set when it registers.
+    :param topic: the topic of instances.
+    :param address: the address of this instance; its incarnation is set on
+        registration.
     :param count_call: counts each call to the store.
     """
 
@@ -58,29 +60,30 @@
         self._count_call = count_call
         self.address = address
         self.keys: PeerKeys | None = None
-        # Of the store when this instance entered last.
+        # The era of the store in which this instance last wrote its entry.
         self.era = 0
-        # What the entry says of the repeats of this run, and said of the one before.
-        self.repeats: float | None = None
-        self.inherited: float | None = None
+        # The retry limit in the entry of this run, and in that of the previous run.
+        self.retry_limit: float | None = None
+        self.inherited_limit: float | None = None
         self._has_listed = False
         self._writes = 0
-        # All instances, as they were when this one registered.
+        # The entries of all instances at the time of registration.
         self.listing = InstanceListing(())
 
     async def register(self, inherit: Callable[[float | None], float | None]) -> None:
-        """Enter this instance with a larger incarnation than any run before it.
-
-        The incarnation is the era of the store and the offset at which the topic ended in
-        it, which only grow.  The time of day may jump back, and the entry of the run
-        before is gone if it left in order; with its incarnation peers would take this
-        run's messages for repetitions and ignore them.  The offset alone goes back with a
-        store that comes back from an older copy.
-
-        :param inherit: is told the most that earlier runs can have sent to a service within
-            the window of the retry bounds (None if nobody knows), and returns the same of
-            this run.
-        :raises StoreUnavailableError: if the store does not answer.
+        """Register this instance with a larger incarnation than any earlier run.
+
+        The incarnation consists of the era of the store and the offset at which the
+        topic ended, which together only grow. The time of day may jump back, and the
+        entry of the previous run is gone if it left gracefully. With the incarnation of
+        an earlier run, peers would take the messages of this run for duplicates and
+        ignore them. The offset alone goes back when the store is restored from an older
+        copy.
+
+        :param inherit: called with the largest number of retries that earlier runs can
+            have sent to a service within the window of the retry limits (None if
+            unknown); returns the retry limit of this run.
+        :raises StoreUnavailableError: if the store does not respond.
         """
         snapshot = await self._list_with_secret()
         self.keys = _find_secret(snapshot.records)
@@ -88,15 +91,16 @@
         self.address = self.address._replace(incarnation=incarnation)
         self.era = snapshot.era
         self.listing = decode_listing(snapshot.records)
-        self._take_inheritance(snapshot)
-        self.repeats = inherit(self.inherited)
-        await self.enter()
+        self._read_inherited_limit(snapshot)
+        self.retry_limit = inherit(self.inherited_limit)
+        await self.write_entry()
 
-    def _take_inheritance(self, snapshot: TopicSnapshot) -> None:
-        """Take in what earlier runs may have sent to a service within the last window.
+    def _read_inherited_limit(self, snapshot: TopicSnapshot) -> None:
+        """Read how many retries earlier runs may have sent within the last window.
 
-        An entry of an earlier era of the store may have been followed by others that the
-        store has lost.  What this run finds when it tries again may be its own entry.
+        An entry of an earlier era is ignored, because it may have been followed by
+        other entries that the store has lost. Only the first attempt to register
+        counts, because a later one may find this run's own entry.
         """
         if self._has_listed:
             return
@@ -105,15 +109,15 @@
         if entry is None:
             return
         if entry.address.incarnation >= number_in_era(snapshot.era, 0):
-            self.inherited = entry.repeats
+            self.inherited_limit = entry.repeats
 
     async def _list_with_secret(self, secret: bytes | None = None) -> TopicSnapshot:
-        """Return a listing that holds a secret; write one if there is none.
+        """Return a listing that contains a secret; write one if there is none.
 
-        Each try lists anew.  Where the answer to the entry's write was lost, nothing of
-        the try before is left to rely on.
+        Each attempt lists the topic again: if the response to the write of the entry
+        was lost, state of the earlier attempt is not reliable.
 
-        :param secret: to be written; None for a new one.
+        :param secret: the secret to write; None for a new one.
         """
         while True:
             snapshot = await self._list()
@@ -127,29 +131,31 @@
                     snapshot.next_offset,
                 )
             except WriteConflictError:
-                # Another instance was first, and the next listing shows its secret.
+                # Another instance wrote first, and the next listing contains its
+                # secret.
                 continue
 
     async def _list(self) -> TopicSnapshot:
         self._count_call(CallPurpose.REGISTER)
         return await self._topic.list_newest()
 
-    async def enter(self) -> None:
-        """Write this instance's entry."""
+    async def write_entry(self) -> None:
+        """Write the entry of this instance."""
         await self._write(
-            InstanceEntry(self.address, repeats=self.repeats), CallPurpose.REGISTER
+            InstanceEntry(self.address, repeats=self.retry_limit), CallPurpose.REGISTER
         )
 
-    async def allow_repeats(self, repeats: float) -> None:
-        """Write how many repeats this run sends at most from now on.
+    async def write_retry_limit(self, retry_limit: float) -> None:
+        """Write the largest number of retries that this run sends from now on.
 
-        :param repeats: to any service within the window of the retry bounds.
-        :raises StoreUnavailableError: if the store does not answer; the entry may say
-            either number then.
+        :param retry_limit: the retries to any service within the window of the retry
+            limits.
+        :raises StoreUnavailableError: if the store does not respond; the entry may then
+            contain the old or the new number.
         """
-        self.repeats = repeats
+        self.retry_limit = retry_limit
         await self._write(
-            InstanceEntry(self.address, repeats=repeats), CallPurpose.ALLOW_REPEATS
+            InstanceEntry(self.address, repeats=retry_limit), CallPurpose.ALLOW_REPEATS
         )
 
     async def list_instances(self) -> InstanceListing:
@@ -158,14 +164,14 @@
         snapshot = await self._topic.list_newest()
         return decode_listing(snapshot.records)
 
-    async def enter_again(self) -> InstanceListing:
+    async def restore_entry(self) -> InstanceListing:
         """Write again what an older copy of the store lacks; return all entries.
 
         An instance that has started meanwhile may have found no secret and written
-        another.  That one is used from now on, and the one before is still accepted, until
-        all others have read the new one as well.
+        another one. That secret is used from now on. The previous one is still accepted
+        until all other instances have read the new one.
 
-        :raises StoreUnavailableError: if the store does not answer.
+        :raises StoreUnavailableError: if the store does not respond.
         """
         assert self.keys is not None
         snapshot = await self._list_with_secret(self.keys.signing.secret)
@@ -175,36 +181,37 @@
             self.keys = PeerKeys(found.signing, (self.keys.signing,))
         listing = decode_listing(snapshot.records)
         if self.address not in listing.live:
-            await self.enter()
+            await self.write_entry()
         self.era = snapshot.era
         return listing
 
-    async def leave(self, repeats: float | None) -> None:
-        """Write that this run ends in order.
+    async def leave(self, retry_limit: float | None) -> None:
+        """Write that this run ends gracefully.
 
-        :param repeats: the most that it sends to any service within the window of the
-            retry bounds; None if it does not know.
-        :raises StoreUnavailableError: if the store does not answer.
+        :param retry_limit: the largest number of retries that it sends to any service
+            within the window of the retry limits; None if unknown.
+        :raises StoreUnavailableError: if the store does not respond.
         """
-        entry = InstanceEntry(self.address, left=True, repeats=repeats)
+        entry = InstanceEntry(self.address, left=True, repeats=retry_limit)
         await self._write(entry, CallPurpose.LEAVE)
 
     async def _write(self, entry: InstanceEntry, purpose: CallPurpose) -> None:
-        """Write an entry that no earlier one can replace.
+        """Write an entry that no earlier write can replace.
 
-        The store may take a write late that was not answered.  The next run would be taken
-        for an earlier one then, with more repeats than it has told.
+        The store may execute a write late after it did not respond. Without the fence,
+        such a write of a previous run could replace the entry of the current one, whose
+        retry limit may be larger.
         """
         self._count_call(purpose)
         self._writes += 1
-        number = (self.address.incarnation << WRITE_BITS) + self._writes
+        number = (self.address.incarnation << WRITE_NUMBER_BITS) + self._writes
         fence = WriteFence(self.address.instance, number)
         await self._topic.write(self.address.instance, encode_entry(entry), fence=fence)
 
     async def remove(self, instance: str) -> None:
-        """Remove the entry of an instance that does not come back.
+        """Remove the entry of an instance that will not return.
 
-        :param instance: its name.
+        :param instance: the name of the instance.
         """
         self._count_call(CallPurpose.LEAVE)
         await self._topic.write(instance, None)
@@ -220,5 +227,5 @@
 
 
 def _key_id(secret: bytes) -> int:
-    """Return a number that tells two secrets apart."""
+    """Return an identifier that distinguishes two secrets."""
     return 1 + xxhash.xxh3_64_intdigest(secret) % MAX_KEY_ID
--- a/savorychute/gateway/store/store_access.py
+++ b/savorychute/gateway/store/store_access.py
@@ -1,4 +1,4 @@
-"""How an instance reaches the platform's store."""
+"""Access to the platform's store."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class StoreAccess(NamedTuple):
-    """Connections to the store, and where the era of its answers is noted.
+    """Connections to the store, and the record of its newest era.
 
-    ``timeout_ms`` is for how long the store may be silent.
+    ``timeout_ms`` is the longest time that the store may take to respond.
     """
 
     pool: ClientPool
--- a/savorychute/gateway/store/store_answer.py
+++ b/savorychute/gateway/store/store_answer.py
@@ -1,4 +1,4 @@
-"""What an instance has read of the store, and how old that is."""
+"""What an instance has read from the store, and its age."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 @peer_message(92)
 class StoreAnswer(NamedTuple):
-    """The answer to the question with the same sequence number.
+    """The response to the query with the same sequence number.
 
-    Ages are counted when the answer is written.  ``endpoint_offset`` is -1 if the
-    changes that were asked for are not all known; offsets are of an ``era`` of the store.
+    Ages are as of the time when the response was created. ``endpoint_offset`` is -1 if
+    some of the requested changes are unknown; offsets belong to an ``era`` of the
+    store.
     """
 
     sequence: int
--- a/savorychute/gateway/store/store_errors.py
+++ b/savorychute/gateway/store/store_errors.py
@@ -1,4 +1,4 @@
-"""How a call to the platform's store fails."""
+"""Errors of calls to the platform's store."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 class StoreUnavailableError(SavorychuteError):
-    """The store did not answer, or refused the call; it may have taken effect."""
+    """The store did not respond or refused the call; it may still have taken effect."""
 
     code = ResultCode.LOG_UNAVAILABLE
 
 
 class HistoryLostError(SavorychuteError):
-    """The records from the offset on are no longer kept; list the topic anew."""
+    """The records from the offset on are no longer kept; list the topic again."""
 
     code = ResultCode.LOG_UNAVAILABLE
 
@@ -25,4 +25,4 @@
 
 
 class WriteFencedError(StoreUnavailableError):
-    """The store has taken a later write of this writer; nothing was written."""
+    """The store has accepted a later write of this writer; nothing was written."""
--- a/savorychute/gateway/store/store_question.py
+++ b/savorychute/gateway/store/store_question.py
@@ -1,4 +1,4 @@
-"""A question for what another instance has read."""
+"""A query for the state that another instance has read."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @peer_message(91)
 class StoreQuestion(NamedTuple):
-    """Ask for changes of endpoints from an offset on; -1 asks for none.
+    """Request the changes of endpoints from an offset on; -1 requests none.
 
-    The offset is of an ``era`` of the store.
+    The offset belongs to an ``era`` of the store.
     """
 
     sequence: int
--- a/savorychute/gateway/store/topic_delta.py
+++ b/savorychute/gateway/store/topic_delta.py
@@ -10,9 +10,10 @@
 
 
 class TopicDelta(NamedTuple):
-    """What was written from an offset on, up to ``next_offset``.
+    """The records from an offset on, up to ``next_offset``.
 
-    ``end`` is where the topic ended then, 0 if that is not known; ``era`` is the store's.
+    ``end`` is the end of the topic at that time, 0 if unknown; ``era`` is the era of
+    the store.
     """
 
     records: tuple[KeyedRecord | UnreadableRecord, ...]
@@ -21,6 +22,6 @@
     era: int = 0
 
     @property
-    def left(self) -> int:
-        """How many more records the topic is known to hold."""
+    def remaining(self) -> int:
+        """The known number of records after these."""
         return max(0, self.end - self.next_offset)
--- a/savorychute/gateway/store/topic_snapshot.py
+++ b/savorychute/gateway/store/topic_snapshot.py
@@ -12,8 +12,8 @@
 class TopicSnapshot(NamedTuple):
     """The newest record of each key.
 
-    Reading on from ``next_offset`` misses nothing; it may show again what the
-    snapshot holds already.  ``era`` is the store's.
+    Reading from ``next_offset`` misses nothing; it may return records again that the
+    snapshot already contains. ``era`` is the era of the store.
     """
 
     records: tuple[KeyedRecord | UnreadableRecord, ...]
--- a/savorychute/gateway/store/unreadable_record.py
+++ b/savorychute/gateway/store/unreadable_record.py
@@ -1,4 +1,4 @@
-"""A record of a topic that cannot be read."""
+"""A record of a topic that cannot be decoded."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class UnreadableRecord(NamedTuple):
-    """Where it stands, its key if that can be had, and what is wrong.
+    """The position of the record, its key if known, and the reason.
 
-    ``offset`` is -1 if the listing that shows it does not tell.
+    ``offset`` is -1 if the listing does not state it.
     """
 
     offset: int
--- a/savorychute/gateway/store/write_fence.py
+++ b/savorychute/gateway/store/write_fence.py
@@ -1,4 +1,4 @@
-"""An order of the writes of one writer."""
+"""The order of the writes of one writer."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class WriteFence(NamedTuple):
-    """Who writes, and the number of the write among all of this writer.
+    """The name of a writer, and the sequence number of its write.
 
-    The store refuses a write with a smaller number than one that it has taken, so a write
-    that it executes late cannot replace a later one.
+    The store refuses a write whose number is smaller than one it has accepted, so a
+    write that it executes late cannot replace a later one.
     """
 
     writer: str
--- a/savorychute/gateway/store/write_receipt.py
+++ b/savorychute/gateway/store/write_receipt.py
@@ -1,4 +1,4 @@
-"""The proof that a record was written."""
+"""The confirmation that a record was written."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WriteReceipt(NamedTuple):
-    """Where a record stands, and in which era of the store."""
+    """The position of a record, and the era of the store."""
 
     offset: int
     era: int
--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -7,7 +7,7 @@
 from savorychute.gateway.endpoints.engine_load import EngineLoad
 from savorychute.gateway.log_budget import LogBudget
 from savorychute.gateway.log_word import WORD_CHARS, make_word
-from savorychute.gateway.store.call_meter import CallMeter
+from savorychute.gateway.store.store_call_counter import StoreCallCounter
 from savorychute.logs import LogLevel
 
 if TYPE_CHECKING:
@@ -51,7 +51,7 @@
     def __init__(self, log: InstanceLog, metrics: Metrics, clock: Clock) -> None:
         self.log = log
         self.metrics = metrics
-        self.calls = CallMeter(metrics)
+        self.calls = StoreCallCounter(metrics)
         self._budget = LogBudget(clock)
         self._lost: set[str] = set()
         self._unreadable: dict[tuple[str, int, str | None], None] = {}
--- a/tests/test_duties/duty_simulation.py
+++ b/tests/test_duties/duty_simulation.py
@@ -142,7 +142,7 @@
     async def list_newest(self):
         await self.reach_store()
         newest = {each.key: each for each in self._store.records}
-        self._store_era.note(self._store.era)
+        self._store_era.record(self._store.era)
         end = len(self._store.records)
         return TopicSnapshot(tuple(newest.values()), end, self._store.era)
 
@@ -152,7 +152,7 @@
         if offset == len(store.records):
             await store.wait_until_written(wait_ms)
             await self.reach_store()
-        self._store_era.note(store.era)
+        self._store_era.record(store.era)
         if offset > len(store.records) or offset < store.first_offset:
             raise HistoryLostError('records are no longer kept')
         records = tuple(store.records[offset:])
@@ -167,14 +167,14 @@
                 self._append_late(key, value, expected_end)
             )
             await sleep_ms(STORE_TIMEOUT_MS)
-            raise StoreUnavailableError('no answer')
+            raise StoreUnavailableError('no response')
         try:
             receipt = store.append(key, value, expected_end)
         finally:
-            self._store_era.note(store.era)
+            self._store_era.record(store.era)
         if rng.random() < store.faults.lost:
             await sleep_ms(STORE_TIMEOUT_MS)
-            raise StoreUnavailableError('no answer')
+            raise StoreUnavailableError('no response')
         await self._connection.until_resumed()
         return receipt
 
--- a/tests/test_duties/test_duty_claims.py
+++ b/tests/test_duties/test_duty_claims.py
@@ -27,7 +27,7 @@
 def make_claims(*records, era=2):
     """Return claims that have read a snapshot."""
     store_era = StoreEra()
-    store_era.note(era)
+    store_era.record(era)
     claims = DutyClaims('k0', DUTY_LEASE, random.Random(1), store_era)
     claims.apply_snapshot(TopicSnapshot(records, 20, era), NOW_MS, TRUE_MS)
     return claims, store_era
@@ -57,7 +57,7 @@
 
 def test_report_read_in_its_own_era_stays_settled():
     claims, store_era = make_claims(make_settled_record(1), era=1)
-    store_era.note(2)
+    store_era.record(2)
     claims.apply_snapshot(TopicSnapshot((), 5, 2), NOW_MS, TRUE_MS)
 
     assert claims.records.settled_report(REPORT.window) == REPORT
@@ -97,7 +97,7 @@
 
 def test_duties_are_not_held_in_an_era_not_read_yet():
     claims, store_era = make_claims(era=1)
-    store_era.note(2)
+    store_era.record(2)
 
     assert claims.fencing_number(NOW_MS) is None
     assert not claims.tick(NOW_MS + 10_000, should_hold=True)
--- a/tests/test_gateway/memory_topic.py
+++ b/tests/test_gateway/memory_topic.py
@@ -1,4 +1,4 @@
-"""The topic of instances, in memory."""
+"""An in-memory topic of instances."""
 
 from __future__ import annotations
 
@@ -15,17 +15,20 @@
 
 
 class MemoryTopic:
-    """A topic in memory; ``lose`` writes take effect and are not answered."""
+    """A topic in memory.
 
-    def __init__(self, lose=0):
+    The first ``responses_to_lose`` writes take effect without a response.
+    """
+
+    def __init__(self, responses_to_lose=0):
         self.records = []
         self.fences = {}
-        self.lose = lose
+        self.responses_to_lose = responses_to_lose
         self.era = 1
 
-    def go_back(self, records):
-        """Hold the first records only."""
-        del self.records[records:]
+    def restore_older_copy(self, count):
+        """Keep only the first records."""
+        del self.records[count:]
         self.era += 1
 
     async def list_newest(self):
@@ -40,13 +43,13 @@
                 raise WriteFencedError('a later write was taken')
             self.fences[fence.writer] = fence.number
         self.records.append(KeyedRecord(len(self.records), key, value))
-        if self.lose:
-            self.lose -= 1
-            raise StoreUnavailableError('no answer')
+        if self.responses_to_lose:
+            self.responses_to_lose -= 1
+            raise StoreUnavailableError('no response')
 
     def count(self, key):
         return sum(record.key == key for record in self.records)
 
 
-def count_nothing(purpose):
-    """Take the purpose of a call, and do nothing."""
+def ignore_call(purpose):
+    """Ignore the purpose of a call."""
--- a/tests/test_gateway/repeat_rig.py
+++ b/tests/test_gateway/repeat_rig.py
@@ -5,7 +5,7 @@
 from bisect import bisect_left, bisect_right
 from contextlib import suppress
 
-from memory_topic import count_nothing
+from memory_topic import ignore_call
 
 from savorychute.clock import MS_PER_S
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance, RetryBounds
@@ -86,7 +86,7 @@
         self.frozen = False
         self.leaving = False
         address = MemberAddress(name, 0, 'kerala', 'kochi', '10.0.0.1', 80, 70)
-        self.registration = Registration(fleet.topic, address, count_nothing)
+        self.registration = Registration(fleet.topic, address, ignore_call)
         self.allowance = RetryAllowance(fleet.bounds, self._now_ms())
         self.sharers = SlackSharers()
         self.registered = False
@@ -108,7 +108,7 @@
 
     def notice_era(self):
         if self.registered and self.registration.era != self._fleet.topic.era:
-            complete(self.registration.enter_again())
+            complete(self.registration.restore_entry())
 
     def leave(self):
         self.leaving = True
@@ -134,7 +134,7 @@
         if change is None:
             return
         self.allowance.cap.change_begins(change)
-        if complete(self.registration.allow_repeats(change)):
+        if complete(self.registration.write_retry_limit(change)):
             self.allowance.cap.change_is_known(change)
 
     def _now_ms(self):
--- a/tests/test_gateway/test_configuration_listener.py
+++ b/tests/test_gateway/test_configuration_listener.py
@@ -1,4 +1,4 @@
-"""Tests of what a read of the configuration proves."""
+"""Tests of when a read confirms the configuration."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from savorychute.gateway.store.topic_delta import TopicDelta
 from savorychute.gateway.store.topic_snapshot import TopicSnapshot
 
-TRUST_MS = 4_500
+KEY_TRUST_MS = 4_500
 
 
 def make_listener():
-    state = ConfigurationState(TRUST_MS, 2_000)
+    state = ConfigurationState(KEY_TRUST_MS, 2_000)
     listener = ConfigurationListener(
         state,
         SimpleNamespace(failing_topics=set()),
@@ -28,33 +28,33 @@
     return state, listener
 
 
-def listen(*reads):
-    """Return the state after some reads that began at the same time."""
+def apply_reads(*reads):
+    """Return the state after some reads that started at the same time."""
     state, listener = make_listener()
     for read in reads:
         if isinstance(read, TopicSnapshot):
-            listener.topic_listed(read, START_MS)
+            listener.on_snapshot(read, START_MS)
         else:
-            listener.topic_changed(read, START_MS)
+            listener.on_delta(read, START_MS)
     return state
 
 
-def test_version_with_others_behind_it_is_not_confirmed():
-    """A key that was taken back and went on being accepted.
+def test_version_followed_by_unread_records_is_not_confirmed():
+    """Guards against a revoked key that is still accepted.
 
-    A read brings one of three large versions.  The last one takes a key back, and the
-    instance took the first for the newest as of that read.
+    A read returns one of three large versions, the last of which revokes a key. The
+    first one must not count as the newest version as of that read.
     """
-    state = listen(TopicDelta((KeyedRecord(1, 'config', b'2'),), 2, 4))
+    state = apply_reads(TopicDelta((KeyedRecord(1, 'config', b'2'),), 2, 4))
 
     assert state.version == 2
     assert not state.trusts_keys(START_MS)
 
 
-def test_version_that_a_read_shows_to_be_the_last_is_confirmed():
-    state = listen(TopicDelta((KeyedRecord(1, 'config', b'2'),), 2, 2))
+def test_last_version_of_the_topic_is_confirmed():
+    state = apply_reads(TopicDelta((KeyedRecord(1, 'config', b'2'),), 2, 2))
 
-    assert state.trusts_keys(START_MS + TRUST_MS)
+    assert state.trusts_keys(START_MS + KEY_TRUST_MS)
 
 
 def make_snapshot(version):
@@ -62,26 +62,25 @@
 
 
 def test_older_copy_of_the_store_confirms_nothing():
-    """A key that the lost version took back, accepted for as long as the copy was read.
+    """Guards against a revoked key that is accepted while an older copy is read.
 
-    The store comes back from a copy with version 2 while 3 is in force.  There may have been
-    a version 4, which the operator has not written again yet.
+    The store is restored from a copy with version 2 while version 3 is applied. A
+    version 4 that revoked the key may have existed, which the operator has not written
+    again yet.
     """
     state, listener = make_listener()
-    listener.topic_listed(make_snapshot(3), START_MS)
-    later_ms = START_MS + TRUST_MS
+    listener.on_snapshot(make_snapshot(3), START_MS)
+    later_ms = START_MS + KEY_TRUST_MS
 
-    listener.topic_listed(make_snapshot(2), later_ms)
-    listener.topic_changed(TopicDelta((), 9, 9), later_ms)
+    listener.on_snapshot(make_snapshot(2), later_ms)
+    listener.on_delta(TopicDelta((), 9, 9), later_ms)
 
     assert state.confirmed_ms == START_MS
-    listener.topic_changed(
-        TopicDelta((KeyedRecord(9, 'config', b'3'),), 10, 10), later_ms
-    )
+    listener.on_delta(TopicDelta((KeyedRecord(9, 'config', b'3'),), 10, 10), later_ms)
     assert state.confirmed_ms == later_ms
 
 
-def test_version_in_force_stays_when_the_store_shows_an_older_one():
-    state = listen(make_snapshot(3), make_snapshot(2))
+def test_applied_version_is_kept_when_the_store_returns_an_older_one():
+    state = apply_reads(make_snapshot(3), make_snapshot(2))
 
     assert state.version == 3
--- a/tests/test_gateway/test_entry_keeper.py
+++ b/tests/test_gateway/test_entry_keeper.py
@@ -7,7 +7,7 @@
 
 import pytest
 from gateway_fakes import make_telemetry
-from memory_topic import OWN, MemoryTopic, count_nothing
+from memory_topic import OWN, MemoryTopic, ignore_call
 
 from savorychute.clock import MS_PER_S
 from savorychute.gateway.daemon.entry_keeper import EntryKeeper
@@ -41,7 +41,7 @@
         self.topic = DownTopic()
         self.allowance = RetryAllowance(BOUNDS, clock.now_ms())
         self.keeper = EntryKeeper(
-            Registration(self.topic, OWN, count_nothing),
+            Registration(self.topic, OWN, ignore_call),
             self.allowance,
             clock,
             random.Random(1),
--- a/tests/test_gateway/test_registration.py
+++ b/tests/test_gateway/test_registration.py
@@ -6,7 +6,7 @@
 
 import msgspec
 import pytest
-from memory_topic import OWN, MemoryTopic, count_nothing
+from memory_topic import OWN, MemoryTopic, ignore_call
 
 from savorychute.gateway.store.instance_entry import SECRET_KEY
 from savorychute.gateway.store.registration import Registration
@@ -16,24 +16,24 @@
 )
 
 
-def keep(inherited):
-    """Say of this run what was said of the one before."""
+def keep_limit(inherited):
+    """Use the retry limit of the previous run for this one."""
     return inherited
 
 
 def register(topic, address=OWN):
-    registration = Registration(topic, address, count_nothing)
-    asyncio.run(registration.register(keep))
+    registration = Registration(topic, address, ignore_call)
+    asyncio.run(registration.register(keep_limit))
     return registration
 
 
-def test_secret_whose_write_was_not_answered_is_not_written_again():
-    """Two halves that did not understand each other.
+def test_secret_is_not_rewritten_after_a_lost_response():
+    """Guards against two groups of instances with different secrets.
 
-    The write of the secret takes effect and its answer is lost.  Another instance uses
-    it at once; a second secret would replace it.
+    The write of the secret takes effect and its response is lost. Another instance uses
+    the secret at once; a second secret would replace it.
     """
-    topic = MemoryTopic(lose=1)
+    topic = MemoryTopic(responses_to_lose=1)
     with pytest.raises(StoreUnavailableError):
         register(topic)
 
@@ -45,12 +45,12 @@
 
 
 @pytest.mark.parametrize('leaves', [True, False])
-def test_incarnation_is_larger_at_each_start(leaves):
-    """An instance that its peers ignored.
+def test_incarnation_grows_at_each_start(leaves):
+    """Guards against a restarted instance that its peers ignore.
 
-    It left in order, so its entry was removed, and started again.  With the incarnation
-    of its first run, peers took all of its messages for repetitions: its questions were
-    not answered, and a new configuration reached it 2.5 s late.
+    An instance leaves gracefully, so its entry is removed, and starts again. With the
+    incarnation of its first run, peers would take all of its messages for duplicates:
+    its queries get no response, and a new configuration reaches it 2.5 s late.
     """
     topic = MemoryTopic()
     seen = []
@@ -63,101 +63,101 @@
     assert seen == sorted(set(seen))
 
 
-def test_entry_whose_write_was_not_answered_is_written_again():
-    """An instance that its peers never heard of.
+def test_entry_is_rewritten_after_a_lost_response():
+    """Guards against an instance that is unknown to its peers.
 
-    The store is short of answers when an instance starts: the listing comes, the answer
-    to its entry's write is lost.  The second try has the secret already and must not
-    rely on anything that only the first one read.
+    When an instance starts, the listing succeeds, but the response to the write of its
+    entry is lost. The second attempt finds the secret and must not rely on anything
+    that only the first attempt read.
     """
     topic = MemoryTopic()
     register(topic, OWN._replace(instance='k1'))
-    topic.lose = 1
-    registration = Registration(topic, OWN, count_nothing)
+    topic.responses_to_lose = 1
+    registration = Registration(topic, OWN, ignore_call)
     with pytest.raises(StoreUnavailableError):
-        asyncio.run(registration.register(keep))
+        asyncio.run(registration.register(keep_limit))
 
-    asyncio.run(registration.register(keep))
+    asyncio.run(registration.register(keep_limit))
 
     assert registration.address.incarnation > 0
     assert [each.instance for each in registration.listing.live] == ['k1', 'k0']
 
 
-def test_incarnation_is_larger_after_the_store_went_back():
-    """A restarted instance that its peers ignored.
+def test_incarnation_grows_after_an_older_copy_is_restored():
+    """Guards against a restarted instance that its peers ignore.
 
-    The store comes back from a copy that is shorter than the topic was when the instance
-    started first, so by the offset alone its second run looks older.
+    The store is restored from a copy that is shorter than the topic was when the
+    instance first started, so by the offset alone its second run would seem older.
     """
     topic = MemoryTopic()
     for number in range(5):
         register(topic, OWN._replace(instance=f'k{number + 1}'))
     first = register(topic).address.incarnation
-    topic.go_back(3)
+    topic.restore_older_copy(3)
 
     assert register(topic).address.incarnation > first
 
 
-def test_entry_and_secret_that_a_copy_lacks_are_written_again():
+def test_entry_and_secret_missing_from_a_copy_are_rewritten():
     topic = MemoryTopic()
     registration = register(topic)
     keys = registration.keys
-    topic.go_back(0)
+    topic.restore_older_copy(0)
 
-    live = asyncio.run(registration.enter_again())
+    listing = asyncio.run(registration.restore_entry())
 
     assert registration.keys == keys
-    assert live.entries == ()
+    assert listing.entries == ()
     assert topic.count(SECRET_KEY) == 1
     assert [each.instance for each in register(topic).listing.live] == ['k0']
 
 
-def test_secret_that_another_instance_wrote_meanwhile_is_used():
-    """Two halves that did not understand each other.
+def test_secret_written_by_another_instance_meanwhile_is_used():
+    """Guards against two groups of instances with different secrets.
 
-    The copy is from before the first start, and an instance that starts finds no secret.
+    The copy is older than the first start, so a newly started instance finds no secret.
     """
     topic = MemoryTopic()
     old = register(topic)
     before = old.keys.signing
-    topic.go_back(0)
+    topic.restore_older_copy(0)
     new = register(topic, OWN._replace(instance='k1'))
 
-    asyncio.run(old.enter_again())
+    asyncio.run(old.restore_entry())
 
     assert old.keys.signing == new.keys.signing
     assert old.keys.find(before.key_id) == before
     assert before.key_id != new.keys.signing.key_id
 
 
-def test_run_knows_what_the_one_before_said():
+def test_run_inherits_the_retry_limit_of_the_previous_run():
     topic = MemoryTopic()
     first = register(topic)
-    asyncio.run(first.allow_repeats(9))
+    asyncio.run(first.write_retry_limit(9))
     second = register(topic)
     asyncio.run(second.leave(4))
 
-    assert first.inherited is None
-    assert second.inherited == 9
-    assert register(topic).inherited == 4
+    assert first.inherited_limit is None
+    assert second.inherited_limit == 9
+    assert register(topic).inherited_limit == 4
 
 
-def test_entry_of_a_first_try_is_not_taken_for_that_of_the_run_before():
-    """Guards against a run that believes its own word in place of an earlier one."""
+def test_entry_of_a_failed_registration_is_not_inherited():
+    """Guards against a run that inherits the limit of its own earlier attempt."""
     topic = MemoryTopic()
-    asyncio.run(register(topic).allow_repeats(9))
-    topic.lose = 1
-    registration = Registration(topic, OWN, count_nothing)
+    asyncio.run(register(topic).write_retry_limit(9))
+    topic.responses_to_lose = 1
+    registration = Registration(topic, OWN, ignore_call)
     with pytest.raises(StoreUnavailableError):
         asyncio.run(registration.register(lambda inherited: inherited - 5))
 
-    asyncio.run(registration.register(keep))
+    asyncio.run(registration.register(keep_limit))
 
-    assert registration.inherited == 9
+    assert registration.inherited_limit == 9
 
 
-def test_instance_that_left_is_no_address_and_still_a_name():
-    """Guards against a bound that is divided by too few while instances restart."""
+def test_instance_that_left_keeps_its_name_in_the_listing():
+    """Guards against a limit that is divided by too few instances during restarts."""
     topic = MemoryTopic()
     asyncio.run(register(topic).leave(0))
     listing = register(topic, OWN._replace(instance='k1')).listing
@@ -166,38 +166,38 @@
     assert listing.names == {'k0'}
 
 
-def test_word_of_an_earlier_era_of_the_store_does_not_count():
-    """Guards against the word of a run after which the store has lost another one."""
+def test_retry_limit_of_an_earlier_era_is_not_inherited():
+    """Guards against the entry of a run whose successor's entry the store has lost."""
     topic = MemoryTopic()
     asyncio.run(register(topic).leave(0))
     register(topic)
-    topic.go_back(3)
+    topic.restore_older_copy(3)
 
-    assert register(topic).inherited is None
+    assert register(topic).inherited_limit is None
 
 
-def test_word_that_the_store_takes_in_late_does_not_replace_a_later_one():
-    """Guards against a run that is taken for an earlier one with fewer repeats."""
+def test_delayed_write_does_not_replace_a_later_entry():
+    """Guards against inheriting the smaller retry limit of an earlier run."""
     topic = MemoryTopic()
     first = register(topic)
-    write, late = topic.write, []
+    write, delayed_writes = topic.write, []
 
-    async def hold(key, value, expected_end=None, fence=None):
-        late.append((key, value, expected_end, fence))
-        raise StoreUnavailableError('no answer')
+    async def delay_write(key, value, expected_end=None, fence=None):
+        delayed_writes.append((key, value, expected_end, fence))
+        raise StoreUnavailableError('no response')
 
-    topic.write = hold
+    topic.write = delay_write
     with pytest.raises(StoreUnavailableError):
         asyncio.run(first.leave(0))
     topic.write = write
-    asyncio.run(register(topic).allow_repeats(9))
+    asyncio.run(register(topic).write_retry_limit(9))
     with pytest.raises(WriteFencedError):
-        asyncio.run(topic.write(*late[0]))
+        asyncio.run(topic.write(*delayed_writes[0]))
 
-    assert register(topic).inherited == 9
+    assert register(topic).inherited_limit == 9
 
 
-def test_entry_of_an_earlier_version_is_read():
+def test_entry_of_an_earlier_version_is_decoded():
     topic = MemoryTopic()
     value = msgspec.json.encode(OWN._replace(instance='k1'))
     asyncio.run(topic.write('k1', value))
--- a/tests/test_gateway/test_topic_follower.py
+++ b/tests/test_gateway/test_topic_follower.py
@@ -1,4 +1,4 @@
-"""Tests of following a topic through outages."""
+"""Tests of following a topic across outages."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from savorychute.clock import ManualClock
 from savorychute.gateway.metric_rows import GATEWAY_METRICS
-from savorychute.gateway.store.call_meter import CallMeter
 from savorychute.gateway.store.keyed_record import KeyedRecord
-from savorychute.gateway.store.pace import Pace
+from savorychute.gateway.store.read_timing import ReadTiming
+from savorychute.gateway.store.store_call_counter import StoreCallCounter
 from savorychute.gateway.store.store_errors import (
     HistoryLostError,
     StoreUnavailableError,
@@ -23,10 +23,10 @@
 
 
 class ScriptedTopic:
-    """Gives prepared answers, then waits for ever."""
+    """Returns prepared responses, then waits forever."""
 
-    def __init__(self, *answers):
-        self._answers = list(answers)
+    def __init__(self, *responses):
+        self._responses = list(responses)
         self.calls = []
 
     async def list_newest(self):
@@ -39,46 +39,46 @@
         return await self._next()
 
     async def _next(self):
-        if not self._answers:
+        if not self._responses:
             await asyncio.Event().wait()
-        answer = self._answers.pop(0)
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        response = self._responses.pop(0)
+        if isinstance(response, Exception):
+            raise response
+        return response
 
 
-class Heard:
-    """Keeps what the follower tells."""
+class RecordingListener:
+    """Records the calls of the follower."""
 
     def __init__(self):
         self.events = []
 
-    def topic_listed(self, snapshot, began_ms):
-        del began_ms
+    def on_snapshot(self, snapshot, started_ms):
+        del started_ms
         self.events.append(('listed', [record.key for record in snapshot.records]))
 
-    def topic_changed(self, delta, began_ms):
-        del began_ms
+    def on_delta(self, delta, started_ms):
+        del started_ms
         self.events.append(('changed', [record.key for record in delta.records]))
 
-    def topic_failed(self, error):
+    def on_failure(self, error):
         del error
         self.events.append(('failed', []))
 
 
 class OpenGate:
-    """Always reads on."""
+    """A gate that is always open."""
 
     def is_open(self):
         return True
 
-    def is_regular(self):
+    def reads_for_all(self):
         return True
 
-    def may_wait(self):
+    def can_wait(self):
         return True
 
-    def longest_retry_ms(self):
+    def max_retry_ms(self):
         return 500
 
     def next_offset(self, read):
@@ -86,34 +86,34 @@
 
 
 def follow(topic):
-    heard = Heard()
+    listener = RecordingListener()
     clock = ManualClock(START_MS)
-    meter = CallMeter(Metrics('k0', GATEWAY_METRICS))
+    counter = StoreCallCounter(Metrics('k0', GATEWAY_METRICS))
     follower = TopicFollower(
         topic,
-        Pace(0, 0),
+        ReadTiming(0, 0),
         OpenGate(),
-        heard,
+        listener,
         clock,
         random.Random(1),
-        meter.topic('endpoints'),
+        counter.counter_for('endpoints'),
     )
 
     async def run():
         task = asyncio.create_task(follower.run())
         for _ in range(200):
             await asyncio.sleep(0.002)
-            if not topic._answers and topic.calls:
+            if not topic._responses and topic.calls:
                 break
         await asyncio.sleep(0.002)
         task.cancel()
 
     asyncio.run(run())
-    heard.calls = meter.summary()
-    return heard
+    listener.calls = counter.summary()
+    return listener
 
 
-def test_reading_goes_on_from_the_end_of_the_listing():
+def test_reading_continues_from_the_end_of_the_listing():
     topic = ScriptedTopic(
         TopicSnapshot((KeyedRecord(3, 'a', b'1'),), 4),
         TopicDelta((KeyedRecord(4, 'b', b'1'),), 5),
@@ -123,11 +123,11 @@
     assert topic.calls == ['list', 4, 5]
 
 
-def test_lost_history_is_listed_anew():
-    """A change that vanished.
+def test_topic_is_listed_again_after_lost_history():
+    """Guards against a change that is never read.
 
-    The store forgets its history while a change is made.  The newest record of the key
-    is still there, and only a listing shows it.
+    The store drops its history while a change is written. The newest record of the key
+    remains, and only a listing returns it.
     """
     topic = ScriptedTopic(
         TopicSnapshot((), 4),
@@ -138,7 +138,7 @@
     assert follow(topic).events == [('listed', []), ('listed', ['a'])]
 
 
-def test_outage_is_told_and_survived():
+def test_outage_is_reported_and_retried():
     topic = ScriptedTopic(
         StoreUnavailableError('down'),
         StoreUnavailableError('down'),
@@ -149,10 +149,11 @@
 
 
 def test_calls_are_counted_by_purpose():
-    """A price that nobody could explain.
+    """Guards against costs of calls that no metric explains.
 
-    Calls to the store cost a large installation more than all else, and no metric said
-    which were made at the start, which for all instances, and which after a failure.
+    Calls to the store are the largest cost of a large installation. Operators need to
+    know which are made at the start, which for all instances, and which after a
+    failure.
     """
     topic = ScriptedTopic(
         TopicSnapshot((), 4),
@@ -164,11 +165,11 @@
     assert follow(topic).calls == {'endpoints': 'read-for-all=4,list=1'}
 
 
-def test_one_that_is_versions_behind_takes_the_newest():
-    """An instance that read each of five large versions while the next ones came.
+def test_follower_far_behind_lists_the_newest_records():
+    """Guards against an instance that stays several versions behind.
 
-    Over its link a version takes about as long as until the next one is written, so
-    what it handled requests by was always several versions old.
+    A large version takes about as long to transfer as the interval between two
+    versions. An instance that reads each of five versions always applies outdated ones.
     """
     topic = ScriptedTopic(
         TopicSnapshot((KeyedRecord(0, 'config', b'1'),), 1),
@@ -181,7 +182,7 @@
     assert topic.calls == ['list', 1, 'list', 6]
 
 
-def test_one_that_has_nearly_read_all_reads_on():
+def test_follower_slightly_behind_reads_on():
     topic = ScriptedTopic(
         TopicSnapshot((KeyedRecord(0, 'a', b'1'),), 1),
         TopicDelta((KeyedRecord(1, 'a', b'2'),), 2, 3),
@@ -193,15 +194,15 @@
     assert topic.calls == ['list', 1, 2, 3]
 
 
-def test_records_of_another_era_are_not_taken():
-    """Offsets that the store gave out again after it came back from an older copy."""
+def test_records_of_another_era_are_rejected():
+    """The store reuses offsets after it was restored from an older copy."""
     topic = ScriptedTopic(
         TopicSnapshot((KeyedRecord(6, 'config', b'1'),), 7, 1),
         TopicDelta((KeyedRecord(7, 'config', b'9'),), 8, 8, 2),
         TopicSnapshot((KeyedRecord(3, 'config', b'2'),), 8, 2),
     )
 
-    heard = follow(topic)
+    listener = follow(topic)
 
     assert topic.calls == ['list', 7, 'list', 8]
-    assert [event for event, _ in heard.events] == ['listed', 'listed']
+    assert [event for event, _ in listener.events] == ['listed', 'listed']
