--- a/savorychute/gateway/daemon/peer_messages.py
+++ b/savorychute/gateway/daemon/peer_messages.py
@@ -28,12 +28,12 @@
     from savorychute.gateway.dispatch.shortages import Shortages
     from savorychute.gateway.duties.duty_candidates import DutyCandidates
     from savorychute.gateway.duties.true_time import TrueTime
-    from savorychute.gateway.duties.usage_spread import UsageSpread
     from savorychute.gateway.endpoints.statement_book import StatementBook
     from savorychute.gateway.permits.permit_desk import PermitDesk
     from savorychute.gateway.recovery.crash_table import CrashTable
-    from savorychute.gateway.store.reading_plan import ReadingPlan
-    from savorychute.gateway.store.shared_reading import SharedReading
+    from savorychute.gateway.duties.usage_broadcaster import UsageBroadcaster
+    from savorychute.gateway.store.read_plan import ReadPlan
+    from savorychute.gateway.store.shared_reader import SharedReader
     from savorychute.membership.member_view import MemberView
 
 
@@ -51,10 +51,10 @@
     statements: StatementBook
     permits: PermitDesk
     count_streams: Callable[[], int]
-    plan: ReadingPlan
-    reading: SharedReading
+    plan: ReadPlan
+    reading: SharedReader
     candidates: DutyCandidates
-    usage: UsageSpread | None
+    usage: UsageBroadcaster | None
     time: TrueTime
 
 
@@ -91,11 +91,11 @@
         :param now_ms: the time.
         """
         parts = self.parts
-        parts.plan.follow(view)
+        parts.plan.set_view(view)
         parts.permits.follow(view)
         parts.demand.observe(parts.count_streams(), len(view.alive), now_ms)
         parts.shortages.instances = max(1, len(view.alive))
-        parts.candidates.follow(view)
+        parts.candidates.set_view(view)
         due = self._spread.tick(view, now_ms)
         due += self._inquiry.tick(view, now_ms)
         due += parts.reading.tick(now_ms)
@@ -123,9 +123,9 @@
                 asker = view.address_of(sender)
                 return [] if asker is None else self._spread.respond(asker, now_ms)
             case StoreAnswer():
-                parts.reading.take_answer(message, now_ms)
+                parts.reading.handle_response(message, now_ms)
             case StoreQuestion():
-                answer = parts.reading.answer(message, now_ms)
+                answer = parts.reading.respond(message, now_ms)
                 return _reply(view, sender, answer)
             case PermitAnswer():
                 parts.permits.take_answer(message)
@@ -133,7 +133,7 @@
                 return _reply(view, sender, parts.permits.answer(message))
             case UsageTold():
                 if parts.usage is not None:
-                    parts.usage.take(sender, message)
+                    parts.usage.handle(sender, message)
             case Ping() | Ack():
                 self._hear(sender, message, now_ms)
         return []
@@ -144,7 +144,7 @@
         parts.shortages.hear(probe.shortages, now_ms)
         parts.statements.limits.hear(probe.limits, now_ms)
         parts.statements.leaving.hear(probe.leaving, now_ms)
-        parts.time.hear(sender, probe.wall_ms, now_ms)
+        parts.time.record_wall_time(sender, probe.wall_ms, now_ms)
 
     def follow_readiness(
         self, sender: str, message: tuple[Any, ...], view: MemberView, now_ms: int
--- a/savorychute/gateway/requests/usage_observer.py
+++ b/savorychute/gateway/requests/usage_observer.py
@@ -7,7 +7,7 @@
 from savorychute.gateway.requests.endpoint_response import ResponseKind
 
 if TYPE_CHECKING:
-    from savorychute.gateway.duties.usage_ledger import UsageLedger
+    from savorychute.gateway.duties.usage_counter import UsageCounter
     from savorychute.gateway.requests.admitted_request import AdmittedRequest
     from savorychute.gateway.requests.attempt import Attempt
 
@@ -24,7 +24,7 @@
     :param admitted: the request.
     """
 
-    def __init__(self, ledger: UsageLedger, admitted: AdmittedRequest) -> None:
+    def __init__(self, ledger: UsageCounter, admitted: AdmittedRequest) -> None:
         self._ledger = ledger
         self._organisation = admitted.organisation
         self._runs_models = admitted.service.runs_models
@@ -34,7 +34,7 @@
 
         :param now_ms: the current time.
         """
-        self._ledger.began(self._organisation, now_ms)
+        self._ledger.record_start(self._organisation, now_ms)
 
     def record_attempt_end(self, attempt: Attempt) -> None:
         """Count an execution by a plain service once its attempt has ended.
@@ -45,4 +45,4 @@
             return
         if attempt.response is not None and attempt.response.kind in NOT_RUN_KINDS:
             return
-        self._ledger.began(self._organisation, attempt.sent_ms)
+        self._ledger.record_start(self._organisation, attempt.sent_ms)
