--- a/savorychute/gateway/daemon/__init__.py
+++ b/savorychute/gateway/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, timers and signals around the parts of a gateway."""
+"""Connects the parts of a gateway to sockets, timers and signals."""
--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of a gateway together."""
+"""Assembles a gateway from its parts."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from savorychute.gateway.configuration.configuration_state import ConfigurationState
 from savorychute.gateway.daemon.attempt_sender import AttemptSender
-from savorychute.gateway.daemon.duty_assembly import make_duty_side, make_duty_worker
-from savorychute.gateway.daemon.entry_keeper import EntryKeeper
+from savorychute.gateway.daemon.duty_assembly import make_duty_parts, make_duty_worker
+from savorychute.gateway.daemon.entry_manager import EntryManager
 from savorychute.gateway.daemon.gateway_host import GatewayHost
 from savorychute.gateway.daemon.loop_timers import LoopTimers
 from savorychute.gateway.daemon.peer_group import PeerGroup
-from savorychute.gateway.daemon.peer_messages import PeerParts
+from savorychute.gateway.daemon.peer_message_router import PeerParts
 from savorychute.gateway.discovery.instance_directory import InstanceDirectory
 from savorychute.gateway.dispatch import load_choosers
 from savorychute.gateway.dispatch.chooser import CHOOSERS
@@ -50,20 +50,20 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from savorychute.gateway.daemon.surroundings import Surroundings
+    from savorychute.gateway.daemon.environment import GatewayEnvironment
     from savorychute.gateway.duties.usage_ledger import UsageLedger
     from savorychute.gateway.settings.gateway_settings import GatewaySettings
     from savorychute.gateway.store.keyed_topic import KeyedTopic
 
-# Parts of the time in which a configuration must be in force.  A poll that hears nothing
-# confirms what held at its begin, so what a reader knows grows as old as two polls; one
-# whose knowledge is older is cut off.  The rest is for asking each reader in turn, and
-# for reading by oneself when none is fresh.
+# Shares of the time within which a configuration must be in force.  A poll without a
+# change confirms the state at its start, so a reader's state becomes at most two polls
+# old; a reader whose state is older has lost the store.  The rest of the time is for
+# querying each reader in turn, and for reading the store directly if none is fresh.
 POLL_SHARE = 0.25
-VOUCH_SHARE = 0.6
-# Part of the time in which a leaving endpoint must get nothing new that may pass
-# between two reads of the entries; the rest is for other instances' questions and for
-# requests under way.
+CONFIRM_SHARE = 0.6
+# Share of the time within which a leaving endpoint must stop receiving new requests
+# that may pass between two reads of the entries.  The rest is for queries from other
+# instances and for requests in transit.
 ENDPOINT_READ_SHARE = 0.4
 
 
@@ -77,50 +77,52 @@
 
 
 class Assembly(NamedTuple):
-    """The host, and the work that runs besides requests, by name."""
+    """The host, and its background work by name."""
 
     host: GatewayHost
-    works: dict[str, Callable[[], Awaitable[None]]]
+    background_work: dict[str, Callable[[], Awaitable[None]]]
 
 
-def assemble(around: Surroundings) -> Assembly:
+def assemble(environment: GatewayEnvironment) -> Assembly:
     """Return a gateway that is not running yet.
 
-    :param around: what it is given.
+    :param environment: external dependencies of the gateway.
     """
-    settings = around.settings
+    settings = environment.settings
     eras = StoreEra()
-    topics = _open_topics(around, eras)
+    topics = _open_topics(environment, eras)
     demand = LaneDemand()
-    side = make_duty_side(around)
-    parts = _make_parts(around, demand, side.ledger)
+    duty_parts = make_duty_parts(environment)
+    parts = _make_parts(environment, demand, duty_parts.ledger)
     calls = parts.telemetry.calls
-    plan = ReadingPlan(parts.configuration, int(settings.drain_notice_ms), around.clock)
+    plan = ReadingPlan(
+        parts.configuration, int(settings.drain_notice_ms), environment.clock
+    )
     journal = EndpointJournal()
-    entries = EndpointListener(
+    endpoint_listener = EndpointListener(
         parts.roster,
         journal,
         plan,
-        around.adapter.decode_endpoint,
+        environment.adapter.decode_endpoint,
         parts.telemetry,
-        around.clock,
+        environment.clock,
     )
     reading = SharedReading(
         plan,
         parts.configuration,
         journal,
-        entries.take_changes,
+        endpoint_listener.take_changes,
         eras,
-        int(VOUCH_SHARE * settings.configuration_notice_ms),
-        around.rng,
+        int(CONFIRM_SHARE * settings.configuration_notice_ms),
+        environment.rng,
     )
-    own = _find_address(settings)
-    directory = InstanceDirectory(own)
-    entry = EntryKeeper(
-        Registration(topics.instances, own, calls.topic('instances')),
+    own_address = _make_own_address(settings)
+    directory = InstanceDirectory(own_address)
+    entry_manager = EntryManager(
+        Registration(topics.instances, own_address, calls.topic('instances')),
         parts.allowance,
-        around.clock,
-        around.rng,
+        environment.clock,
+        environment.rng,
         parts.telemetry,
     )
     peer_parts = PeerParts(
@@ -133,81 +135,91 @@
         parts.roster.steady_streams,
         plan,
         reading,
-        side.candidates,
-        side.spread,
-        side.time,
+        duty_parts.candidates,
+        duty_parts.broadcaster,
+        duty_parts.time,
     )
     peers = PeerGroup(
-        entry, eras, peer_parts, around.clock, around.rng, parts.telemetry
+        entry_manager,
+        eras,
+        peer_parts,
+        environment.clock,
+        environment.rng,
+        parts.telemetry,
     )
-    intake = Intake(parts.configuration, parts.crashes, around.rng)
-    duties = make_duty_worker(around, side, topics.duties, eras, parts, plan)
+    intake = Intake(parts.configuration, parts.crashes, environment.rng)
+    duties = make_duty_worker(environment, duty_parts, topics.duties, eras, parts, plan)
     host = GatewayHost(
-        settings, parts, intake, around.adapter, peers, directory, duties
+        settings, parts, intake, environment.adapter, peers, directory, duties
     )
     configuration = ConfigurationListener(
         parts.configuration,
         plan,
-        around.adapter.decode_configuration,
+        environment.adapter.decode_configuration,
         parts.telemetry,
         host.apply_limits,
     )
-    works: dict[str, Callable[[], Awaitable[None]]] = {
+    background_work: dict[str, Callable[[], Awaitable[None]]] = {
         'configuration': TopicFollower(
             topics.configuration,
             Pace(int(POLL_SHARE * settings.configuration_notice_ms), 0),
             ConfigurationGate(plan),
             configuration,
-            around.clock,
-            around.rng,
+            environment.clock,
+            environment.rng,
             calls.topic('configuration'),
         ).run,
         'endpoints': TopicFollower(
             topics.endpoints,
             Pace(0, int(ENDPOINT_READ_SHARE * settings.drain_notice_ms)),
             EndpointGate(plan, journal),
-            entries,
-            around.clock,
-            around.rng,
+            endpoint_listener,
+            environment.clock,
+            environment.rng,
             calls.topic('endpoints'),
         ).run,
         'peers': peers.run,
         'housekeeping': host.run,
     }
     if duties is not None:
-        works['duties'] = duties.run
-    return Assembly(host, works)
+        background_work['duties'] = duties.run
+    return Assembly(host, background_work)
 
 
-def _open_topics(around: Surroundings, eras: StoreEra) -> Topics:
+def _open_topics(environment: GatewayEnvironment, eras: StoreEra) -> Topics:
     access = StoreAccess(
-        around.store,
-        ServerAddress(*around.settings.store_address),
-        int(around.settings.store_timeout_ms),
+        environment.store,
+        ServerAddress(*environment.settings.store_address),
+        int(environment.settings.store_timeout_ms),
         eras,
     )
     return Topics(
-        around.adapter.configuration_topic(access),
-        around.adapter.endpoint_topic(access),
-        around.adapter.instance_topic(access),
-        around.adapter.duty_topic(access),
+        environment.adapter.configuration_topic(access),
+        environment.adapter.endpoint_topic(access),
+        environment.adapter.instance_topic(access),
+        environment.adapter.duty_topic(access),
     )
 
 
 def _make_parts(
-    around: Surroundings, demand: LaneDemand, usage: UsageLedger
+    environment: GatewayEnvironment, demand: LaneDemand, usage: UsageLedger
 ) -> GatewayParts:
     load_choosers()
-    settings, clock, rng = around.settings, around.clock, around.rng
+    settings, clock, rng = environment.settings, environment.clock, environment.rng
     crashes = CrashBook()
     metrics = Metrics(settings.instance, GATEWAY_METRICS)
-    telemetry = GatewayTelemetry(around.log, metrics, clock)
-    of_endpoints = EndpointTelemetry(telemetry)
-    statements = StatementBook(of_endpoints)
+    telemetry = GatewayTelemetry(environment.log, metrics, clock)
+    endpoint_telemetry = EndpointTelemetry(telemetry)
+    statements = StatementBook(endpoint_telemetry)
     timers = LoopTimers()
     permits = PermitDesk(statements.limits, clock, timers)
     attempts = AttemptSender(
-        around.endpoints, around.adapter, statements, permits, of_endpoints, clock
+        environment.endpoints,
+        environment.adapter,
+        statements,
+        permits,
+        endpoint_telemetry,
+        clock,
     )
     roster = EndpointRoster(crashes.endpoint_ended, clock, statements.leaving)
     models = EngineModels()
@@ -234,12 +246,12 @@
         crashes=crashes,
         usage=usage,
         telemetry=telemetry,
-        endpoint_telemetry=of_endpoints,
+        endpoint_telemetry=endpoint_telemetry,
     )
 
 
-def _find_address(settings: GatewaySettings) -> MemberAddress:
-    """Return this instance's address; its incarnation is set when it registers."""
+def _make_own_address(settings: GatewaySettings) -> MemberAddress:
+    """Return this instance's address; registering sets its incarnation."""
     return MemberAddress(
         settings.instance,
         0,
--- a/savorychute/gateway/daemon/attempt_sender.py
+++ b/savorychute/gateway/daemon/attempt_sender.py
@@ -27,21 +27,21 @@
     from savorychute.http.client_pool import ClientPool
     from savorychute.http.http_response import HttpResponse
 
-# A report needs no place in the batch; from a living engine it takes a few ms.
+# A load report needs no slot in the engine's batch; a live engine sends it in a few ms.
 PROBE_TIMEOUT_MS = 250
-# Answers that come from another run than the one that was meant.
-OTHERS_ANSWERS = frozenset({AnswerKind.OTHER_ENDPOINT, AnswerKind.FOREIGN})
+# Kinds of answers from another run than the intended one.
+OTHER_RUN_KINDS = frozenset({AnswerKind.OTHER_ENDPOINT, AnswerKind.FOREIGN})
 
 
 class AttemptSender:
-    """Turns attempts into calls of the pool, and hears what endpoints say of themselves.
+    """Sends attempts as HTTP calls, and records what endpoints state about themselves.
 
     :param pool: the connections to endpoints.
-    :param adapter: how endpoints speak.
-    :param statements: what endpoints say of themselves.
-    :param permits: for endpoints that take only so many calls.
-    :param telemetry: is told of calls to endpoints that state limits.
-    :param clock: the time.
+    :param adapter: translates the endpoints' protocol.
+    :param statements: records what endpoints state about themselves.
+    :param permits: grants calls to endpoints that state a limit.
+    :param telemetry: logs calls to endpoints that state a limit.
+    :param clock: monotonic clock.
     """
 
     def __init__(
@@ -63,11 +63,11 @@
     def send(self, attempt: OutboundAttempt, listener: AttemptListener) -> ClientCall:
         """Start an attempt.
 
-        :param attempt: what to send.
-        :param listener: who is told of the answer.
+        :param attempt: the attempt to send.
+        :param listener: receives the answer.
         """
         request = self._adapter.encode_attempt(attempt)
-        handler = _AnswerHandler(self, self._adapter, self._clock, attempt, listener)
+        handler = _ResponseHandler(self, self._adapter, self._clock, attempt, listener)
         return self._pool.submit(
             attempt.endpoint.address, request, handler, fresh=attempt.fresh
         )
@@ -78,25 +78,25 @@
         on_result: Callable[[EngineLoad | None], None],
         permit: Permit | None = None,
     ) -> None:
-        """Ask an engine for its load.
+        """Request an engine's load report.
 
         :param endpoint: the engine.
-        :param on_result: called with its report, or None without one in time.
-        :param permit: for an engine that states a limit.
+        :param on_result: called with its load, or None if no report arrives in time.
+        :param permit: permit for an engine that states a limit.
         """
         sent_ms = self._clock.now_ms()
 
-        def may_send() -> bool:
+        def can_send() -> bool:
             nonlocal sent_ms
             sent_ms = self._clock.now_ms()
-            return self.may_send(endpoint, permit, CallKind.REPORT)
+            return self.can_send(endpoint, permit, CallKind.REPORT)
 
-        def take(response: HttpResponse) -> None:
+        def handle_response(response: HttpResponse) -> None:
             load = self._adapter.decode_report(response)
             run = endpoint.run
             if load is not None and load.born_ms and run.born_ms:
                 run = EndpointRun(run.endpoint, load.born_ms)
-            self.hear(run, response.status, response.headers, sent_ms)
+            self.record_statement(run, response.status, response.headers, sent_ms)
             on_result(load)
 
         submit_timed(
@@ -104,24 +104,24 @@
             endpoint.address,
             self._adapter.encode_probe(),
             PROBE_TIMEOUT_MS,
-            take,
+            handle_response,
             lambda failure: on_result(None),  # noqa: ARG005
-            may_send,
+            can_send,
         )
 
-    def may_send(
+    def can_send(
         self,
         endpoint: EndpointEntry,
         permit: Permit | None,
         kind: CallKind,
         request_id: str = '',
     ) -> bool:
-        """Return whether an endpoint still takes a call, right before its first byte.
+        """Return whether a call may be sent, right before its first byte.
 
-        :param endpoint: where it goes.
-        :param permit: that it has.
-        :param kind: what it is for.
-        :param request_id: the request that it belongs to, or empty.
+        :param endpoint: the endpoint to call.
+        :param permit: the permit of the call, if it has one.
+        :param kind: the purpose of the call.
+        :param request_id: the request that the call belongs to, or empty.
         """
         run, now_ms = endpoint.run, self._clock.now_ms()
         if kind is CallKind.ATTEMPT and run in self._statements.leaving:
@@ -135,14 +135,14 @@
             self._telemetry.limited_call(endpoint, kind, limit_per_s, request_id)
         return True
 
-    def hear(
+    def record_statement(
         self, run: EndpointRun, status: int, headers: dict[str, str], sent_ms: int
     ) -> None:
-        """Take in what an endpoint says of itself.
+        """Record what an endpoint states about itself in a response.
 
-        :param run: the run that answered.
-        :param status: of its answer.
-        :param headers: of its answer.
+        :param run: the run that responded.
+        :param status: status of the response.
+        :param headers: headers of the response.
         :param sent_ms: when the call was sent.
         """
         statement = self._adapter.decode_statement(status, headers)
@@ -151,8 +151,8 @@
         self._statements.take(run, statement, sent_ms, self._clock.now_ms())
 
 
-class _AnswerHandler:
-    """Decodes the head of an answer on its way to the listener."""
+class _ResponseHandler:
+    """Decodes the head of a response and passes the response to the listener."""
 
     def __init__(
         self,
@@ -170,26 +170,26 @@
         self._sent_ms = 0
 
     def about_to_send(self) -> bool:
-        """Ask whether the attempt is still wanted."""
+        """Return whether the attempt may still be sent."""
         attempt = self._attempt
-        may_send = self._sender.may_send(
+        can_send = self._sender.can_send(
             attempt.endpoint,
             attempt.permit,
             CallKind.ATTEMPT,
             attempt.request.attempt_id,
         )
-        if not may_send:
+        if not can_send:
             self._listener.attempt_withheld()
             return False
         self._sent_ms = self._clock.now_ms()
         return self._listener.may_send()
 
     def response_started(self, status: int, headers: dict[str, str]) -> None:
-        """Pass on what the head says."""
+        """Decode the head, and pass it on."""
         answer = self._adapter.decode_answer(status, headers, self._attempt)
-        if answer.kind not in OTHERS_ANSWERS:
+        if answer.kind not in OTHER_RUN_KINDS:
             run = self._attempt.endpoint.run
-            self._sender.hear(run, status, headers, self._sent_ms)
+            self._sender.record_statement(run, status, headers, self._sent_ms)
         self._listener.answer_began(answer)
 
     def response_data(self, data: bytes) -> None:
@@ -197,7 +197,7 @@
         self._listener.answer_data(data)
 
     def response_ended(self) -> None:
-        """Pass on the end."""
+        """Pass on the end of the response."""
         self._listener.answer_ended()
 
     def call_failed(self, failure: CallFailure) -> None:
--- a/savorychute/gateway/daemon/caller_exchange.py
+++ b/savorychute/gateway/daemon/caller_exchange.py
@@ -1,4 +1,4 @@
-"""The caller's side of a request, over HTTP."""
+"""Responds to callers over HTTP."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class CallerExchange:
-    """Answers one exchange of the server.
+    """Responds to one exchange of the HTTP server.
 
     :param exchange: the exchange.
-    :param adapter: how callers are spoken to.
+    :param adapter: translates the callers' protocol.
     """
 
     def __init__(self, exchange: ServerExchange, adapter: PlatformAdapter) -> None:
@@ -26,11 +26,11 @@
     def respond(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes
     ) -> None:
-        """Send a whole answer."""
+        """Send a whole response."""
         self._exchange.respond(status, headers, body)
 
     def begin(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
-        """Send the head of an answer."""
+        """Send the head of a response."""
         self._exchange.start(status, headers)
 
     def send(self, data: bytes) -> None:
@@ -38,15 +38,15 @@
         self._exchange.send(data)
 
     def finish(self) -> None:
-        """End the answer."""
+        """End the response."""
         self._exchange.finish()
 
     def cut(self) -> None:
-        """Close the connection within the answer."""
+        """Abort the response by closing the connection."""
         self._exchange.abort()
 
     def refuse(self, refusal: Refusal) -> None:
-        """Send an answer of the gateway's own."""
+        """Send a refusal of the gateway."""
         response = self._adapter.encode_refusal(refusal, self._exchange.request)
         self._exchange.respond(
             response.status, tuple(response.headers.items()), response.body
--- a/savorychute/gateway/daemon/duty_assembly.py
+++ b/savorychute/gateway/daemon/duty_assembly.py
@@ -1,12 +1,12 @@
-"""Puts together what an instance needs for duties."""
+"""Assembles the parts of an instance that carry out duties."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
 from savorychute.clock import MS_PER_S
-from savorychute.gateway.daemon.duty_worker import DutyWorker, PlatformLine
-from savorychute.gateway.daemon.server_work import ServerWork
+from savorychute.gateway.daemon.duty_worker import DutyPlatformClient, DutyWorker
+from savorychute.gateway.daemon.server_planner import ServerPlanner
 from savorychute.gateway.duties.duty_candidates import DutyCandidates
 from savorychute.gateway.duties.duty_claims import DutyClaims
 from savorychute.gateway.duties.duty_kind import DutyKind
@@ -23,15 +23,15 @@
 from savorychute.http.client_pool import ServerAddress
 
 if TYPE_CHECKING:
-    from savorychute.gateway.daemon.surroundings import Surroundings
+    from savorychute.gateway.daemon.environment import GatewayEnvironment
     from savorychute.gateway.parts import GatewayParts
     from savorychute.gateway.store.keyed_topic import KeyedTopic
     from savorychute.gateway.store.reading_plan import ReadingPlan
     from savorychute.gateway.store.store_era import StoreEra
 
 
-class DutySide(NamedTuple):
-    """What counts usage and tells it; ``spread`` is None where no duty is wanted."""
+class DutyParts(NamedTuple):
+    """The parts for duties; ``broadcaster`` is None if there are no duties."""
 
     kinds: frozenset[DutyKind]
     windows: UsageWindows
@@ -39,70 +39,70 @@
     ledger: UsageLedger
     gathering: UsageGathering
     candidates: DutyCandidates
-    spread: UsageSpread | None
+    broadcaster: UsageSpread | None
 
 
-def make_duty_side(around: Surroundings) -> DutySide:
-    """Return the parts that take part in requests and in the talk with other instances.
+def make_duty_parts(environment: GatewayEnvironment) -> DutyParts:
+    """Return the parts that count requests and exchange counts with other instances.
 
-    :param around: what the gateway is given.
+    :param environment: external dependencies of the gateway.
     """
-    settings = around.settings
+    settings = environment.settings
     kinds: frozenset[DutyKind] = frozenset()
     if settings.duty_address is not None:
-        kinds = around.adapter.decode_duties(settings.duties)
+        kinds = environment.adapter.decode_duties(settings.duties)
     windows = UsageWindows(
         int(MS_PER_S * settings.usage_window_s), int(MS_PER_S * settings.usage_due_s)
     )
-    time = TrueTime(around.clock, around.wall)
+    time = TrueTime(environment.clock, environment.wall)
     ledger = UsageLedger(windows if DutyKind.USAGE in kinds else None, time)
     gathering = UsageGathering()
     candidates = DutyCandidates()
-    spread = UsageSpread(candidates, ledger, gathering) if kinds else None
-    return DutySide(kinds, windows, time, ledger, gathering, candidates, spread)
+    broadcaster = UsageSpread(candidates, ledger, gathering) if kinds else None
+    return DutyParts(kinds, windows, time, ledger, gathering, candidates, broadcaster)
 
 
 def make_duty_worker(
-    around: Surroundings,
-    side: DutySide,
+    environment: GatewayEnvironment,
+    duty_parts: DutyParts,
     topic: KeyedTopic,
     eras: StoreEra,
     parts: GatewayParts,
     plan: ReadingPlan,
 ) -> DutyWorker | None:
-    """Return what carries out the duties, None where none is wanted.
+    """Return the worker that carries out duties, or None if there are no duties.
 
-    :param around: what the gateway is given.
-    :param side: the parts that count usage.
-    :param topic: where duties are claimed.
-    :param eras: the newest era of the store.
-    :param parts: what requests share.
-    :param plan: how old what is known of endpoints is.
+    :param environment: external dependencies of the gateway.
+    :param duty_parts: the parts that count usage.
+    :param topic: the topic in which duties are claimed.
+    :param eras: the newest known era of the store.
+    :param parts: state and ports that all requests share.
+    :param plan: states the age of the known endpoint entries.
     """
-    settings = around.settings
-    if side.spread is None or settings.duty_address is None:
+    settings = environment.settings
+    if duty_parts.broadcaster is None or settings.duty_address is None:
         return None
-    claims = DutyClaims(settings.instance, DUTY_LEASE, around.rng, eras)
+    claims = DutyClaims(settings.instance, DUTY_LEASE, environment.rng, eras)
     usage = None
-    if DutyKind.USAGE in side.kinds:
-        usage = UsageDuty(side.windows, claims.records, side.gathering)
+    if DutyKind.USAGE in duty_parts.kinds:
+        usage = UsageDuty(duty_parts.windows, claims.records, duty_parts.gathering)
     servers = None
-    if DutyKind.SERVERS in side.kinds:
+    if DutyKind.SERVERS in duty_parts.kinds:
         policy = SERVER_POLICIES.get(settings.server_policy)
-        servers = ServerWork(
+        servers = ServerPlanner(
             ServerDuty(policy, claims.records), parts.configuration, parts.roster, plan
         )
     address = ServerAddress(*settings.duty_address)
     return DutyWorker(
         settings.instance,
         topic,
-        PlatformLine(around.store, address, around.adapter),
+        DutyPlatformClient(environment.store, address, environment.adapter),
         claims,
         usage,
         servers,
-        side.candidates,
-        side.time,
-        around.clock,
+        duty_parts.candidates,
+        duty_parts.time,
+        environment.clock,
         DutyTelemetry(parts.telemetry),
         parts.telemetry.calls.topic('duties'),
     )
--- a/savorychute/gateway/daemon/duty_worker.py
+++ b/savorychute/gateway/daemon/duty_worker.py
@@ -1,4 +1,4 @@
-"""Carries out the duties of one instance for all."""
+"""Carries out duties that one instance has for all instances."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from collections.abc import Callable, Coroutine
 
     from savorychute.clock import Clock
-    from savorychute.gateway.daemon.server_work import ServerWork
+    from savorychute.gateway.daemon.server_planner import ServerPlanner
     from savorychute.gateway.duties.conditional_write import ConditionalWrite
     from savorychute.gateway.duties.duty_candidates import DutyCandidates
     from savorychute.gateway.duties.duty_claims import DutyClaims
@@ -35,27 +35,28 @@
     from savorychute.http.client_pool import ClientPool, ServerAddress
     from savorychute.http.http_request import HttpRequest
 
-WORK_MS = 100
-# Between two looks at all endpoints; they come and go within seconds.
-SERVERS_MS = 1_000
-# A read of the topic waits so long for a record; the holder renews more often.
+TICK_INTERVAL_MS = 100
+# Interval between two checks of all endpoints, which come and go within seconds.
+SERVER_CHECK_INTERVAL_MS = 1_000
+# How long a read of the topic waits for a record; the holder renews more often.
 READ_WAIT_MS = 2_000
-RETRY_MS = 300
-# For an answer of the platform.  The same report is sent again, so a call that is carried
-# out late does no harm.
+STORE_RETRY_MS = 300
+# Timeout of a response from the platform.  A retry sends the same report, so a call
+# that takes effect late is harmless.
 CALL_TIMEOUT_MS = 1_500
-# When no call gets through for so long another instance may reach the platform,
-FAILING_MS = 3_000
-# and this one stays out until the other has had time to try.
-OUT_MS = 6_000
+# The duties are released after calls have failed this long: another instance may be
+# able to reach the platform.
+UNREACHABLE_RELEASE_MS = 3_000
+# How long this instance then claims no duties, so that another one has time to try.
+CLAIM_PAUSE_MS = 6_000
 
 
-class PlatformLine:
-    """The platform's address for duties, and how it is called.
+class DutyPlatformClient:
+    """Calls the platform for duties.
 
-    :param pool: connections.
-    :param address: of the platform.
-    :param adapter: how it speaks.
+    :param pool: HTTP connections.
+    :param address: the platform's address for duties.
+    :param adapter: translates the calls.
     """
 
     def __init__(
@@ -65,18 +66,23 @@
         self._address = address
         self._adapter = adapter
 
-    async def report(self, step: UsageStep, order: DutyOrder) -> DutyOutcome:
-        """Send a report; return how the platform took it."""
-        request = self._adapter.encode_usage(step.report, order)
+    async def report(self, step: UsageStep, duty_order: DutyOrder) -> DutyOutcome:
+        """Send a usage report; return the platform's response."""
+        request = self._adapter.encode_usage(step.report, duty_order)
         return await self._call(request)
 
-    async def order(self, servers: ServerOrder, order: DutyOrder) -> DutyOutcome:
-        """Order endpoints; return how the platform took it.
+    async def order_servers(
+        self, server_order: ServerOrder, duty_order: DutyOrder
+    ) -> DutyOutcome:
+        """Order endpoints; return the platform's response.
 
-        The same status tells of a later holder and of a kind that is not to be had now.  A
-        later holder shows in the topic of claims, so the second is assumed.
+        The platform uses one status both for a later holder and for a kind of endpoint
+        that is not available now.  A later holder shows in the topic of claims, so the
+        latter is assumed.
         """
-        outcome = await self._call(self._adapter.encode_servers(servers, order))
+        outcome = await self._call(
+            self._adapter.encode_servers(server_order, duty_order)
+        )
         return DutyOutcome.UNAVAILABLE if outcome is DutyOutcome.FENCED else outcome
 
     async def _call(self, request: HttpRequest) -> DutyOutcome:
@@ -87,18 +93,18 @@
 
 
 class DutyWorker:
-    """Reads and writes claims, and carries out what the holder has to do.
-
-    :param instance: this instance's name.
-    :param topic: where claims and settled reports stand.
-    :param line: the platform.
-    :param claims: who holds the duties.
-    :param usage: what is to be reported, None if nothing is.
-    :param servers: what is to be ordered, None if nothing is.
-    :param candidates: who may hold the duties.
-    :param time: the true time.
-    :param clock: the time.
-    :param telemetry: is told of each change and report.
+    """Reads and writes claims, and carries out the duties while it holds them.
+
+    :param instance: name of this instance.
+    :param topic: the topic of claims and settled reports.
+    :param platform: sends reports and orders to the platform.
+    :param claims: state of the claims to the duties.
+    :param usage: the usage reports; None if usage is not reported.
+    :param servers: plans orders of endpoints; None if none are ordered.
+    :param candidates: the instances that may hold the duties.
+    :param time: estimate of the true wall-clock time.
+    :param clock: monotonic clock.
+    :param telemetry: logs each change and report.
     :param count_call: counts each call to the store.
     """
 
@@ -106,10 +112,10 @@
         self,
         instance: str,
         topic: KeyedTopic,
-        line: PlatformLine,
+        platform: DutyPlatformClient,
         claims: DutyClaims,
         usage: UsageDuty | None,
-        servers: ServerWork | None,
+        servers: ServerPlanner | None,
         candidates: DutyCandidates,
         time: TrueTime,
         clock: Clock,
@@ -118,7 +124,7 @@
     ) -> None:
         self._instance = instance
         self._topic = topic
-        self._line = line
+        self._platform = platform
         self._claims = claims
         self._usage = usage
         self._servers = servers
@@ -129,27 +135,27 @@
         self._count_call = count_call
         self._tasks: set[asyncio.Task[None]] = set()
         self._writing = False
-        self._servers_ms = 0
+        self._next_server_check_ms = 0
         self._leaving = False
-        self._failing_since_ms: int | None = None
+        self._unreachable_since_ms: int | None = None
 
     async def run(self) -> None:
-        """Take part until the task is cancelled."""
+        """Claim and carry out duties until the task is cancelled."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._follow())
-            group.create_task(self._work())
+            group.create_task(self._follow_topic())
+            group.create_task(self._carry_out_duties())
 
     def leave(self) -> None:
-        """Give the duties up, and claim them no more."""
+        """Release the duties, and stop claiming them."""
         self._leaving = True
         self._release()
 
     # -- the topic
 
-    async def _follow(self) -> None:
+    async def _follow_topic(self) -> None:
         while True:
-            if not self._takes_part():
-                await asyncio.sleep(WORK_MS / MS_PER_S)
+            if not self._is_participating():
+                await asyncio.sleep(TICK_INTERVAL_MS / MS_PER_S)
                 continue
             try:
                 await self._read()
@@ -157,7 +163,7 @@
                 self._claims.records.next_offset = None
             except StoreUnavailableError as error:
                 self._telemetry.store_failed('duties', error)
-                await asyncio.sleep(RETRY_MS / MS_PER_S)
+                await asyncio.sleep(STORE_RETRY_MS / MS_PER_S)
             else:
                 self._telemetry.store_answered('duties')
 
@@ -173,22 +179,22 @@
         delta = await self._topic.read_from(offset, READ_WAIT_MS)
         self._claims.take_delta(delta, self._clock.now_ms())
 
-    def _takes_part(self) -> bool:
+    def _is_participating(self) -> bool:
         if self._claims.fencing(self._clock.now_ms()) is not None:
             return True
         return self._candidates.is_candidate and not self._leaving
 
-    # -- the work
+    # -- the duties
 
-    async def _work(self) -> None:
+    async def _carry_out_duties(self) -> None:
         while True:
             self._tick(self._clock.now_ms())
-            await asyncio.sleep(WORK_MS / MS_PER_S)
+            await asyncio.sleep(TICK_INTERVAL_MS / MS_PER_S)
 
     def _tick(self, now_ms: int) -> None:
         wanted = self._candidates.is_candidate and not self._leaving
         for write in self._claims.tick(now_ms, wanted=wanted):
-            self._start(self._claim(write))
+            self._start_task(self._write_claim(write))
         for change in self._claims.take_changes():
             self._telemetry.duty_changed(change)
         if self._claims.fencing(now_ms) is None:
@@ -196,9 +202,9 @@
         era_write = self._claims.records.era_write()
         if era_write is not None and not self._writing:
             self._writing = True
-            self._start(self._write_record(era_write))
-        if self._servers is not None and now_ms >= self._servers_ms:
-            self._servers_ms = now_ms + SERVERS_MS
+            self._start_task(self._write_record(era_write))
+        if self._servers is not None and now_ms >= self._next_server_check_ms:
+            self._next_server_check_ms = now_ms + SERVER_CHECK_INTERVAL_MS
             self._order_servers(self._servers, now_ms)
         if self._usage is not None:
             self._report_usage(self._usage, now_ms)
@@ -206,34 +212,42 @@
     def _report_usage(self, usage: UsageDuty, now_ms: int) -> None:
         members = self._candidates.members
         for step in usage.steps(members, self._time.now_ms(), now_ms):
-            work = self._settle if step.kind is StepKind.SETTLE else self._send
-            self._start(work(usage, step))
+            carry_out = (
+                self._settle_window
+                if step.kind is StepKind.SETTLE
+                else self._send_report
+            )
+            self._start_task(carry_out(usage, step))
 
-    def _order_servers(self, servers: ServerWork, now_ms: int) -> None:
-        decided = servers.look(now_ms)
+    def _order_servers(self, servers: ServerPlanner, now_ms: int) -> None:
+        decided = servers.decide_fleets(now_ms)
         write = self._claims.records.fleet_write(decided)
         if write is not None and not self._writing:
             self._writing = True
             self._telemetry.servers_decided(decided)
-            self._start(self._write_record(write))
-        for order in servers.orders(now_ms):
-            self._start(self._order(servers, order))
+            self._start_task(self._write_record(write))
+        for server_order in servers.due_orders(now_ms):
+            self._start_task(self._send_order(servers, server_order))
 
-    async def _order(self, servers: ServerWork, order: ServerOrder) -> None:
+    async def _send_order(
+        self, servers: ServerPlanner, server_order: ServerOrder
+    ) -> None:
         fencing = self._claims.fencing(self._clock.now_ms())
         outcome = DutyOutcome.UNAVAILABLE
         if fencing is not None:
-            outcome = await self._line.order(order, DutyOrder(self._instance, fencing))
-        self._telemetry.servers_ordered(order, outcome, fencing or 0)
-        servers.duty.order_ended(order, outcome, self._clock.now_ms())
+            outcome = await self._platform.order_servers(
+                server_order, DutyOrder(self._instance, fencing)
+            )
+        self._telemetry.servers_ordered(server_order, outcome, fencing or 0)
+        servers.duty.order_ended(server_order, outcome, self._clock.now_ms())
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _write(self, write: ConditionalWrite) -> WriteReceipt | None:
-        """Write a record; return where it stands, or None if that is not known."""
+    async def _try_write(self, write: ConditionalWrite) -> WriteReceipt | None:
+        """Write a record; return its receipt, or None if the outcome is unknown."""
         receipt = None
         refused = False
         self._count_call(CallPurpose.WRITE_DUTIES)
@@ -242,7 +256,7 @@
                 write.key, write.value, write.expected_end
             )
         except WriteConflictError:
-            # Another record came first; the next read shows it.
+            # Another record was written first; the next read returns it.
             refused = True
         except StoreUnavailableError as error:
             self._telemetry.store_failed('duties', error)
@@ -250,56 +264,56 @@
         self._claims.write_finished(write, receipt, now_ms, refused=refused)
         return receipt
 
-    async def _claim(self, write: ConditionalWrite) -> None:
-        await self._write(write)
+    async def _write_claim(self, write: ConditionalWrite) -> None:
+        await self._try_write(write)
 
     async def _write_record(self, write: ConditionalWrite) -> None:
         try:
-            await self._write(write)
+            await self._try_write(write)
         finally:
             self._writing = False
 
-    async def _settle(self, usage: UsageDuty, step: UsageStep) -> None:
+    async def _settle_window(self, usage: UsageDuty, step: UsageStep) -> None:
         outcome = DutyOutcome.UNAVAILABLE
         write = self._claims.records.settle_write(step.report)
-        receipt = await self._write(write) if write is not None else None
+        receipt = await self._try_write(write) if write is not None else None
         if receipt is not None:
             self._claims.records.report_written(step.report, receipt)
             outcome = DutyOutcome.ACCEPTED
-        self._end_step(usage, step, outcome, 0)
+        self._finish_step(usage, step, outcome, 0)
 
-    async def _send(self, usage: UsageDuty, step: UsageStep) -> None:
+    async def _send_report(self, usage: UsageDuty, step: UsageStep) -> None:
         fencing = self._claims.fencing(self._clock.now_ms())
         if fencing is None:
-            self._end_step(usage, step, DutyOutcome.UNAVAILABLE, 0)
+            self._finish_step(usage, step, DutyOutcome.UNAVAILABLE, 0)
             return
-        order = DutyOrder(self._instance, fencing)
-        outcome = await self._line.report(step, order)
+        duty_order = DutyOrder(self._instance, fencing)
+        outcome = await self._platform.report(step, duty_order)
         now_ms = self._clock.now_ms()
         if outcome is DutyOutcome.FENCED:
             self._claims.refused(fencing, now_ms)
-        self._note_reached(outcome, now_ms)
-        self._end_step(usage, step, outcome, fencing)
+        self._record_reachability(outcome, now_ms)
+        self._finish_step(usage, step, outcome, fencing)
 
-    def _end_step(
+    def _finish_step(
         self, usage: UsageDuty, step: UsageStep, outcome: DutyOutcome, fencing: int
     ) -> None:
         self._telemetry.usage_step(step, outcome, fencing)
         usage.step_ended(step, outcome, self._clock.now_ms())
 
-    def _note_reached(self, outcome: DutyOutcome, now_ms: int) -> None:
-        """Give the duties up when the platform cannot be reached from here."""
+    def _record_reachability(self, outcome: DutyOutcome, now_ms: int) -> None:
+        """Release the duties if the platform stays unreachable from this instance."""
         if outcome in (DutyOutcome.ACCEPTED, DutyOutcome.FENCED):
-            self._failing_since_ms = None
+            self._unreachable_since_ms = None
             return
-        since_ms = self._failing_since_ms
+        since_ms = self._unreachable_since_ms
         if since_ms is None:
-            self._failing_since_ms = now_ms
-        elif now_ms - since_ms >= FAILING_MS:
-            self._failing_since_ms = None
+            self._unreachable_since_ms = now_ms
+        elif now_ms - since_ms >= UNREACHABLE_RELEASE_MS:
+            self._unreachable_since_ms = None
             self._release()
 
     def _release(self) -> None:
         now_ms = self._clock.now_ms()
-        for write in self._claims.release(now_ms, now_ms + OUT_MS):
-            self._start(self._claim(write))
+        for write in self._claims.release(now_ms, now_ms + CLAIM_PAUSE_MS):
+            self._start_task(self._write_claim(write))
--- a/savorychute/gateway/daemon/early_listeners.py
+++ b/savorychute/gateway/daemon/early_listeners.py
@@ -12,27 +12,29 @@
     from collections.abc import Iterator, Mapping
     from pathlib import Path
 
-# Where callers come without being asked: with requests, and with questions for addresses.
-EARLY_SETTINGS = ('caller_address', 'discovery_address')
-# Callers that wait here are read when the gateway runs, within about half a second.
-BACKLOG = 512
+# Addresses that callers connect to: for requests, and for discovery.
+EARLY_ADDRESS_SETTINGS = ('caller_address', 'discovery_address')
+# Connections that queue here are served once the gateway runs, within about 0.5 s.
+BACKLOG_CONNECTIONS = 512
 
 EarlyListeners = dict[str, socket.socket]
 
 
 @contextmanager
 def open_early_listeners(path: Path | str) -> Iterator[EarlyListeners]:
-    """Listen on the addresses of a settings file until the block ends, by address.
+    """Listen on the addresses of a settings file until the block ends.
 
-    After a loss of all power each instance starts at the same moment, and callers have
-    one retry.  Loading a gateway takes 0.2 s of processor time more than an interpreter;
-    a port on which nobody listens resets its callers meanwhile, and they fail.  A
-    listening socket keeps them until they can be served.
+    After a complete loss of power all instances start at the same time, and
+    callers have one retry.  Loading a gateway takes 0.2 s of processor time more than
+    starting an interpreter.  Meanwhile the kernel would reset connections to a port
+    that is not listening, and callers would fail; a listening socket queues them until
+    they can be served.
 
-    The settings are checked later, with all their faults; an address that cannot be read
-    or used here is left to that.
+    Settings are validated later, with all their faults.  An address that cannot be read
+    or used here is skipped.
 
-    :param path: the settings file.
+    :param path: path of the settings file.
+    :returns: the sockets, by address.
     """
     with ExitStack() as stack:
         listeners: EarlyListeners = {}
@@ -40,7 +42,7 @@
             try:
                 listener = _listen(address)
             except (OSError, ValueError, OverflowError):
-                # The gateway itself will listen, or tell the error with its reason.
+                # The gateway itself listens later, or reports the error.
                 continue
             listeners[address] = stack.enter_context(listener)
         yield listeners
@@ -54,16 +56,16 @@
         return []
     if not isinstance(document, dict):
         return []
-    return _strings(document)
+    return _select_addresses(document)
 
 
-def _strings(document: Mapping[str, object]) -> list[str]:
-    found = [document.get(name) for name in EARLY_SETTINGS]
-    return [each for each in found if isinstance(each, str)]
+def _select_addresses(document: Mapping[str, object]) -> list[str]:
+    values = [document.get(name) for name in EARLY_ADDRESS_SETTINGS]
+    return [value for value in values if isinstance(value, str)]
 
 
 def _listen(address: str) -> socket.socket:
     host, _, port = address.rpartition(':')
-    listener = socket.create_server((host, int(port)), backlog=BACKLOG)
+    listener = socket.create_server((host, int(port)), backlog=BACKLOG_CONNECTIONS)
     listener.setblocking(False)
     return listener
--- a/savorychute/gateway/daemon/entry_keeper.py
+++ b/savorychute/gateway/daemon/entry_manager.py
@@ -1,4 +1,4 @@
-"""Keeps this instance's entry in the store, and what the entries of all say."""
+"""Manages this instance's entry in the store, and reads the entries of all."""
 
 from __future__ import annotations
 
@@ -22,20 +22,21 @@
 
 TOPIC = 'instances'
 REGISTER_RETRY_MS = 500
-# After a cap of the repeats that the store did not take in.
-CAP_RETRY_MS = 500
-# All instances write again after the store went back; together they would be refused.
-ENTER_AGAIN_MS = 1_000
+# Delay after a failed write of the cap on retries.
+CAP_WRITE_RETRY_MS = 500
+# All instances register again after the store went back to an older copy.  The writes
+# are spread over this time, because the store would refuse them if they came at once.
+REREGISTER_SPREAD_MS = 1_000
 
 
-class EntryKeeper:
-    """Writes the entry, and lets the allowance of repeats follow the entries.
+class EntryManager:
+    """Writes the entry, and keeps the allowance of retries in step with all entries.
 
-    :param registration: this instance's entry.
-    :param allowance: of repeats, divided by all instances.
-    :param clock: the time.
-    :param rng: the source of random choices.
-    :param telemetry: is told of failures of the store.
+    :param registration: the entry of this instance.
+    :param allowance: allowance of retries, which all instances share.
+    :param clock: monotonic clock.
+    :param rng: random number generator.
+    :param telemetry: logs failures of the store.
     """
 
     def __init__(
@@ -48,19 +49,19 @@
     ) -> None:
         self.registration = registration
         self._allowance = allowance
-        allowance.cap.on_needed = self.follow_cap
+        allowance.cap.on_needed = self.update_retry_cap
         self._clock = clock
         self._rng = rng
         self._telemetry = telemetry
         self._sharers = SlackSharers()
-        self._counted: MemberView | None = None
-        self._absent = AbsentInstances()
+        self._counted_view: MemberView | None = None
+        self._absent_instances = AbsentInstances()
         self._registered = False
-        self._next_cap_ms = 0
-        self._writing_cap: asyncio.Task[None] | None = None
+        self._next_cap_write_ms = 0
+        self._cap_task: asyncio.Task[None] | None = None
 
     async def register(self) -> None:
-        """Enter this instance, however long the store is away."""
+        """Register this instance; try again until the store is available."""
         while True:
             try:
                 await self.registration.register(self._allowance.inherit)
@@ -73,23 +74,23 @@
                 self._registered = True
                 return
 
-    async def leave(self, repeats: float | None) -> None:
+    async def leave(self, max_retries: float | None) -> None:
         """Write that this instance has left.
 
-        :param repeats: the most that it can have sent to a service within the window of
-            the retry bounds; None if it does not know.
+        :param max_retries: the most retries that it can have sent to a service within
+            the window of the retry bounds; None if that is unknown.
         """
         try:
-            await self.registration.leave(repeats)
+            await self.registration.leave(max_retries)
         except StoreUnavailableError as error:
             self._telemetry.store_failed(TOPIC, error)
 
-    async def enter_again(self) -> InstanceListing | None:
-        """Write again what the store has lost, at another moment than the others do.
+    async def reregister(self) -> InstanceListing | None:
+        """Write the entries that the store has lost, after a random delay.
 
-        :returns: the entries of all; None if the store does not answer.
+        :returns: the entries of all instances; None if the store is unavailable.
         """
-        await asyncio.sleep(self._rng.uniform(0, ENTER_AGAIN_MS) / MS_PER_S)
+        await asyncio.sleep(self._rng.uniform(0, REREGISTER_SPREAD_MS) / MS_PER_S)
         try:
             listing = await self.registration.enter_again()
         except StoreUnavailableError as error:
@@ -99,19 +100,19 @@
         return listing
 
     async def fetch_listing(self, view: MemberView) -> InstanceListing | None:
-        """Return the entries of all; None if the store does not answer.
+        """Return the entries of all instances; None if the store is unavailable.
 
-        An entry of this instance that is missing is written again, and those of instances
-        that have been gone for long are removed.
+        If the entry of this instance is missing it is written again.  Entries of
+        instances that have been absent for a long time are removed.
 
-        :param view: who is alive.
+        :param view: the current members.
         """
         own = self.registration.address
         try:
             listing = await self.registration.list_instances()
             if own not in listing.live and own.instance not in view.leaving:
                 await self.registration.enter()
-            for instance in self._find_absent(listing, view):
+            for instance in self._find_long_absent(listing, view):
                 await self.registration.remove(instance)
         except StoreUnavailableError as error:
             self._telemetry.store_failed(TOPIC, error)
@@ -119,53 +120,55 @@
         self._telemetry.store_answered(TOPIC)
         return listing
 
-    def _find_absent(
+    def _find_long_absent(
         self, listing: InstanceListing, view: MemberView
     ) -> frozenset[str]:
         present = {member.instance for member in view.alive} | view.leaving
         present |= {self.registration.address.instance}
-        return self._absent.find_lasting(listing.names - present, self._clock.now_ms())
+        return self._absent_instances.find_lasting(
+            listing.names - present, self._clock.now_ms()
+        )
 
-    def take_listing(self, listing: InstanceListing, view: MemberView) -> None:
+    def apply_listing(self, listing: InstanceListing, view: MemberView) -> None:
         """Count the instances that the store lists.
 
-        :param listing: the entries of all.
-        :param view: who is alive.
+        :param listing: the entries of all instances.
+        :param view: the current members.
         """
         self._sharers.list(listing.names)
-        self._counted = None
-        self.follow_members(view)
+        self._counted_view = None
+        self.set_members(view)
 
-    def follow_members(self, view: MemberView) -> None:
-        """Count instances that have started since the listing.
+    def set_members(self, view: MemberView) -> None:
+        """Count instances that have started since the last listing.
 
-        :param view: who is alive.
+        :param view: the current members.
         """
-        if view is self._counted:
+        if view is self._counted_view:
             return
-        self._counted = view
+        self._counted_view = view
         self._sharers.meet(member.instance for member in view.alive)
         self._allowance.instances = self._sharers.count
 
-    def follow_cap(self) -> None:
-        """Let the entry state the cap of the repeats that the allowance needs."""
-        is_writing = self._writing_cap is not None and not self._writing_cap.done()
+    def update_retry_cap(self) -> None:
+        """Start writing the cap on retries that the allowance needs, if it changed."""
+        is_writing = self._cap_task is not None and not self._cap_task.done()
         now_ms = self._clock.now_ms()
-        if not self._registered or is_writing or now_ms < self._next_cap_ms:
+        if not self._registered or is_writing or now_ms < self._next_cap_write_ms:
             return
         change = self._allowance.cap_change(now_ms)
         if change is None:
             return
         loop = asyncio.get_running_loop()
-        self._writing_cap = loop.create_task(self._write_cap(change))
+        self._cap_task = loop.create_task(self._write_cap(change))
 
-    async def _write_cap(self, repeats: float) -> None:
-        self._allowance.cap.change_begins(repeats)
+    async def _write_cap(self, max_retries: float) -> None:
+        self._allowance.cap.change_begins(max_retries)
         try:
-            await self.registration.allow_repeats(repeats)
+            await self.registration.allow_repeats(max_retries)
         except StoreUnavailableError as error:
-            self._next_cap_ms = self._clock.now_ms() + CAP_RETRY_MS
+            self._next_cap_write_ms = self._clock.now_ms() + CAP_WRITE_RETRY_MS
             self._telemetry.store_failed(TOPIC, error)
             return
-        self._allowance.cap.change_is_known(repeats)
-        self._telemetry.repeats_allowed(repeats)
+        self._allowance.cap.change_is_known(max_retries)
+        self._telemetry.repeats_allowed(max_retries)
--- a/savorychute/gateway/daemon/surroundings.py
+++ b/savorychute/gateway/daemon/environment.py
@@ -1,4 +1,4 @@
-"""What a gateway is given from outside."""
+"""External dependencies of a gateway."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     from savorychute.logs import InstanceLog
 
 
-class Surroundings(NamedTuple):
-    """Settings, the way to the platform, time and chance."""
+class GatewayEnvironment(NamedTuple):
+    """Settings, platform access, clocks and randomness for building a gateway."""
 
     settings: GatewaySettings
     adapter: PlatformAdapter
--- a/savorychute/gateway/daemon/gateway_host.py
+++ b/savorychute/gateway/daemon/gateway_host.py
@@ -1,4 +1,4 @@
-"""A complete gateway with its sockets."""
+"""Handles the requests that reach a gateway's servers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from savorychute.clock import MS_PER_S
 from savorychute.gateway.daemon.caller_exchange import CallerExchange
-from savorychute.gateway.daemon.leaving import plan_leaving
+from savorychute.gateway.daemon.shutdown_plan import plan_shutdown
 from savorychute.gateway.discovery.advertised import NOT_READY
 from savorychute.gateway.requests.refusal import Refusal
 from savorychute.gateway.requests.request_course import RequestCourse
@@ -31,15 +31,15 @@
     from savorychute.http.http_server import HttpServer
     from savorychute.http.server_exchange import ServerExchange
 
-LEAVING_STEP_MS = 50
-HOUSEKEEPING_MS = 250
-ELSEWHERE_MS = 50
-# Between two summaries in the log: of what engines have shown, and of calls to the store.
-# A line takes about 0.1 ms.
-SUMMARY_MS = 5_000
-# Callers reuse connections up to the announced idle time; closing a little later keeps
-# a request from crossing the close.
-IDLE_FACTOR = 1.25
+SHUTDOWN_POLL_INTERVAL_MS = 50
+HOUSEKEEPING_INTERVAL_MS = 250
+LEAVING_RETRY_AFTER_MS = 50
+# Interval between two log summaries of engine models and of calls to the store.
+# Writing a line takes about 0.1 ms.
+SUMMARY_INTERVAL_MS = 5_000
+# Callers reuse connections up to the configured idle timeout.  The server closes them a
+# little later, so that no request is sent while the connection is being closed.
+IDLE_TIMEOUT_FACTOR = 1.25
 METRICS_PATH = '/metrics'
 STATUS_OK = 200
 STATUS_NOT_FOUND = 404
@@ -47,15 +47,15 @@
 
 
 class GatewayHost:
-    """Takes requests from the servers and gives each its course.
+    """Admits requests from the servers and starts the execution of each.
 
-    :param settings: of the instance.
-    :param parts: state and ports.
-    :param intake: admits requests.
-    :param adapter: how the platform, callers and endpoints speak.
+    :param settings: settings of the instance.
+    :param parts: state and ports that all requests share.
+    :param intake: admits or refuses requests.
+    :param adapter: translates the protocols of the platform, callers and endpoints.
     :param peers: the other instances.
-    :param directory: what callers are told.
-    :param duties: what this instance may do for all; None for nothing.
+    :param directory: chooses the addresses that callers receive.
+    :param duties: carries out duties for all instances; None if there are none.
     """
 
     def __init__(
@@ -77,17 +77,17 @@
         self._duties = duties
         self._leaving_since_ms: int | None = None
         self._last_request_ms = 0
-        self._summary_ms = 0
-        self._plan = plan_leaving(settings.grace_s)
+        self._last_summary_ms = 0
+        self._shutdown_plan = plan_shutdown(settings.grace_s)
         self.in_progress = 0
         self.caller_server: HttpServer | None = None
 
     @property
     def ready(self) -> bool:
-        """Whether callers should come here.
+        """Whether callers should send requests to this instance.
 
-        An instance that the store turns away refuses keys after a while; callers find
-        another one sooner if this one says so before they ask.
+        An instance that cannot read the store refuses keys after a while.  Reporting
+        this here lets callers choose another instance before they are refused.
         """
         configuration = self._parts.configuration
         if self._leaving_since_ms is not None or configuration.table is None:
@@ -95,8 +95,8 @@
         now_ms = self._parts.clock.now_ms()
         return not configuration.table.needs_keys or configuration.trusts_keys(now_ms)
 
-    def serve_callers(self, server: HttpServer) -> None:
-        """Take the server that callers reach, once it listens.
+    def attach_caller_server(self, server: HttpServer) -> None:
+        """Attach the server for callers once it listens, and apply limits to it.
 
         :param server: the server.
         """
@@ -106,29 +106,29 @@
             self.apply_limits(table.deployment)
 
     async def run(self) -> None:
-        """Do what is due now and then, until the task is cancelled."""
+        """Do periodic housekeeping until the task is cancelled."""
         while True:
             version = self._parts.configuration.version
-            self._peers.ready_version = version if self.ready else NOT_READY
+            self._peers.advertised_version = version if self.ready else NOT_READY
             self._parts.roster.expire(self._parts.clock.now_ms())
             self._parts.telemetry.tell_omitted()
-            self._summarise(self._parts.clock.now_ms())
-            await asyncio.sleep(HOUSEKEEPING_MS / MS_PER_S)
+            self._log_summaries(self._parts.clock.now_ms())
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_MS / MS_PER_S)
 
-    def _summarise(self, now_ms: int) -> None:
-        if now_ms - self._summary_ms < SUMMARY_MS:
+    def _log_summaries(self, now_ms: int) -> None:
+        if now_ms - self._last_summary_ms < SUMMARY_INTERVAL_MS:
             return
-        self._summary_ms = now_ms
+        self._last_summary_ms = now_ms
         self._parts.telemetry.store_used()
         for service, figures in self._parts.engines.figures().items():
             self._parts.telemetry.engines_learned(service, figures)
 
     # -- requests
 
-    def take_request(self, exchange: ServerExchange) -> None:
-        """Take a caller's request.
+    def handle_request(self, exchange: ServerExchange) -> None:
+        """Handle a caller's request.
 
-        :param exchange: the request and the means to answer it.
+        :param exchange: the request and the way to respond to it.
         """
         now_ms = self._parts.clock.now_ms()
         self._last_request_ms = now_ms
@@ -138,7 +138,9 @@
         except TranslationError as error:
             caller.refuse(Refusal(ResultCode.BAD_FIELD, Ran.NOT_RUN, error.message))
             return
-        verdict = self._refuse_leaving(now_ms) or self._intake.admit(request, now_ms)
+        verdict = self._refuse_while_leaving(now_ms) or self._intake.admit(
+            request, now_ms
+        )
         if isinstance(verdict, Refusal):
             configuration = self._parts.configuration
             self._parts.telemetry.request_refused(
@@ -146,41 +148,41 @@
             )
             caller.refuse(verdict)
             return
-        course = RequestCourse(self._parts, request, verdict, caller)
-        exchange.on_left = course.caller_left
+        execution = RequestCourse(self._parts, request, verdict, caller)
+        exchange.on_left = execution.caller_left
         self.in_progress += 1
-        course.on_finished = self._note_finished
-        course.start()
+        execution.on_finished = self._record_finished
+        execution.start()
 
-    def _note_finished(self) -> None:
+    def _record_finished(self) -> None:
         self.in_progress -= 1
 
-    def _refuse_leaving(self, now_ms: int) -> Refusal | None:
+    def _refuse_while_leaving(self, now_ms: int) -> Refusal | None:
         since_ms = self._leaving_since_ms
-        if since_ms is None or now_ms - since_ms < self._plan.refuse_ms:
+        if since_ms is None or now_ms - since_ms < self._shutdown_plan.refuse_after_ms:
             return None
         code = ResultCode.SHUTTING_DOWN
-        return Refusal(code, Ran.NOT_RUN, 'leaving', ELSEWHERE_MS)
+        return Refusal(code, Ran.NOT_RUN, 'leaving', LEAVING_RETRY_AFTER_MS)
 
-    # -- the platform's and the callers' other questions
+    # -- readiness, discovery and metrics
 
-    def take_readiness(self, exchange: ServerExchange) -> None:
-        """Answer whether this instance is ready."""
+    def handle_readiness(self, exchange: ServerExchange) -> None:
+        """Respond whether this instance is ready."""
         if not self._adapter.is_readiness(exchange.request):
             exchange.respond(STATUS_NOT_FOUND, (), b'')
             return
         exchange.respond(STATUS_OK if self.ready else STATUS_UNAVAILABLE, (), b'')
 
-    def take_discovery(self, exchange: ServerExchange) -> None:
-        """Answer which addresses a caller should use."""
-        question = self._adapter.decode_discovery(exchange.request)
-        if question is None:
+    def handle_discovery(self, exchange: ServerExchange) -> None:
+        """Respond with the addresses that a caller should use."""
+        query = self._adapter.decode_discovery(exchange.request)
+        if query is None:
             exchange.respond(STATUS_NOT_FOUND, (), b'')
             return
         view = self._peers.view()
-        suspects = view.suspects | view.leaving if view is not None else frozenset()
+        excluded = view.suspects | view.leaving if view is not None else frozenset()
         members = self._directory.choose(
-            question, self.ready, suspects, self._parts.clock.now_ms()
+            query, self.ready, excluded, self._parts.clock.now_ms()
         )
         if not members:
             exchange.respond(STATUS_UNAVAILABLE, (), b'')
@@ -192,16 +194,16 @@
             response.status, tuple(response.headers.items()), response.body
         )
 
-    def take_metrics(self, exchange: ServerExchange) -> None:
-        """Answer with the metrics."""
+    def handle_metrics(self, exchange: ServerExchange) -> None:
+        """Respond with the metrics."""
         if exchange.request.target != METRICS_PATH:
             exchange.respond(STATUS_NOT_FOUND, (), b'')
             return
-        self._sample()
+        self._sample_gauges()
         body, headers = self._parts.telemetry.metrics.render()
         exchange.respond(STATUS_OK, tuple(headers.items()), body)
 
-    def _sample(self) -> None:
+    def _sample_gauges(self) -> None:
         metrics = self._parts.telemetry.metrics
         configuration = self._parts.configuration
         view = self._peers.view()
@@ -222,27 +224,27 @@
 
     @property
     def telemetry(self) -> GatewayTelemetry:
-        """Where what happens is told."""
+        """The telemetry of this instance."""
         return self._parts.telemetry
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Follow changed settings, as far as a running process can.
+        """Apply changed settings, as far as a running process can.
 
-        Addresses stay until the next start: a listening socket that moved would cut
-        off those who use it.
+        Addresses stay until the next start: moving a listening socket would close the
+        connections of those who use it.
 
-        :param settings: the new ones.
+        :param settings: the new settings.
         """
         self._settings = settings
-        self._plan = plan_leaving(settings.grace_s)
+        self._shutdown_plan = plan_shutdown(settings.grace_s)
         self._parts.telemetry.log.level = LogLevel[settings.log_level.upper()]
         self._parts.allowance.bounds = read_bounds(settings)
         self._parts.configuration.key_trust_ms = key_trust_ms(settings)
 
     def apply_limits(self, deployment: Deployment) -> None:
-        """Follow a version of the configuration that is now in force.
+        """Apply the limits of the configuration version that is now in force.
 
-        :param deployment: the version.
+        :param deployment: the configuration version.
         """
         server = self.caller_server
         if server is None:
@@ -252,30 +254,32 @@
             header_bytes=limits.header_bytes,
             body_bytes=limits.body_bytes,
             header_timeout_ms=limits.header_timeout_ms,
-            idle_timeout_ms=int(IDLE_FACTOR * limits.idle_timeout_ms),
+            idle_timeout_ms=int(IDLE_TIMEOUT_FACTOR * limits.idle_timeout_ms),
         )
 
     # -- leaving
 
     async def leave(self) -> None:
-        """Serve those who still hold this address, then end."""
-        began_ms = self._parts.clock.now_ms()
-        self._leaving_since_ms = began_ms
+        """Serve callers that still use this address, then end."""
+        started_ms = self._parts.clock.now_ms()
+        self._leaving_since_ms = started_ms
         if self.caller_server is not None:
             self.caller_server.closing = True
         if self._duties is not None:
             self._duties.leave()
-        repeats = self._parts.allowance.close(began_ms)
-        farewell = asyncio.get_running_loop().create_task(self._peers.leave(repeats))
-        while not self._may_end(self._parts.clock.now_ms() - began_ms):
-            await asyncio.sleep(LEAVING_STEP_MS / MS_PER_S)
-        self._peers.tell_usage()
-        farewell.cancel()
-
-    def _may_end(self, leaving_ms: int) -> bool:
-        if leaving_ms >= self._plan.end_ms:
+        max_retries = self._parts.allowance.close(started_ms)
+        leave_task = asyncio.get_running_loop().create_task(
+            self._peers.leave(max_retries)
+        )
+        while not self._can_end(self._parts.clock.now_ms() - started_ms):
+            await asyncio.sleep(SHUTDOWN_POLL_INTERVAL_MS / MS_PER_S)
+        self._peers.report_usage()
+        leave_task.cancel()
+
+    def _can_end(self, leaving_ms: int) -> bool:
+        if leaving_ms >= self._shutdown_plan.max_ms:
             return True
-        if self.in_progress or leaving_ms < self._plan.least_ms:
+        if self.in_progress or leaving_ms < self._shutdown_plan.min_ms:
             return False
-        quiet_ms = self._parts.clock.now_ms() - self._last_request_ms
-        return quiet_ms >= self._plan.quiet_ms
+        idle_ms = self._parts.clock.now_ms() - self._last_request_ms
+        return idle_ms >= self._shutdown_plan.idle_ms
--- a/savorychute/gateway/daemon/loop_timers.py
+++ b/savorychute/gateway/daemon/loop_timers.py
@@ -1,4 +1,4 @@
-"""Timers of the running loop."""
+"""Timers of the running event loop."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class LoopTimers:
-    """Sets timers on the loop that runs."""
+    """Sets timers on the running event loop."""
 
     def call_later(
         self, delay_ms: int, callback: Callable[[], None]
     ) -> asyncio.TimerHandle:
-        """Call back once, after a delay.
+        """Call a function once, after a delay.
 
-        :param delay_ms: from now.
-        :param callback: takes nothing.
+        :param delay_ms: delay from now.
+        :param callback: called without arguments.
         """
         return asyncio.get_running_loop().call_later(delay_ms / MS_PER_S, callback)
--- a/savorychute/gateway/daemon/peer_group.py
+++ b/savorychute/gateway/daemon/peer_group.py
@@ -1,4 +1,4 @@
-"""This instance among its peers."""
+"""Takes part in the group of instances."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from savorychute.actions.send_peer import SendPeer
 from savorychute.clock import MS_PER_S
 from savorychute.daemon.peer_link import open_peer_link
-from savorychute.gateway.daemon.peer_messages import PeerMessages
+from savorychute.gateway.daemon.peer_message_router import PeerMessageRouter
 from savorychute.gateway.discovery.advertised import NOT_READY
 from savorychute.inputs.listing_fetched import ListingFetched
 from savorychute.inputs.peer_received import PeerReceived
@@ -24,8 +24,8 @@
     from savorychute.actions import Action
     from savorychute.clock import Clock
     from savorychute.daemon.peer_link import PeerLink
-    from savorychute.gateway.daemon.entry_keeper import EntryKeeper
-    from savorychute.gateway.daemon.peer_messages import PeerParts
+    from savorychute.gateway.daemon.entry_manager import EntryManager
+    from savorychute.gateway.daemon.peer_message_router import PeerParts
     from savorychute.gateway.store.instance_entry import InstanceListing
     from savorychute.gateway.store.store_era import StoreEra
     from savorychute.gateway.telemetry import GatewayTelemetry
@@ -33,34 +33,34 @@
     from savorychute.membership.member_view import MemberView
 
 TICK_MS = 100
-# Two probes a second: a peer that was killed is suspected within about a second, and
-# callers are told other addresses.
-SETTINGS = MembershipSettings(
+# With two probes a second a killed peer is suspected within about 1 s, and callers
+# receive other addresses.
+MEMBERSHIP_SETTINGS = MembershipSettings(
     probe_period_ms=500,
     probe_timeout_ms=200,
     suspicion_ms=2_000,
     challenge_ms=800,
     dead_retry_period_ms=2_000,
-    # Members meet by gossip; a listing only finds those that no gossip reached.
+    # Members find each other by gossip; a listing finds only those it did not reach.
     listing_period_ms=30_000,
     listing_spacing_ms=500,
 )
 
 
 class PeerGroup:
-    """Registers in the store, probes the others, and hears who is ready.
-
-    :param entry: of this instance in the store.
-    :param eras: the newest era that is known of the store.
-    :param parts: what others hear of.
-    :param clock: the time.
-    :param rng: the source of random choices.
-    :param telemetry: is told of members that come and go.
+    """Registers in the store, probes other instances, and records which are ready.
+
+    :param entry: manages the entry of this instance in the store.
+    :param eras: the newest known era of the store.
+    :param parts: the parts that exchange messages with other instances.
+    :param clock: monotonic clock.
+    :param rng: random number generator.
+    :param telemetry: logs changes of members.
     """
 
     def __init__(
         self,
-        entry: EntryKeeper,
+        entry: EntryManager,
         eras: StoreEra,
         parts: PeerParts,
         clock: Clock,
@@ -70,9 +70,9 @@
         self._entry = entry
         self._registration = entry.registration
         self._eras = eras
-        self._entering = False
+        self._reregistering = False
         self._parts = parts
-        self._messages = PeerMessages(parts, rng)
+        self._message_router = PeerMessageRouter(parts, rng)
         self._clock = clock
         self._rng = rng
         self._telemetry = telemetry
@@ -80,14 +80,14 @@
         self._link: PeerLink | None = None
         self._codec: PeerCodec | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self.ready_version = NOT_READY
+        self.advertised_version = NOT_READY
 
     def view(self) -> MemberView | None:
         """Return the members, or None before this instance has registered."""
         return self._membership.view() if self._membership is not None else None
 
     async def run(self) -> None:
-        """Take part until the task is cancelled."""
+        """Take part in the group until the task is cancelled."""
         await self._entry.register()
         keys = self._registration.keys
         assert keys is not None
@@ -97,87 +97,89 @@
         async with open_peer_link(codec, address.host, address.peer_port) as link:
             self._link = link
             self._parts.permits.send = link.send
-            self._membership = Membership(SETTINGS, address, self._rng)
-            link.on_input = self._take
-            self._take_listing(self._registration.listing)
+            self._membership = Membership(MEMBERSHIP_SETTINGS, address, self._rng)
+            link.on_input = self._receive
+            self._apply_listing(self._registration.listing)
             while True:
                 self._tick()
                 await asyncio.sleep(TICK_MS / MS_PER_S)
 
-    async def leave(self, repeats: float | None) -> None:
-        """Tell the others, and write that this instance has left.
+    async def leave(self, max_retries: float | None) -> None:
+        """Notify the other instances, and write that this instance has left.
 
-        :param repeats: the most that it can have sent to a service within the window of
-            the retry bounds; None if it does not know.
+        :param max_retries: the most retries that it can have sent to a service within
+            the window of the retry bounds; None if that is unknown.
         """
         if self._membership is None:
             return
-        self._carry_out(self._membership.leave(self._clock.now_ms()))
-        await self._entry.leave(repeats)
+        self._execute(self._membership.leave(self._clock.now_ms()))
+        await self._entry.leave(max_retries)
 
-    def tell_usage(self) -> None:
-        """Tell the last counts, before this instance ends."""
+    def report_usage(self) -> None:
+        """Send the last usage counts before this instance ends."""
         if self._parts.usage is not None:
-            self._carry_out(self._parts.usage.tell())
+            self._execute(self._parts.usage.tell())
 
     def _tick(self) -> None:
         membership = self._membership
         assert membership is not None
         now_ms = self._clock.now_ms()
-        membership.advertise(self.ready_version, self._messages.make_news(now_ms))
-        if self._eras.current != self._registration.era and not self._entering:
-            self._entering = True
-            self._start(self._enter_again())
-        self._carry_out(membership.tick(now_ms))
+        membership.advertise(
+            self.advertised_version, self._message_router.make_update(now_ms)
+        )
+        if self._eras.current != self._registration.era and not self._reregistering:
+            self._reregistering = True
+            self._start_task(self._reregister())
+        self._execute(membership.tick(now_ms))
         view = membership.view()
-        self._entry.follow_members(view)
-        self._entry.follow_cap()
-        self._carry_out(self._messages.tick(view, now_ms))
+        self._entry.set_members(view)
+        self._entry.update_retry_cap()
+        self._execute(self._message_router.tick(view, now_ms))
         for change in membership.take_changes():
             self._telemetry.member_changed(change)
 
-    def _take(self, received: Input) -> None:
+    def _receive(self, received: Input) -> None:
         membership = self._membership
         if membership is None or not isinstance(received, PeerReceived):
             return
         sender, message = received
         now_ms = self._clock.now_ms()
-        self._carry_out(membership.receive(sender, message, now_ms))
+        self._execute(membership.receive(sender, message, now_ms))
         view = membership.view()
-        self._carry_out(self._messages.take(sender, message, view, now_ms))
-        self._messages.follow_readiness(sender, message, view, now_ms)
+        self._execute(self._message_router.handle(sender, message, view, now_ms))
+        self._message_router.record_readiness(sender, message, view, now_ms)
 
-    def _carry_out(self, actions: Iterable[Action]) -> None:
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in actions:
             if isinstance(action, SendPeer) and self._link is not None:
                 self._link.send(action)
             elif isinstance(action, FetchListing):
-                self._start(self._fetch_listing())
+                self._start_task(self._fetch_listing())
 
-    def _start(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _enter_again(self) -> None:
+    async def _reregister(self) -> None:
         try:
-            listing = await self._entry.enter_again()
+            listing = await self._entry.reregister()
         finally:
-            self._entering = False
+            self._reregistering = False
         if listing is None:
             return
         if self._codec is not None and self._registration.keys is not None:
             self._codec.keys = self._registration.keys
-        self._take_listing(listing)
+        self._apply_listing(listing)
 
     async def _fetch_listing(self) -> None:
         assert self._membership is not None
         listing = await self._entry.fetch_listing(self._membership.view())
         if listing is not None:
-            self._take_listing(listing)
+            self._apply_listing(listing)
 
-    def _take_listing(self, listing: InstanceListing) -> None:
+    def _apply_listing(self, listing: InstanceListing) -> None:
         assert self._membership is not None
-        self._entry.take_listing(listing, self._membership.view())
+        self._entry.apply_listing(listing, self._membership.view())
         fetched = ListingFetched(live=listing.live, leaving=frozenset(), ok=True)
-        self._carry_out(self._membership.apply_listing(fetched, self._clock.now_ms()))
+        self._execute(self._membership.apply_listing(fetched, self._clock.now_ms()))
--- a/savorychute/gateway/daemon/peer_messages.py
+++ b/savorychute/gateway/daemon/peer_message_router.py
@@ -1,4 +1,4 @@
-"""What instances tell and ask each other, besides who is alive."""
+"""Messages between instances, other than those of the membership."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 
 
 class PeerParts(NamedTuple):
-    """The parts of an instance that others hear of, or that follow who is alive.
+    """The parts of an instance that exchange messages, or that need the members.
 
-    ``count_streams`` tells how many steady streams of this instance run; ``usage`` is None
-    where nobody reports any.
+    ``count_streams`` returns how many steady streams of this instance run.  ``usage``
+    is None if usage is not reported.
     """
 
     directory: InstanceDirectory
@@ -58,22 +58,22 @@
     time: TrueTime
 
 
-class PeerMessages:
-    """Hands messages to the parts that they are for, and collects what is due.
+class PeerMessageRouter:
+    """Routes messages to the parts that handle them, and collects messages to send.
 
-    :param parts: of this instance.
-    :param rng: chooses whom to ask.
+    :param parts: parts of this instance.
+    :param rng: random number generator, which chooses the instances to query.
     """
 
     def __init__(self, parts: PeerParts, rng: random.Random) -> None:
         self.parts = parts
-        self._spread = CrashSpread(parts.crashes)
-        self._inquiry = CrashInquiry(rng)
+        self._crash_broadcaster = CrashSpread(parts.crashes)
+        self._crash_inquiry = CrashInquiry(rng)
 
-    def make_news(self, now_ms: int) -> MemberNews:
-        """Return what the others are told with each probe.
+    def make_update(self, now_ms: int) -> MemberNews:
+        """Return the update that each probe carries to other instances.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         parts = self.parts
         return MemberNews(
@@ -85,10 +85,10 @@
         )
 
     def tick(self, view: MemberView, now_ms: int) -> list[SendPeer]:
-        """Let the parts follow the members; return the messages that are due.
+        """Pass the current members to the parts; return the messages that are due.
 
-        :param view: who is alive.
-        :param now_ms: the time.
+        :param view: the current members.
+        :param now_ms: the current time.
         """
         parts = self.parts
         parts.plan.follow(view)
@@ -96,35 +96,39 @@
         parts.demand.observe(parts.count_streams(), len(view.alive), now_ms)
         parts.shortages.instances = max(1, len(view.alive))
         parts.candidates.follow(view)
-        due = self._spread.tick(view, now_ms)
-        due += self._inquiry.tick(view, now_ms)
-        due += parts.reading.tick(now_ms)
+        messages = self._crash_broadcaster.tick(view, now_ms)
+        messages += self._crash_inquiry.tick(view, now_ms)
+        messages += parts.reading.tick(now_ms)
         if parts.usage is not None:
-            due += parts.usage.tick(now_ms)
-        return due
+            messages += parts.usage.tick(now_ms)
+        return messages
 
-    def take(
+    def handle(
         self, sender: str, message: tuple[Any, ...], view: MemberView, now_ms: int
     ) -> list[SendPeer]:
-        """Take a message in; return the answers to it.
+        """Handle a message; return the responses to it.
 
-        :param sender: the instance that sent it.
-        :param message: any message; one that is for no part is passed over.
-        :param view: who is alive.
-        :param now_ms: the time.
+        :param sender: the instance that sent the message.
+        :param message: any message; one that no part handles is ignored.
+        :param view: the current members.
+        :param now_ms: the current time.
         """
         parts = self.parts
         match message:
             case CrashNews():
                 parts.crashes.take_in(message.sightings, now_ms - message.age_ms)
             case CrashQuestion():
-                asker = view.address_of(sender)
-                return [] if asker is None else self._spread.answer(asker, now_ms)
+                requester = view.address_of(sender)
+                return (
+                    []
+                    if requester is None
+                    else self._crash_broadcaster.answer(requester, now_ms)
+                )
             case StoreAnswer():
                 parts.reading.take_answer(message, now_ms)
             case StoreQuestion():
-                answer = parts.reading.answer(message, now_ms)
-                return _reply(view, sender, answer)
+                response = parts.reading.answer(message, now_ms)
+                return _reply(view, sender, response)
             case PermitAnswer():
                 parts.permits.take_answer(message)
             case PermitQuestion():
@@ -133,10 +137,12 @@
                 if parts.usage is not None:
                     parts.usage.take(sender, message)
             case Ping() | Ack():
-                self._hear(sender, message, now_ms)
+                self._record_reported_state(sender, message, now_ms)
         return []
 
-    def _hear(self, sender: str, probe: Ping | Ack, now_ms: int) -> None:
+    def _record_reported_state(
+        self, sender: str, probe: Ping | Ack, now_ms: int
+    ) -> None:
         parts = self.parts
         parts.demand.hear(probe.load, now_ms)
         parts.shortages.hear(probe.shortages, now_ms)
@@ -144,24 +150,26 @@
         parts.statements.leaving.hear(probe.leaving, now_ms)
         parts.time.hear(sender, probe.wall_ms, now_ms)
 
-    def follow_readiness(
+    def record_readiness(
         self, sender: str, message: tuple[Any, ...], view: MemberView, now_ms: int
     ) -> None:
-        """Note whether callers may be sent to another instance.
+        """Record whether callers may be sent to another instance.
 
         :param sender: the instance that sent a message.
         :param message: the message.
-        :param view: who is alive, with what the message has changed.
-        :param now_ms: the time.
+        :param view: the current members, after the message was applied.
+        :param now_ms: the current time.
         """
-        said = read_advertised(message)
-        if said is not None:
-            ready = said.ready and sender not in view.leaving
-            self.parts.directory.hear(said.address, ready, now_ms)
+        advertised = read_advertised(message)
+        if advertised is not None:
+            ready = advertised.ready and sender not in view.leaving
+            self.parts.directory.hear(advertised.address, ready, now_ms)
 
 
-def _reply(view: MemberView, asker: str, answer: tuple[Any, ...]) -> list[SendPeer]:
-    member = view.address_of(asker)
+def _reply(
+    view: MemberView, requester: str, response: tuple[Any, ...]
+) -> list[SendPeer]:
+    member = view.address_of(requester)
     if member is None:
-        return []  # It has not been heard of yet; it will ask another one.
-    return [SendPeer(member.instance, member.host, member.peer_port, answer)]
+        return []  # The requester is not known here yet; it queries another one.
+    return [SendPeer(member.instance, member.host, member.peer_port, response)]
--- a/savorychute/gateway/daemon/run_gateway.py
+++ b/savorychute/gateway/daemon/run_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway as a process of its own."""
+"""Runs a gateway as a process."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 from savorychute.clock import SystemClock, SystemWallClock
 from savorychute.gateway.daemon.assembly import assemble
+from savorychute.gateway.daemon.environment import GatewayEnvironment
 from savorychute.gateway.daemon.servers import open_servers
-from savorychute.gateway.daemon.settings_watch import SettingsWatch
+from savorychute.gateway.daemon.settings_monitor import SettingsMonitor
 from savorychute.gateway.daemon.supervisor import keep_running
-from savorychute.gateway.daemon.surroundings import Surroundings
 from savorychute.gateway.platform_adapter import PLATFORMS
 from savorychute.gateway.settings.table import GATEWAY_SCHEMA
 from savorychute.http.client_pool import PoolSettings, open_pool
@@ -36,14 +36,14 @@
 
 
 def run_gateway(path: Path | str, listeners: EarlyListeners | None = None) -> int:
-    """Run a gateway until it is told to leave; return the exit code.
+    """Run a gateway until it is signalled to stop; return the exit code.
 
-    SIGTERM and SIGINT make it leave gracefully, however often they come.  SIGHUP
-    reads the settings anew.
+    SIGTERM and SIGINT start a graceful shutdown; repeated signals have no further
+    effect.  SIGHUP reloads the settings.
 
-    :param path: the settings file.
-    :param listeners: sockets that listen already, by address.
-    :raises SettingsError: if it has faults.
+    :param path: path of the settings file.
+    :param listeners: sockets that are listening already, by address.
+    :raises SettingsError: if the settings file is not valid.
     """
     settings = read_schema(path, GATEWAY_SCHEMA)
     log = InstanceLog(settings.instance, LogLevel[settings.log_level.upper()])
@@ -61,17 +61,17 @@
     listeners: EarlyListeners,
 ) -> None:
     loop = asyncio.get_running_loop()
-    told_to_leave = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told_to_leave.set)
-    # Until there is a host to tell, the signal must not end the process.
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    # SIGHUP is ignored until the host runs; its default action would end the process.
     loop.add_signal_handler(signal.SIGHUP, lambda: None)
     async with run_host(settings, log, listeners=listeners) as host:
-        watch = SettingsWatch(path, settings, host.telemetry, host.apply_settings)
-        loop.add_signal_handler(signal.SIGHUP, watch.reload)
-        watching = loop.create_task(watch.run())
-        await told_to_leave.wait()
-        watching.cancel()
+        monitor = SettingsMonitor(path, settings, host.telemetry, host.apply_settings)
+        loop.add_signal_handler(signal.SIGHUP, monitor.reload)
+        monitor_task = loop.create_task(monitor.run())
+        await stop_requested.wait()
+        monitor_task.cancel()
         log.info('instance-leaving')
         await host.leave()
     log.info('instance-stopped')
@@ -88,34 +88,36 @@
 ) -> AsyncIterator[GatewayHost]:
     """Run an assembled gateway until the block ends.
 
-    :param settings: of the instance.
-    :param log: where its lines go.
-    :param clock: the time.
-    :param rng: the source of its random choices.
-    :param listeners: sockets that listen already, by address.
-    :param wall: the time of day.
+    :param settings: settings of the instance.
+    :param log: log of the instance.
+    :param clock: monotonic clock; the system's by default.
+    :param rng: random number generator; seeded by the system by default.
+    :param listeners: sockets that are listening already, by address.
+    :param wall: wall clock; the system's by default.
     """
     clock = clock or SystemClock()
     rng = rng or random.Random(random.SystemRandom().getrandbits(SEED_BITS))
-    to_endpoints = PoolSettings(connect_timeout_ms=int(settings.connect_timeout_ms))
-    to_store = PoolSettings(
+    endpoint_pool_settings = PoolSettings(
+        connect_timeout_ms=int(settings.connect_timeout_ms)
+    )
+    store_pool_settings = PoolSettings(
         connections=STORE_CONNECTIONS, connect_timeout_ms=int(settings.store_timeout_ms)
     )
     async with AsyncExitStack() as stack:
-        around = Surroundings(
+        environment = GatewayEnvironment(
             settings=settings,
             adapter=PLATFORMS.get(settings.platform)(),
-            endpoints=stack.enter_context(open_pool(to_endpoints, clock)),
-            store=stack.enter_context(open_pool(to_store, clock)),
+            endpoints=stack.enter_context(open_pool(endpoint_pool_settings, clock)),
+            store=stack.enter_context(open_pool(store_pool_settings, clock)),
             log=log,
             clock=clock,
             wall=wall or SystemWallClock(),
             rng=rng,
         )
-        host, works = assemble(around)
-        for name, work in works.items():
-            running = keep_running(name, work, host.telemetry)
-            stack.callback(asyncio.create_task(running).cancel)
+        host, background_work = assemble(environment)
+        for name, work in background_work.items():
+            supervised = keep_running(name, work, host.telemetry)
+            stack.callback(asyncio.create_task(supervised).cancel)
         await stack.enter_async_context(
             open_servers(settings, host, clock, listeners or {})
         )
--- a/savorychute/gateway/daemon/server_work.py
+++ b/savorychute/gateway/daemon/server_planner.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties knows of endpoints when it orders some."""
+"""Plans orders of endpoints from the endpoints that are known."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
     from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
     from savorychute.gateway.store.reading_plan import ReadingPlan
 
-# Entries that were read longer ago may not show what stands.
+# Endpoint entries that were read longer ago may miss existing endpoints.
 STALE_MS = 3_000
 
 
-class ServerWork(NamedTuple):
-    """The duty, and what it is decided from."""
+class ServerPlanner(NamedTuple):
+    """The duty of ordering endpoints, and the state it decides from."""
 
     duty: ServerDuty
     configuration: ConfigurationState
     roster: EndpointRoster
     plan: ReadingPlan
 
-    def look(self, now_ms: int) -> list[ServerFleet]:
-        """Take in what stands; return what is newly decided."""
-        if self._is_partial(now_ms):
+    def decide_fleets(self, now_ms: int) -> list[ServerFleet]:
+        """Record the existing endpoints; return fleets that are newly decided."""
+        if self._is_incomplete(now_ms):
             return []
         entries = [
             record.entry
@@ -38,9 +38,9 @@
         self.duty.observe(self._services, entries, now_ms)
         return self.duty.undecided(self._services, now_ms)
 
-    def orders(self, now_ms: int) -> list[ServerOrder]:
+    def due_orders(self, now_ms: int) -> list[ServerOrder]:
         """Return the orders that are due."""
-        if self._is_partial(now_ms):
+        if self._is_incomplete(now_ms):
             return []
         return self.duty.orders(self._services, now_ms)
 
@@ -49,8 +49,8 @@
         table = self.configuration.table
         return table.deployment.services if table is not None else ()
 
-    def _is_partial(self, now_ms: int) -> bool:
-        """Return whether endpoints may stand that are not known here."""
+    def _is_incomplete(self, now_ms: int) -> bool:
+        """Return whether endpoints may exist that are not known here."""
         age_ms = self.plan.endpoint_age_ms(now_ms)
         failing = bool(self.plan.failing_topics)
         return failing or age_ms is None or age_ms > STALE_MS
--- a/savorychute/gateway/daemon/servers.py
+++ b/savorychute/gateway/daemon/servers.py
@@ -17,8 +17,8 @@
     from savorychute.gateway.daemon.gateway_host import GatewayHost
     from savorychute.gateway.settings.gateway_settings import GatewaySettings
 
-# Bodies in memory, as a part of what the process may use.
-BUFFER_SHARE = 0.15
+# Share of the process memory that request and response bodies may use.
+BUFFER_MEMORY_SHARE = 0.15
 BYTES_PER_MB = 1 << 20
 
 
@@ -31,31 +31,33 @@
 ) -> AsyncIterator[None]:
     """Listen for callers, for the platform and for metrics until the block ends.
 
-    :param settings: the addresses.
-    :param host: who takes the requests.
-    :param clock: the time for idle connections.
-    :param listeners: sockets that listen already, by address.
+    :param settings: state the addresses and the memory limit.
+    :param host: handles the requests.
+    :param clock: the clock for timeouts of idle connections.
+    :param listeners: sockets that are listening already, by address.
     """
-    buffered = int(BUFFER_SHARE * settings.memory_mb * BYTES_PER_MB)
-    limits = HttpLimits(buffered_bytes=buffered, unread_bytes=buffered)
-    metrics = NetworkAddress(settings.caller_address.host, settings.metrics_port)
-    callers = HttpServer(limits, clock, host.take_request)
+    buffer_bytes = int(BUFFER_MEMORY_SHARE * settings.memory_mb * BYTES_PER_MB)
+    limits = HttpLimits(buffered_bytes=buffer_bytes, unread_bytes=buffer_bytes)
+    metrics_address = NetworkAddress(
+        settings.caller_address.host, settings.metrics_port
+    )
+    caller_server = HttpServer(limits, clock, host.handle_request)
     async with AsyncExitStack() as stack:
         for address, server in (
             (
                 settings.readiness_address,
-                HttpServer(limits, clock, host.take_readiness),
+                HttpServer(limits, clock, host.handle_readiness),
             ),
             (
                 settings.discovery_address,
-                HttpServer(limits, clock, host.take_discovery),
+                HttpServer(limits, clock, host.handle_discovery),
             ),
-            (metrics, HttpServer(limits, clock, host.take_metrics)),
-            (settings.caller_address, callers),
+            (metrics_address, HttpServer(limits, clock, host.handle_metrics)),
+            (settings.caller_address, caller_server),
         ):
             listener = listeners.get(str(address))
             await stack.enter_async_context(
                 listen(server, address.host, address.port, listener=listener)
             )
-        host.serve_callers(callers)
+        host.attach_caller_server(caller_server)
         yield
--- a/savorychute/gateway/daemon/settings_watch.py
+++ b/savorychute/gateway/daemon/settings_monitor.py
@@ -1,4 +1,4 @@
-"""Follows the settings file while the gateway runs."""
+"""Monitors the settings file while the gateway runs."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
     from savorychute.gateway.settings.gateway_settings import GatewaySettings
     from savorychute.gateway.telemetry import GatewayTelemetry
 
-# A change without a signal is in force within the two seconds that a change of the
+# A change without a signal is in force within 2 s, the time that a change of the
 # configuration may take.
-LOOK_MS = 1_000
+POLL_INTERVAL_MS = 1_000
 
 
-class SettingsWatch:
-    """Reads the file anew at a signal, and when its date changes.
+class SettingsMonitor:
+    """Reloads the file on a signal, and when its modification time changes.
 
-    A file with faults changes nothing: the process goes on with the settings it has
-    and logs the faults.  Without a handler the signal would end the process, and with
-    it every request in progress.
+    A file with faults changes nothing: the process keeps its current settings and logs
+    the faults.  Without a handler the signal would end the process, and with it every
+    request in progress.
 
-    :param path: the file.
-    :param settings: what was read at the start.
-    :param telemetry: is told of each reload.
-    :param on_change: called with settings that differ.
+    :param path: path of the settings file.
+    :param settings: the settings that were read at the start.
+    :param telemetry: logs each reload.
+    :param on_change: called with the new settings if any have changed.
     """
 
     def __init__(
@@ -47,18 +47,18 @@
         self._settings = settings
         self._telemetry = telemetry
         self._on_change = on_change
-        self._date_ns = self._read_date()
+        self._modified_ns = self._read_modified_ns()
 
     async def run(self) -> None:
-        """Look at the file's date until the task is cancelled."""
+        """Poll the file's modification time until the task is cancelled."""
         while True:
-            await asyncio.sleep(LOOK_MS / MS_PER_S)
-            if self._read_date() != self._date_ns:
+            await asyncio.sleep(POLL_INTERVAL_MS / MS_PER_S)
+            if self._read_modified_ns() != self._modified_ns:
                 self.reload()
 
     def reload(self) -> None:
-        """Read the file, and put what changed in force."""
-        self._date_ns = self._read_date()
+        """Read the file, and apply what has changed."""
+        self._modified_ns = self._read_modified_ns()
         try:
             settings = read_schema(self._path, GATEWAY_SCHEMA)
         except SettingsError as error:
@@ -74,9 +74,9 @@
             self._settings = settings
             self._on_change(settings)
 
-    def _read_date(self) -> int:
+    def _read_modified_ns(self) -> int:
         try:
             return os.stat(self._path).st_mtime_ns
         except OSError:
-            # The file is being replaced; the next look finds the new one.
-            return self._date_ns if hasattr(self, '_date_ns') else 0
+            # The file is being replaced; the next poll finds the new one.
+            return self._modified_ns if hasattr(self, '_modified_ns') else 0
--- a/savorychute/gateway/daemon/supervisor.py
+++ b/savorychute/gateway/daemon/supervisor.py
@@ -12,22 +12,22 @@
 
     from savorychute.gateway.telemetry import GatewayTelemetry
 
-# A defect that comes at once again must not fill the log.
+# Keeps a defect that recurs at once from filling the log.
 RESTART_MS = 1_000
 
 
 async def keep_running(
     name: str, work: Callable[[], Awaitable[None]], telemetry: GatewayTelemetry
 ) -> None:
-    """Run work that never ends, and begin it anew if it fails.
+    """Run work that never ends, and restart it if it fails.
 
-    The failure this guards against is a defect: a record that nobody foresaw ends the
-    task that reads the store, and the process goes on with what it knew, for ever and
-    without a word.  Begun anew, the work lists everything again.
+    This guards against defects: an unexpected record could end the task that reads the
+    store, and the process would silently go on with stale state for ever.  After a
+    restart the work lists everything again.
 
-    :param name: of the work, for the log.
+    :param name: name of the work, for the log.
     :param work: called without arguments.
-    :param telemetry: is told of each failure.
+    :param telemetry: logs each failure.
     """
     while True:
         try:
--- a/tests/test_fleet/test_attempt_sender.py
+++ b/tests/test_fleet/test_attempt_sender.py
@@ -1,4 +1,4 @@
-"""Tests of what is asked before a call leaves, and heard when its answer comes."""
+"""Tests of checks before an attempt is sent, and of statements in its response."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from savorychute.testing.virtual_loop import run_virtual
 
 NOW_MS = 1_000
-OTHERS = {'server-limit': '1', 'server-signature': 's'}
-OURS = OTHERS | {'attempt-id': 'a1'}
+FOREIGN_HEADERS = {'server-limit': '1', 'server-signature': 's'}
+OWN_HEADERS = FOREIGN_HEADERS | {'attempt-id': 'a1'}
 
 
-class Pool:
-    """Keeps the handler of each call."""
+class FakePool:
+    """Stores the handler of each call."""
 
     def __init__(self):
         self.handlers = []
@@ -36,128 +36,137 @@
         return self
 
 
-class Listener:
-    """Keeps what an attempt is told."""
+class FakeListener:
+    """Stores the events of an attempt."""
 
     def __init__(self):
-        self.told = []
+        self.events = []
 
     def may_send(self):
-        self.told.append('sends')
+        self.events.append('sends')
         return True
 
     def attempt_withheld(self):
-        self.told.append('withheld')
+        self.events.append('withheld')
 
     def answer_began(self, answer):
-        self.told.append(answer.status)
+        self.events.append(answer.status)
 
 
-class Desk:
-    """A sender, and what it was given."""
+class SenderFixture:
+    """An attempt sender with fakes around it."""
 
     def __init__(self):
         clock = ManualClock(NOW_MS)
         metrics = Metrics('k1', GATEWAY_METRICS)
         telemetry = GatewayTelemetry(InstanceLog('k1'), metrics, clock)
-        of_endpoints = EndpointTelemetry(telemetry)
-        self.statements = StatementBook(of_endpoints)
+        endpoint_telemetry = EndpointTelemetry(telemetry)
+        self.statements = StatementBook(endpoint_telemetry)
         permits = PermitDesk(self.statements.limits, clock, None)
-        self.pool = Pool()
-        self.listener = Listener()
+        self.pool = FakePool()
+        self.listener = FakeListener()
         self.sender = AttemptSender(
-            self.pool, FleetAdapter(), self.statements, permits, of_endpoints, clock
+            self.pool,
+            FleetAdapter(),
+            self.statements,
+            permits,
+            endpoint_telemetry,
+            clock,
         )
 
-    def limit(self):
+    def state_limit(self):
         self.statements.take(ENTRY.run, EndpointStatement(1.0), NOW_MS, NOW_MS)
 
-    def begin(self, permit=None):
-        """Start an attempt; return what is asked before it leaves."""
+    def start_attempt(self, permit=None):
+        """Start an attempt; return the handler of its call."""
         self.sender.send(make_attempt(permit=permit), self.listener)
         return self.pool.handlers[-1]
 
 
 @pytest.fixture
-def desk():
-    return Desk()
+def sender_fixture():
+    return SenderFixture()
 
 
-def test_attempt_without_a_permit_does_not_leave_for_a_limited_endpoint(desk):
-    """Guards against a call that was under way when its endpoint stated a limit."""
-    handler = desk.begin()
-    desk.limit()
+def test_attempt_without_permit_is_withheld_from_limited_endpoint(sender_fixture):
+    """Guards against a call that was prepared before its endpoint stated a limit."""
+    handler = sender_fixture.start_attempt()
+    sender_fixture.state_limit()
 
     assert not handler.about_to_send()
-    assert desk.listener.told == ['withheld']
+    assert sender_fixture.listener.events == ['withheld']
 
 
-def test_attempt_with_a_permit_leaves_for_a_limited_endpoint(desk):
-    desk.limit()
+def test_attempt_with_permit_is_sent_to_limited_endpoint(sender_fixture):
+    sender_fixture.state_limit()
 
-    assert desk.begin(Permit(ENTRY.run, NOW_MS)).about_to_send()
-    assert desk.listener.told == ['sends']
+    assert sender_fixture.start_attempt(Permit(ENTRY.run, NOW_MS)).about_to_send()
+    assert sender_fixture.listener.events == ['sends']
 
 
-def test_attempt_does_not_leave_for_an_endpoint_that_has_said_that_it_leaves(desk):
-    """Guards against a call that was under way when its endpoint said so."""
-    handler = desk.begin()
-    desk.statements.leaving.state(ENTRY.run, NOW_MS)
+def test_attempt_is_withheld_from_leaving_endpoint(sender_fixture):
+    """Guards against a call that was prepared before its endpoint stated that."""
+    handler = sender_fixture.start_attempt()
+    sender_fixture.statements.leaving.state(ENTRY.run, NOW_MS)
 
     assert not handler.about_to_send()
-    assert desk.listener.told == ['withheld']
+    assert sender_fixture.listener.events == ['withheld']
 
 
-def test_attempt_does_not_leave_for_an_endpoint_that_rests(desk):
-    """Guards against a call that was under way when its endpoint asked for rest."""
-    handler = desk.begin()
-    desk.statements.rests.state(ENTRY.run, 500, NOW_MS)
+def test_attempt_is_withheld_from_resting_endpoint(sender_fixture):
+    """Guards against a call that was prepared before its endpoint requested rest."""
+    handler = sender_fixture.start_attempt()
+    sender_fixture.statements.rests.state(ENTRY.run, 500, NOW_MS)
 
     assert not handler.about_to_send()
-    assert desk.listener.told == ['withheld']
+    assert sender_fixture.listener.events == ['withheld']
 
 
-def test_report_is_not_asked_of_a_limited_engine_without_a_permit(desk):
-    """Guards against load reports that no limit counts."""
+def test_report_request_without_permit_is_withheld_from_limited_engine(sender_fixture):
+    """Guards against requests for load reports that do not count towards the limit."""
 
     async def main():
         loads = []
-        desk.sender.probe(ENTRY, loads.append)
-        desk.limit()
-        return desk.pool.handlers[-1].about_to_send(), loads
+        sender_fixture.sender.probe(ENTRY, loads.append)
+        sender_fixture.state_limit()
+        return sender_fixture.pool.handlers[-1].about_to_send(), loads
 
     assert run_virtual(main()) == (False, [None])
 
 
 @pytest.mark.parametrize('status', [200, 500, 503])
-def test_any_answer_may_state_a_limit(desk, status):
-    handler = desk.begin()
+def test_any_response_can_state_a_limit(sender_fixture, status):
+    handler = sender_fixture.start_attempt()
     handler.about_to_send()
-    handler.response_started(status, OURS)
+    handler.response_started(status, OWN_HEADERS)
 
-    assert desk.statements.limits.limit_per_s(ENTRY.run) == 1.0
+    assert sender_fixture.statements.limits.limit_per_s(ENTRY.run) == 1.0
 
 
 @pytest.mark.parametrize(
     ('status', 'headers'),
-    [(421, OURS), (200, OTHERS | {'attempt-id': 'b2'}), (200, {'server-limit': '1'})],
+    [
+        (421, OWN_HEADERS),
+        (200, FOREIGN_HEADERS | {'attempt-id': 'b2'}),
+        (200, {'server-limit': '1'}),
+    ],
 )
-def test_answer_of_another_run_says_nothing_of_the_one_that_was_meant(
-    desk, status, headers
+def test_response_of_another_run_states_nothing_about_the_intended_run(
+    sender_fixture, status, headers
 ):
-    """Guards against the limit of an endpoint that has got another's address."""
-    handler = desk.begin()
+    """Guards against the limit of an endpoint that took over the address."""
+    handler = sender_fixture.start_attempt()
     handler.about_to_send()
     handler.response_started(status, headers)
 
-    assert desk.statements.limits.limit_per_s(ENTRY.run) is None
+    assert sender_fixture.statements.limits.limit_per_s(ENTRY.run) is None
 
 
-def test_odd_statement_leaves_the_answer_as_it_is(desk):
-    """Guards against a caller that gets nothing for a header nobody can read."""
-    handler = desk.begin()
+def test_unreadable_statement_does_not_affect_the_response(sender_fixture):
+    """Guards against failing a caller's request because of an unreadable header."""
+    handler = sender_fixture.start_attempt()
     handler.about_to_send()
-    handler.response_started(200, OURS | {'server-limit': '1e400'})
+    handler.response_started(200, OWN_HEADERS | {'server-limit': '1e400'})
 
-    assert desk.listener.told == ['sends', 200]
-    assert desk.statements.limits.limit_per_s(ENTRY.run) is None
+    assert sender_fixture.listener.events == ['sends', 200]
+    assert sender_fixture.statements.limits.limit_per_s(ENTRY.run) is None
--- a/tests/test_gateway/test_early_listeners.py
+++ b/tests/test_gateway/test_early_listeners.py
@@ -1,4 +1,4 @@
-"""Tests of sockets that listen before a gateway is loaded."""
+"""Tests of sockets that listen before the gateway is loaded."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from savorychute.gateway.daemon.early_listeners import open_early_listeners
 from savorychute.testing.ports import free_ports
 
-LOADS_LITTLE = """
+PRINT_HEAVY_MODULES = """
 import sys
 import savorychute.cmd.gateway
 import savorychute.gateway.daemon.early_listeners
@@ -26,8 +26,8 @@
 
 def write_settings(tmp_path, **addresses):
     path = tmp_path / 'gateway.jsonc'
-    rows = ',\n'.join(f'"{name}": "{value}"' for name, value in addresses.items())
-    path.write_text(f'// of one instance\n{{\n{rows}\n}}\n')
+    fields = ',\n'.join(f'"{name}": "{value}"' for name, value in addresses.items())
+    path.write_text(f'// of one instance\n{{\n{fields}\n}}\n')
     return path
 
 
@@ -36,11 +36,11 @@
     return free_ports(2)
 
 
-def test_callers_of_a_starting_gateway_wait(tmp_path, ports):
-    """Callers who failed while a gateway was loading.
+def test_callers_wait_while_gateway_loads(tmp_path, ports):
+    """Guards against callers that fail while a gateway loads.
 
-    All power is lost and comes back.  For half a second each instance loads its modules;
-    callers that came meanwhile were reset, had used their one retry, and failed.
+    After a power loss each instance loads its modules for half a second.  Connections
+    that arrived meanwhile were reset; the callers had used their one retry, and failed.
     """
     caller, discovery = (f'127.0.0.1:{port}' for port in ports)
     path = write_settings(tmp_path, caller_address=caller, discovery_address=discovery)
@@ -58,7 +58,7 @@
     assert set(listeners) == {caller, discovery}
 
 
-def test_sockets_are_closed_if_the_gateway_cannot_start(tmp_path, ports):
+def test_sockets_are_closed_if_gateway_cannot_start(tmp_path, ports):
     path = write_settings(tmp_path, caller_address=f'127.0.0.1:{ports[0]}')
     with open_early_listeners(path):
         pass
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize('address', ['nowhere', '127.0.0.1:', '127.0.0.1:99999999', ''])
-def test_faulty_address_is_left_to_the_check_of_the_settings(tmp_path, address):
+def test_invalid_address_is_skipped(tmp_path, address):
     path = write_settings(tmp_path, caller_address=address)
 
     with open_early_listeners(path) as listeners:
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize('text', ['', '[]', '{', '{"caller_address": 7}'])
-def test_unreadable_settings_are_left_to_their_check(tmp_path, text):
+def test_unreadable_settings_are_skipped(tmp_path, text):
     path = tmp_path / 'gateway.jsonc'
     path.write_text(text)
 
@@ -84,39 +84,45 @@
         assert not listeners
 
 
-def test_listening_loads_nothing_that_can_wait():
-    """A start that grew longer again.
+def test_listening_loads_no_heavy_modules():
+    """Guards against a slower start.
 
-    One import at the head of a module that the command needs would load the rest of the
-    gateway before its sockets listen, and nobody would notice.
+    One import at the top of a module that the command needs would load the rest of the
+    gateway before its sockets listen, without any visible failure.
     """
-    done = subprocess.run(
-        [sys.executable, '-c', LOADS_LITTLE], capture_output=True, check=True, text=True
+    process = subprocess.run(
+        [sys.executable, '-c', PRINT_HEAVY_MODULES],
+        capture_output=True,
+        check=True,
+        text=True,
     )
 
-    assert done.stdout.strip() == '[]'
+    assert process.stdout.strip() == '[]'
 
 
-def test_starting_gateway_survives_a_reload(tmp_path, monkeypatch):
-    """An instance that ended because its settings had changed.
+def test_starting_gateway_ignores_reload_signal(tmp_path, monkeypatch):
+    """Guards against an instance that a reload signal ends during its start.
 
-    It started while the platform wrote new settings and told all instances to read them.
-    Until its loop runs nothing takes the signal, and the default is to end the process.
+    The platform wrote new settings and signalled all instances while this one started.
+    No handler is installed until its loop runs, and the default action ends the
+    process.
     """
-    ended = []
-    before = signal.signal(signal.SIGHUP, lambda *_: ended.append('hang-up'))
-    loaded = types.ModuleType('savorychute.gateway.daemon.run_gateway')
+    hang_ups = []
+    previous_handler = signal.signal(
+        signal.SIGHUP, lambda *_: hang_ups.append('hang-up')
+    )
+    module = types.ModuleType('savorychute.gateway.daemon.run_gateway')
 
     def run_gateway(path, listeners):
         os.kill(os.getpid(), signal.SIGHUP)
         return 0
 
-    loaded.run_gateway = run_gateway
-    monkeypatch.setitem(sys.modules, loaded.__name__, loaded)
+    module.run_gateway = run_gateway
+    monkeypatch.setitem(sys.modules, module.__name__, module)
     try:
         code = Gateway().run(argparse.Namespace(settings=tmp_path / 'none.jsonc'))
     finally:
-        signal.signal(signal.SIGHUP, before)
+        signal.signal(signal.SIGHUP, previous_handler)
 
     assert code == 0
-    assert not ended
+    assert not hang_ups
--- a/tests/test_gateway/test_gateway_settings.py
+++ b/tests/test_gateway/test_gateway_settings.py
@@ -5,7 +5,7 @@
 import json
 
 import pytest
-from test_settings_watch import DOCUMENT
+from test_settings_monitor import DOCUMENT
 
 from savorychute.gateway.settings.table import GATEWAY_SCHEMA
 from savorychute.settings.settings_file import parse_schema
--- a/tests/test_gateway/test_settings_watch.py
+++ b/tests/test_gateway/test_settings_monitor.py
@@ -10,7 +10,7 @@
 from gateway_fakes import make_telemetry
 
 from savorychute.clock import ManualClock
-from savorychute.gateway.daemon.settings_watch import SettingsWatch
+from savorychute.gateway.daemon.settings_monitor import SettingsMonitor
 from savorychute.gateway.platform_adapter import PLATFORMS
 from savorychute.gateway.settings.table import GATEWAY_SCHEMA
 from savorychute.settings.settings_file import read_schema
@@ -44,42 +44,42 @@
 
 
 @pytest.fixture
-def watch(path, changes):
+def monitor(path, changes):
     settings = read_schema(path, GATEWAY_SCHEMA)
     telemetry = make_telemetry(ManualClock())
-    return SettingsWatch(path, settings, telemetry, changes.append)
+    return SettingsMonitor(path, settings, telemetry, changes.append)
 
 
-def test_adapter_is_found_by_the_settings(path):
+def test_settings_load_the_platform_adapter(path):
     assert read_schema(path, GATEWAY_SCHEMA).platform in PLATFORMS
 
 
-def test_changed_file_is_put_in_force(path, watch, changes):
+def test_changed_file_is_applied(path, monitor, changes):
     path.write_text(json.dumps(DOCUMENT | {'retry_slack': 7}))
 
-    watch.reload()
+    monitor.reload()
 
     assert [settings.retry_slack for settings in changes] == [7]
 
 
-def test_file_with_faults_changes_nothing(path, watch, changes):
-    """A half-written file.
+def test_file_with_faults_changes_nothing(path, monitor, changes):
+    """Guards against a partly written file that ends the process.
 
-    The platform replaces the file while the signal is on its way.  The process goes on
-    with what it has; ending it would cut off every request in progress.
+    The platform replaces the file while it sends the signal.  The process keeps its
+    current settings; ending it would abort every request in progress.
     """
     path.write_text(json.dumps(DOCUMENT)[:40])
-    watch.reload()
+    monitor.reload()
     path.write_text(json.dumps(DOCUMENT | {'retry_slack': 'many'}))
-    watch.reload()
+    monitor.reload()
     os.remove(path)
-    watch.reload()
+    monitor.reload()
 
     assert changes == []
 
 
-def test_unchanged_file_changes_nothing(watch, changes):
-    watch.reload()
+def test_unchanged_file_changes_nothing(monitor, changes):
+    monitor.reload()
 
     assert changes == []
 
@@ -87,10 +87,10 @@
 @pytest.mark.parametrize(
     'change', [{'grace_s': 7.5}, {'drain_notice_ms': 1_800.5}, {'retry_window_s': 8.2}]
 )
-def test_bounds_may_be_fractions(path, change):
-    """A deployment that did not start.
+def test_durations_accept_fractions(path, change):
+    """Guards against a deployment that does not start.
 
-    Its platform states a bound as a fraction, which the settings took for a fault.
+    Its platform states a bound as a fraction, which the settings rejected.
     """
     path.write_text(json.dumps(DOCUMENT | change))
 
--- a/tests/test_gateway/test_supervisor.py
+++ b/tests/test_gateway/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Tests of background work that fails."""
+"""Tests of restarting background work."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from savorychute.gateway.daemon.supervisor import keep_running
 
 
-def test_work_that_fails_begins_anew(monkeypatch):
-    """An instance that went on with what it knew.
+def test_failed_work_is_restarted(monkeypatch):
+    """Guards against an instance that goes on with stale state.
 
-    A record that nobody foresaw ends the task that follows the configuration.  Nothing
-    else fails, and the instance serves an old version until somebody notices.
+    An unexpected record ends the task that follows the configuration.  Nothing else
+    fails, so the instance would serve an old version until an operator notices.
     """
     monkeypatch.setattr(supervisor, 'RESTART_MS', 1)
-    begun = []
+    starts = []
 
     async def work():
-        begun.append(len(begun))
-        if len(begun) < 3:
-            raise KeyError('a record that nobody foresaw')
+        starts.append(len(starts))
+        if len(starts) < 3:
+            raise KeyError('an unexpected record')
         await asyncio.Event().wait()
 
     async def main():
         telemetry = make_telemetry(ManualClock())
         task = asyncio.create_task(keep_running('configuration', work, telemetry))
-        while len(begun) < 3:
+        while len(starts) < 3:
             await asyncio.sleep(0.001)
         task.cancel()
 
     asyncio.run(main())
 
-    assert begun == [0, 1, 2]
+    assert starts == [0, 1, 2]
