--- a/savorychute/gateway/configuration/__init__.py
+++ b/savorychute/gateway/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Routes, services and organisations, and which version of them is in force."""
+"""Configuration of routes, services and organisations, and the version in force."""
--- a/savorychute/gateway/configuration/caller_limits.py
+++ b/savorychute/gateway/configuration/caller_limits.py
@@ -1,4 +1,4 @@
-"""What callers may send."""
+"""Limits on callers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CallerLimits(NamedTuple):
-    """Bounds on a caller's request and on its silence."""
+    """Limits on the size of a caller's request and on the time it may take."""
 
     header_bytes: int
     body_bytes: int
--- a/savorychute/gateway/configuration/configuration_state.py
+++ b/savorychute/gateway/configuration/configuration_state.py
@@ -9,35 +9,36 @@
 if TYPE_CHECKING:
     from savorychute.gateway.configuration.deployment import Deployment
 
-NEVER_MS = -(1 << 60)
+NEVER_CONFIRMED_MS = -(1 << 60)
 
 
 class ConfigurationState:
-    """The newest configuration that was read, and how old that knowledge is.
+    """The newest configuration that was read, and when it was last confirmed.
 
-    A version is never replaced by an older one.  ``confirmed_ms`` is when the last
-    read began that showed nothing newer: what the store accepted before that moment
-    is known here.  An instance that the store turns away cannot know of a key that was
-    taken back meanwhile, so beyond ``key_trust_ms`` it accepts no keys.
+    A version is never replaced by an older one.  ``confirmed_ms`` is the start of the
+    last read that returned nothing newer: whatever the store accepted before that time
+    is known here.  An instance that cannot read the store does not learn of revoked
+    keys, so beyond ``key_trust_ms`` it accepts no keys.
 
-    :param key_trust_ms: for how long after the last confirmation keys are accepted;
-        None for always.
-    :param fresh_ms: for how long absence of a route or key is taken for a fact.
+    :param key_trust_ms: how long after the last confirmation keys are accepted; None
+        for always.
+    :param fresh_ms: how long after the last confirmation a missing route or key is
+        known not to exist.
     """
 
     def __init__(self, key_trust_ms: int | None, fresh_ms: int) -> None:
         self.table: RouteTable | None = None
-        self.confirmed_ms = NEVER_MS
+        self.confirmed_ms = NEVER_CONFIRMED_MS
         self.key_trust_ms = key_trust_ms
         self._fresh_ms = fresh_ms
 
     @property
     def version(self) -> int:
-        """The version in force, or -1 for none."""
+        """The version in force, or -1 if there is none."""
         return self.table.version if self.table is not None else -1
 
     def apply(self, deployment: Deployment) -> bool:
-        """Put a version in force; return false for one that is not newer.
+        """Put a version in force; return false if it is not newer.
 
         :param deployment: the version that was read.
         """
@@ -46,32 +47,32 @@
         self.table = RouteTable(deployment)
         return True
 
-    def confirm(self, read_began_ms: int) -> None:
-        """Note that a read which began then has shown the newest version.
+    def confirm(self, read_started_ms: int) -> None:
+        """Record that a read has returned the newest version.
 
-        :param read_began_ms: when the read was sent, not when it was answered: a
+        :param read_started_ms: when the read was sent, not when its response arrived: a
             change may have been accepted in between.
         """
-        self.confirmed_ms = max(self.confirmed_ms, read_began_ms)
+        self.confirmed_ms = max(self.confirmed_ms, read_started_ms)
 
     def age_ms(self, now_ms: int) -> int:
         """Return how long ago the configuration was last known to be the newest."""
         return now_ms - self.confirmed_ms
 
     def trusts_keys(self, now_ms: int) -> bool:
-        """Return whether a key of the table may still be accepted.
+        """Return whether keys of the current version may still be accepted.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        bound_ms = self.key_trust_ms
-        return bound_ms is None or self.age_ms(now_ms) <= bound_ms
+        trust_ms = self.key_trust_ms
+        return trust_ms is None or self.age_ms(now_ms) <= trust_ms
 
     def is_fresh(self, now_ms: int) -> bool:
-        """Return whether a route that is missing here is missing for good.
+        """Return whether a route that is missing here is known not to exist.
 
-        A stale instance would answer 404 for a route that was added meanwhile, and a
-        caller does not repeat such a request elsewhere.
+        A stale instance would respond with 404 for a route that was added meanwhile,
+        and callers do not retry such a request at another instance.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         return self.age_ms(now_ms) <= self._fresh_ms
--- a/savorychute/gateway/configuration/deployment.py
+++ b/savorychute/gateway/configuration/deployment.py
@@ -1,4 +1,4 @@
-"""The whole configuration of a deployment."""
+"""The complete configuration of a deployment."""
 
 from __future__ import annotations
 
--- a/savorychute/gateway/configuration/organisation.py
+++ b/savorychute/gateway/configuration/organisation.py
@@ -6,9 +6,9 @@
 
 
 class Organisation(NamedTuple):
-    """Who may call, and by which keys.
+    """An organisation whose callers use one of the keys.
 
-    ``tier`` replaces that of the route, unless it is None.
+    ``tier`` overrides the tier of the route unless it is None.
     """
 
     name: str
--- a/savorychute/gateway/configuration/request_kind.py
+++ b/savorychute/gateway/configuration/request_kind.py
@@ -1,4 +1,4 @@
-"""What may be repeated of a request."""
+"""Kinds of requests, which decide whether a request may be retried."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RequestKind(StrEnum):
-    """How the answer comes, and whether a second run does harm."""
+    """Whether the response is a stream, and whether the request may run twice."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non-idempotent'
--- a/savorychute/gateway/configuration/route.py
+++ b/savorychute/gateway/configuration/route.py
@@ -11,13 +11,14 @@
 
 
 class Route(NamedTuple):
-    """Which requests go where, and what they are owed.
-
-    ``timeout_ms`` is the longest a caller is kept waiting, ``target_ms`` the latency
-    objective (of a stream: to its first event), ``gap_target_ms`` the longest pause
-    between events of a stream that is still on time.  A lower ``tier`` is more urgent.
-    ``max_attempts`` bounds the endpoints that one request may run on.  A ``public``
-    route needs no key.  A ``resumable`` stream may go on at another endpoint.
+    """The requests of a host and path prefix, their services and objectives.
+
+    ``timeout_ms`` limits how long a caller waits.  ``target_ms`` is the latency
+    objective; for a stream it applies to the first event.  ``gap_target_ms`` is the
+    longest pause between two events of a stream that meets its objective.  A lower
+    ``tier`` is more urgent.  ``max_attempts`` limits the number of endpoints that one
+    request may run on.  A ``public`` route needs no key.  A ``resumable`` stream may
+    continue at another endpoint.
     """
 
     name: str
@@ -34,8 +35,8 @@
     resumable: bool
 
     @property
-    def repeatable(self) -> bool:
-        """Whether a second run of a request does no harm."""
+    def retryable(self) -> bool:
+        """Whether a request may safely run a second time."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
         return self.kind is RequestKind.IDEMPOTENT
--- a/savorychute/gateway/configuration/route_table.py
+++ b/savorychute/gateway/configuration/route_table.py
@@ -1,4 +1,4 @@
-"""Look-ups in one version of the configuration."""
+"""Lookups in one version of the configuration."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class RouteTable:
     """Finds the route of a path, the owner of a key and a service by name.
 
-    Prefixes begin and end with a slash, so the candidates of a path are its parts up
-    to each slash: one dictionary look-up for each, however many routes there are.
+    Prefixes start and end with a slash, so the candidates of a path are its parts up to
+    each slash.  Each takes one dictionary lookup, regardless of the number of routes.
 
     :param deployment: the version to index.
     """
@@ -37,13 +37,13 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests on routes that are not public carry a key."""
+        """Whether requests on routes that are not public need a key."""
         return bool(self.deployment.organisations)
 
     def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of a path, or None.
 
-        :param host: the host that the caller asked for, in lower case.
+        :param host: the host of the request, in lower case.
         :param path: the path without its query.
         """
         end = path.rfind('/')
--- a/savorychute/gateway/configuration/service.py
+++ b/savorychute/gateway/configuration/service.py
@@ -9,7 +9,7 @@
 
 
 class Service(NamedTuple):
-    """Endpoints of one kind; ``runs_models`` is true for model engines.
+    """A group of equivalent endpoints; ``runs_models`` is true for model engines.
 
     ``scaling`` is None for a service whose endpoints cannot be ordered.
     """
--- a/savorychute/gateway/configuration/service_scaling.py
+++ b/savorychute/gateway/configuration/service_scaling.py
@@ -1,4 +1,4 @@
-"""How many endpoints of a service may be ordered, and at what price."""
+"""Limits and prices of the endpoints that may be ordered for a service."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 
 class ServiceScaling(NamedTuple):
-    """Bounds and prices, for each failure domain.
+    """Limits and prices for each failure domain.
 
-    ``least`` and ``most`` hold for lasting and reclaimable endpoints together.  A second of
-    an endpoint costs the figure of its failure domain; of a reclaimable one
-    ``reclaimable_price`` of it, None if there are none.
+    ``least`` and ``most`` apply to lasting and reclaimable endpoints together.
+    ``prices`` states the price of an endpoint per second, by failure domain.
+    ``reclaimable_price`` is the share of it that a reclaimable endpoint costs; None if
+    there are no reclaimable endpoints.
     """
 
     least: int
--- a/savorychute/gateway/configuration/service_share.py
+++ b/savorychute/gateway/configuration/service_share.py
@@ -1,4 +1,4 @@
-"""A service's part of a route's traffic."""
+"""A service's share of a route's traffic."""
 
 from __future__ import annotations
 
--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -29,8 +29,8 @@
 from savorychute.gateway.recovery.crash_book import CrashBook
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance
 from savorychute.gateway.requests.intake import Intake
-from savorychute.gateway.settings.key_trust import key_trust_ms
-from savorychute.gateway.settings.retry_bounds import read_bounds
+from savorychute.gateway.settings.key_trust import read_key_trust_ms
+from savorychute.gateway.settings.retry_bounds import read_retry_bounds
 from savorychute.gateway.store.configuration_listener import ConfigurationListener
 from savorychute.gateway.store.endpoint_journal import EndpointJournal
 from savorychute.gateway.store.endpoint_listener import EndpointListener
@@ -229,7 +229,7 @@
         timers=timers,
         attempts=attempts,
         configuration=ConfigurationState(
-            key_trust_ms(settings), int(settings.configuration_notice_ms)
+            read_key_trust_ms(settings), int(settings.configuration_notice_ms)
         ),
         roster=roster,
         model_chooser=CHOOSERS.get('prompt-cache')(
@@ -242,7 +242,7 @@
         loads=LoadWatch(attempts, roster, statements, permits, clock),
         statements=statements,
         permits=permits,
-        allowance=RetryAllowance(read_bounds(settings), clock.now_ms()),
+        allowance=RetryAllowance(read_retry_bounds(settings), clock.now_ms()),
         crashes=crashes,
         usage=usage,
         telemetry=telemetry,
--- a/savorychute/gateway/daemon/entry_manager.py
+++ b/savorychute/gateway/daemon/entry_manager.py
@@ -125,7 +125,7 @@
     ) -> frozenset[str]:
         present = {member.instance for member in view.alive} | view.leaving
         present |= {self.registration.address.instance}
-        return self._absent_instances.find_lasting(
+        return self._absent_instances.find_long_absent(
             listing.names - present, self._clock.now_ms()
         )
 
--- a/savorychute/gateway/daemon/gateway_host.py
+++ b/savorychute/gateway/daemon/gateway_host.py
@@ -8,11 +8,11 @@
 from savorychute.clock import MS_PER_S
 from savorychute.gateway.daemon.caller_exchange import CallerExchange
 from savorychute.gateway.daemon.shutdown_plan import plan_shutdown
-from savorychute.gateway.discovery.advertised import NOT_READY
+from savorychute.gateway.discovery.advertisement import NOT_READY_VERSION
 from savorychute.gateway.requests.refusal import Refusal
 from savorychute.gateway.requests.request_course import RequestCourse
-from savorychute.gateway.settings.key_trust import key_trust_ms
-from savorychute.gateway.settings.retry_bounds import read_bounds
+from savorychute.gateway.settings.key_trust import read_key_trust_ms
+from savorychute.gateway.settings.retry_bounds import read_retry_bounds
 from savorychute.gateway.translation_error import TranslationError
 from savorychute.logs import LogLevel
 from savorychute.ran import Ran
@@ -109,7 +109,9 @@
         """Do periodic housekeeping until the task is cancelled."""
         while True:
             version = self._parts.configuration.version
-            self._peers.advertised_version = version if self.ready else NOT_READY
+            self._peers.advertised_version = (
+                version if self.ready else NOT_READY_VERSION
+            )
             self._parts.roster.expire(self._parts.clock.now_ms())
             self._parts.telemetry.tell_omitted()
             self._log_summaries(self._parts.clock.now_ms())
@@ -238,8 +240,8 @@
         self._settings = settings
         self._shutdown_plan = plan_shutdown(settings.grace_s)
         self._parts.telemetry.log.level = LogLevel[settings.log_level.upper()]
-        self._parts.allowance.bounds = read_bounds(settings)
-        self._parts.configuration.key_trust_ms = key_trust_ms(settings)
+        self._parts.allowance.bounds = read_retry_bounds(settings)
+        self._parts.configuration.key_trust_ms = read_key_trust_ms(settings)
 
     def apply_limits(self, deployment: Deployment) -> None:
         """Apply the limits of the configuration version that is now in force.
--- a/savorychute/gateway/daemon/peer_group.py
+++ b/savorychute/gateway/daemon/peer_group.py
@@ -10,7 +10,7 @@
 from savorychute.clock import MS_PER_S
 from savorychute.daemon.peer_link import open_peer_link
 from savorychute.gateway.daemon.peer_message_router import PeerMessageRouter
-from savorychute.gateway.discovery.advertised import NOT_READY
+from savorychute.gateway.discovery.advertisement import NOT_READY_VERSION
 from savorychute.inputs.listing_fetched import ListingFetched
 from savorychute.inputs.peer_received import PeerReceived
 from savorychute.membership.membership import Membership
@@ -80,7 +80,7 @@
         self._link: PeerLink | None = None
         self._codec: PeerCodec | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self.advertised_version = NOT_READY
+        self.advertised_version = NOT_READY_VERSION
 
     def view(self) -> MemberView | None:
         """Return the members, or None before this instance has registered."""
--- a/savorychute/gateway/daemon/peer_message_router.py
+++ b/savorychute/gateway/daemon/peer_message_router.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from savorychute.actions.send_peer import SendPeer
-from savorychute.gateway.discovery.advertised import read_advertised
+from savorychute.gateway.discovery.advertisement import read_advertisement
 from savorychute.gateway.duties.usage_told import UsageTold
 from savorychute.gateway.permits.permit_answer import PermitAnswer
 from savorychute.gateway.permits.permit_question import PermitQuestion
@@ -160,10 +160,12 @@
         :param view: the current members, after the message was applied.
         :param now_ms: the current time.
         """
-        advertised = read_advertised(message)
-        if advertised is not None:
-            ready = advertised.ready and sender not in view.leaving
-            self.parts.directory.hear(advertised.address, ready, now_ms)
+        advertisement = read_advertisement(message)
+        if advertisement is not None:
+            ready = advertisement.ready and sender not in view.leaving
+            self.parts.directory.record_reported_instance(
+                advertisement.address, ready, now_ms
+            )
 
 
 def _reply(
--- a/savorychute/gateway/discovery/__init__.py
+++ b/savorychute/gateway/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances callers are told to use."""
+"""Discovery: chooses the instances that callers should use."""
--- a/savorychute/gateway/discovery/absent_instances.py
+++ b/savorychute/gateway/discovery/absent_instances.py
@@ -1,4 +1,4 @@
-"""Instances that are listed and have been gone for long."""
+"""Finds listed instances that have been absent for a long time."""
 
 from __future__ import annotations
 
@@ -7,28 +7,34 @@
 if TYPE_CHECKING:
     from collections.abc import Set as AbstractSet
 
-# An instance that was killed or has left comes back within minutes, and regions may lose
-# each other for an hour.  One that was replaced under another name never comes back.
-LASTING_MS = 4 * 3_600_000
+# An instance that was killed or has left comes back within minutes, and regions may
+# lose contact for an hour.  One that was replaced under another name never comes back.
+ABSENT_REMOVAL_MS = 4 * 3_600_000
 
 
 class AbsentInstances:
-    """Remembers since when listed instances have been gone."""
+    """Records since when listed instances have been absent."""
 
     def __init__(self) -> None:
         self._since_ms: dict[str, int] = {}
 
-    def find_lasting(self, gone: AbstractSet[str], now_ms: int) -> frozenset[str]:
-        """Return, once, those that have been gone at every look for long.
+    def find_long_absent(self, absent: AbstractSet[str], now_ms: int) -> frozenset[str]:
+        """Return instances that have been absent from every call for a long time.
 
-        :param gone: instances that are listed and neither alive nor leaving.
-        :param now_ms: the time.
+        Each of them is returned once.
+
+        :param absent: instances that are listed and neither alive nor leaving.
+        :param now_ms: the current time.
         """
-        since_ms = {name: self._since_ms.get(name, now_ms) for name in gone}
-        lasting = frozenset(
-            name for name, at_ms in since_ms.items() if now_ms - at_ms >= LASTING_MS
+        since_ms = {name: self._since_ms.get(name, now_ms) for name in absent}
+        long_absent = frozenset(
+            name
+            for name, absent_since_ms in since_ms.items()
+            if now_ms - absent_since_ms >= ABSENT_REMOVAL_MS
         )
         self._since_ms = {
-            name: at_ms for name, at_ms in since_ms.items() if name not in lasting
+            name: absent_since_ms
+            for name, absent_since_ms in since_ms.items()
+            if name not in long_absent
         }
-        return lasting
+        return long_absent
--- a/savorychute/gateway/discovery/instance_directory.py
+++ b/savorychute/gateway/discovery/instance_directory.py
@@ -1,4 +1,4 @@
-"""The instances that callers are told to use."""
+"""Records ready instances, and chooses those that callers should use."""
 
 from __future__ import annotations
 
@@ -7,75 +7,79 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from savorychute.gateway.discovery.discovery_question import DiscoveryQuestion
+    from savorychute.gateway.discovery.discovery_query import DiscoveryQuery
     from savorychute.member_address import MemberAddress
 
-# An instance that has been silent this long is left out.  Members probe each other
-# at least once in two seconds while there are few; a caller keeps an answer for
-# seconds, so it must not begin with one that is gone.
-HEARD_MS = 4_000
-# With fewer in the caller's own failure domain those of others are told as well, so
-# that the loss of one leaves the caller another.
-FEW = 2
-MOST = 16
+# An instance that has reported nothing for this long is left out.  Members probe each
+# other at least once in 2 s while there are few.  A caller caches the response for
+# seconds, so it should not contain an instance that is already gone.
+STALE_MS = 4_000
+# If the caller's failure domain has fewer instances, those of other domains are
+# returned as well, so that the caller has an alternative when one instance fails.
+MIN_DOMAIN_INSTANCES = 2
+MAX_INSTANCES = 16
 
 
-class _Heard(NamedTuple):
+class _ReportedInstance(NamedTuple):
     address: MemberAddress
     ready: bool
-    heard_ms: int
+    reported_ms: int
 
 
 class InstanceDirectory:
-    """Remembers which instances spoke lately, and whether they were ready.
+    """Records which instances reported recently, and whether they were ready.
 
-    The store still lists instances that were killed, and gossip repeats the list;
-    only an instance's own word counts here.
+    The store still lists instances that were killed, and gossip spreads that list.
+    Therefore only messages from an instance itself are recorded here.
 
-    :param own: this instance.
+    :param own_address: address of this instance.
     """
 
-    def __init__(self, own: MemberAddress) -> None:
-        self._own = own
-        self._heard: dict[str, _Heard] = {}
+    def __init__(self, own_address: MemberAddress) -> None:
+        self._own_address = own_address
+        self._reported: dict[str, _ReportedInstance] = {}
 
-    def hear(self, address: MemberAddress, ready: bool, now_ms: int) -> None:
-        """Take in a sign of life.
+    def record_reported_instance(
+        self, address: MemberAddress, ready: bool, now_ms: int
+    ) -> None:
+        """Record that an instance has sent a message.
 
-        :param address: who spoke.
-        :param ready: whether it takes callers.
-        :param now_ms: the time.
+        :param address: address of the instance.
+        :param ready: whether it serves callers.
+        :param now_ms: the current time.
         """
-        known = self._heard.get(address.instance)
-        if known is not None and known.address.incarnation > address.incarnation:
+        previous = self._reported.get(address.instance)
+        if previous is not None and previous.address.incarnation > address.incarnation:
             return
-        self._heard[address.instance] = _Heard(address, ready, now_ms)
+        self._reported[address.instance] = _ReportedInstance(address, ready, now_ms)
 
     def choose(
         self,
-        question: DiscoveryQuestion,
+        query: DiscoveryQuery,
         own_ready: bool,
-        suspects: Iterable[str],
+        excluded: Iterable[str],
         now_ms: int,
     ) -> list[MemberAddress]:
         """Return the instances for a caller, those of its failure domain first.
 
-        :param question: where the caller is.
-        :param own_ready: whether this instance takes callers.
-        :param suspects: those that do not answer others.
-        :param now_ms: the time.
+        :param query: the location of the caller.
+        :param own_ready: whether this instance serves callers.
+        :param excluded: instances that are suspected or leaving.
+        :param now_ms: the current time.
         """
-        left_out = set(suspects)
+        excluded_names = set(excluded)
         ready = [
             each.address
-            for each in self._heard.values()
+            for each in self._reported.values()
             if each.ready
-            and now_ms - each.heard_ms <= HEARD_MS
-            and each.address.instance not in left_out
+            and now_ms - each.reported_ms <= STALE_MS
+            and each.address.instance not in excluded_names
         ]
         if own_ready:
-            ready.append(self._own)
-        near = [e for e in ready if e.failure_domain == question.failure_domain]
-        if len(near) >= FEW:
-            return near[:MOST]
-        return (near + [each for each in ready if each not in near])[:MOST]
+            ready.append(self._own_address)
+        in_domain = [e for e in ready if e.failure_domain == query.failure_domain]
+        if len(in_domain) >= MIN_DOMAIN_INSTANCES:
+            return in_domain[:MAX_INSTANCES]
+        return (in_domain + [each for each in ready if each not in in_domain])[
+            :MAX_INSTANCES
+        ]
--- a/savorychute/gateway/platform_adapter.py
+++ b/savorychute/gateway/platform_adapter.py
@@ -10,7 +10,7 @@
     from collections.abc import Sequence
 
     from savorychute.gateway.configuration.deployment import Deployment
-    from savorychute.gateway.discovery.discovery_question import DiscoveryQuestion
+    from savorychute.gateway.discovery.discovery_query import DiscoveryQuery
     from savorychute.gateway.duties.duty_kind import DutyKind
     from savorychute.gateway.duties.duty_order import DutyOrder, DutyOutcome
     from savorychute.gateway.duties.server_duty import ServerOrder
@@ -110,7 +110,7 @@
         """Return the load in the answer to it, or None if it holds none."""
         ...
 
-    def decode_discovery(self, request: HttpRequest) -> DiscoveryQuestion | None:
+    def decode_discovery(self, request: HttpRequest) -> DiscoveryQuery | None:
         """Return a caller's question for addresses, or None for another request."""
         ...
 
--- a/savorychute/gateway/requests/request_course.py
+++ b/savorychute/gateway/requests/request_course.py
@@ -205,7 +205,7 @@
 
     def _repeat(self) -> bool:
         """Send a request again that may have run, if that does no harm."""
-        if not self._route.repeatable or self._answer.passing:
+        if not self._route.retryable or self._answer.passing:
             return False
         if self.possible_runs >= self._route.max_attempts or not self._may_go_on():
             return False
@@ -282,7 +282,7 @@
                 organisation=self._admitted.organisation,
                 urgency=self._admitted.rank if service.runs_models else None,
                 last_event=self._answer.relay.last_event,
-                fresh=not self._route.repeatable,
+                fresh=not self._route.retryable,
                 permit=choice.permit,
             ),
             attempt,
@@ -310,7 +310,7 @@
         attempt = self._attempt
         if attempt is None or attempt.ended or self._answer.passing:
             return None
-        if not self._route.repeatable:
+        if not self._route.retryable:
             return None
         if self.possible_runs + 1 >= self._route.max_attempts:
             return None
--- a/savorychute/gateway/settings/gateway_settings.py
+++ b/savorychute/gateway/settings/gateway_settings.py
@@ -1,4 +1,4 @@
-"""The settings of one gateway, checked."""
+"""The validated settings of one gateway."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class GatewaySettings(NamedTuple):
-    """Every setting; :mod:`savorychute.gateway.settings.table` describes each."""
+    """All settings; :mod:`savorychute.gateway.settings.table` describes each."""
 
     instance: str
     region: str
--- a/savorychute/gateway/settings/key_trust.py
+++ b/savorychute/gateway/settings/key_trust.py
@@ -1,4 +1,4 @@
-"""For how long keys are accepted without a confirmation."""
+"""How long keys are accepted without a confirmation by the store."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 if TYPE_CHECKING:
     from savorychute.gateway.settings.gateway_settings import GatewaySettings
 
-# The rest is for a request that is on its way to an endpoint when the trust ends.
-TRUST_SHARE = 0.9
+# The rest of the notice is for requests in transit to an endpoint when the trust ends.
+KEY_TRUST_SHARE = 0.9
 
 
-def key_trust_ms(settings: GatewaySettings) -> int | None:
-    """Return the time after the last confirmation, or None for any time.
+def read_key_trust_ms(settings: GatewaySettings) -> int | None:
+    """Return how long after the last confirmation keys are accepted; None for always.
 
-    :param settings: of the instance.
+    :param settings: settings of the instance.
     """
     if not settings.refuse_unconfirmed_keys:
         return None
-    return int(TRUST_SHARE * settings.revoke_notice_ms)
+    return int(KEY_TRUST_SHARE * settings.revoke_notice_ms)
--- a/savorychute/gateway/settings/retry_bounds.py
+++ b/savorychute/gateway/settings/retry_bounds.py
@@ -1,4 +1,4 @@
-"""The bound on repeats that the settings state."""
+"""The bounds on retries that the settings state."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
     from savorychute.gateway.settings.gateway_settings import GatewaySettings
 
 
-def read_bounds(settings: GatewaySettings) -> RetryBounds:
-    """Return what all instances together may repeat.
+def read_retry_bounds(settings: GatewaySettings) -> RetryBounds:
+    """Return the bounds on retries of all instances together.
 
-    :param settings: of the instance.
+    :param settings: settings of the instance.
     """
     window_ms = int(MS_PER_S * settings.retry_window_s)
     return RetryBounds(settings.retry_ratio, window_ms, settings.retry_slack)
--- a/savorychute/gateway/settings/table.py
+++ b/savorychute/gateway/settings/table.py
@@ -1,4 +1,4 @@
-"""The table of a gateway's settings."""
+"""The table of all settings of a gateway."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from savorychute.settings.scope import Scope
 from savorychute.settings.setting import REQUIRED, Setting
 
-LEAST_S = 0.1
+MIN_DURATION_S = 0.1
 MAX_DURATION_S = MAX_DURATION_MS // 1_000
 MAX_COUNT = 1_000_000
 MAX_MEMORY_MB = 1 << 20
@@ -44,21 +44,21 @@
 
 
 def _duration(name: str, default: float, doc: str) -> Setting:
-    # A platform may state its bounds in fractions of a millisecond.
+    # A platform may state its bounds in fractions of 1 ms.
     reader = read_number(1, MAX_DURATION_MS)
     kind = f'1 to {MAX_DURATION_MS}'
     return Setting(name, default, 'ms', Scope.DEPLOYMENT, kind, reader, doc)
 
 
 def _seconds(name: str, default: float, doc: str) -> Setting:
-    reader = read_number(LEAST_S, MAX_DURATION_S)
-    kind = f'{LEAST_S:g} to {MAX_DURATION_S}'
+    reader = read_number(MIN_DURATION_S, MAX_DURATION_S)
+    kind = f'{MIN_DURATION_S:g} to {MAX_DURATION_S}'
     return Setting(name, default, 's', Scope.DEPLOYMENT, kind, reader, doc)
 
 
-def _amount(name: str, default: float, maximum: int, unit: str, doc: str) -> Setting:
-    # A platform that plays a part of its load states its bounds as that part of them, so
-    # that even what is counted may be a fraction.
+def _quantity(name: str, default: float, maximum: int, unit: str, doc: str) -> Setting:
+    # A platform that runs at a fraction of its load scales its bounds by that fraction,
+    # so that even counts may be fractional.
     reader = read_number(0, maximum)
     return Setting(
         name, default, unit, Scope.DEPLOYMENT, f'0 to {maximum}', reader, doc
@@ -71,14 +71,14 @@
     address_row(
         'readiness_address',
         Scope.INSTANCE,
-        'Where the platform asks whether it is ready.',
+        'Where the platform checks readiness.',
     ),
     address_row(
         'discovery_address', Scope.INSTANCE, 'Where callers ask which instances to use.'
     ),
     port_row('metrics_port', REQUIRED, 'Where metrics are served.', minimum=1),
-    port_row('peer_port', REQUIRED, 'Where other instances reach it.', minimum=1),
-    address_row('store_address', Scope.INSTANCE, "The platform's store."),
+    port_row('peer_port', REQUIRED, 'Where other instances connect.', minimum=1),
+    address_row('store_address', Scope.INSTANCE, "Address of the platform's store."),
     Setting(
         'extension_paths',
         (),
@@ -86,7 +86,7 @@
         Scope.DEPLOYMENT,
         'list of folders',
         read_extension_paths,
-        'Folders in which extensions are looked for.',
+        'Folders that are searched for extensions.',
     ),
     extensions_row('Modules that register variants, for example a platform.'),
     Setting(
@@ -96,26 +96,30 @@
         Scope.DEPLOYMENT,
         'a registered name',
         _read_platform,
-        'How the platform, callers and endpoints speak.',
+        'Adapter for the protocols of the platform, callers and endpoints.',
     ),
     LOG_LEVEL_ROW,
-    _amount('memory_mb', 256.0, MAX_MEMORY_MB, 'MB', 'What the process may use.'),
-    _seconds('grace_s', 8.0, 'From the signal to leave to the end by force.'),
-    _duration('discovery_lifetime_ms', 2_000.0, 'How long callers keep addresses.'),
+    _quantity(
+        'memory_mb', 256.0, MAX_MEMORY_MB, 'MB', 'Memory that the process may use.'
+    ),
+    _seconds('grace_s', 8.0, 'Time from the stop signal until the process is killed.'),
+    _duration(
+        'discovery_lifetime_ms', 2_000.0, 'How long callers may cache addresses.'
+    ),
     _duration(
         'drain_notice_ms',
         2_000.0,
-        'Within which a leaving endpoint must get nothing new.',
+        'Time within which a leaving endpoint must stop receiving new requests.',
     ),
     _duration(
         'configuration_notice_ms',
         2_000.0,
-        'Within which an accepted configuration must be in force.',
+        'Time within which an accepted configuration must be in force.',
     ),
     _duration(
         'revoke_notice_ms',
         5_000.0,
-        'Within which a key that was taken back must be refused.',
+        'Time within which a revoked key must be refused.',
     ),
     Setting(
         'refuse_unconfirmed_keys',
@@ -124,7 +128,7 @@
         Scope.DEPLOYMENT,
         'true or false',
         read_flag,
-        'Refuse all keys when the store has been silent for nearly that long.',
+        'Refuse all keys when the store has been unavailable for nearly that long.',
     ),
     Setting(
         'retry_ratio',
@@ -133,18 +137,22 @@
         Scope.DEPLOYMENT,
         '0 to 1',
         read_share,
-        'Further attempts at a service for each of its requests.',
+        'Retries to a service for each of its requests.',
+    ),
+    _seconds(
+        'retry_window_s', 10.0, 'Window in which requests and retries are counted.'
     ),
-    _seconds('retry_window_s', 10.0, 'The span in which both are counted.'),
-    _amount(
+    _quantity(
         'retry_slack',
         50.0,
         MAX_COUNT,
         '',
-        'Further attempts besides, of all instances together.',
+        'Additional retries in the window, of all instances together.',
+    ),
+    _duration('connect_timeout_ms', 400.0, 'Timeout for connecting to an endpoint.'),
+    _duration(
+        'store_timeout_ms', 1_000.0, 'How long the store may go without responding.'
     ),
-    _duration('connect_timeout_ms', 400.0, 'Time to connect to an endpoint.'),
-    _duration('store_timeout_ms', 1_000.0, 'How long the store may be silent.'),
     Setting(
         'duty_address',
         None,
@@ -152,7 +160,7 @@
         Scope.DEPLOYMENT,
         'host:port',
         read_address,
-        'Where the platform takes what one instance does for all; none for no duties.',
+        'Where the platform receives calls of duties; none for no duties.',
     ),
     Setting(
         'duties',
@@ -161,7 +169,7 @@
         Scope.DEPLOYMENT,
         'list of names',
         read_texts,
-        'The duties that the platform wants, as it names them.',
+        'Duties to carry out, by their names at the platform.',
     ),
     Setting(
         'server_policy',
@@ -170,10 +178,12 @@
         Scope.DEPLOYMENT,
         ', '.join(SERVER_POLICIES),
         read_choice(SERVER_POLICIES),
-        'How many endpoints are ordered, where the platform takes orders.',
+        'Policy for the number of endpoints, if the platform accepts orders.',
+    ),
+    _seconds('usage_window_s', 5.0, 'Length of the windows in which usage is counted.'),
+    _seconds(
+        'usage_due_s', 10.0, 'Time from the end of a window until its report is due.'
     ),
-    _seconds('usage_window_s', 5.0, 'The time over which usage is counted.'),
-    _seconds('usage_due_s', 10.0, 'From the end of a window until its report is due.'),
 )
 
 GATEWAY_RULES: tuple[Rule[GatewaySettings], ...] = (
--- a/tests/test_fleet/test_dialects.py
+++ b/tests/test_fleet/test_dialects.py
@@ -334,7 +334,7 @@
     assert stream.kind is RequestKind.STREAM
     assert stream.host == 'desk.example'
     assert [tuple(share) for share in stream.shares] == [('x', 90), ('y', 10)]
-    assert stream.repeatable
+    assert stream.retryable
     assert plain.kind is RequestKind.NON_IDEMPOTENT
     assert [share.service for share in plain.shares] == ['x']
     assert [service.runs_models for service in deployment.services] == [True, False]
--- a/tests/test_gateway/test_configuration_state.py
+++ b/tests/test_gateway/test_configuration_state.py
@@ -1,4 +1,4 @@
-"""Tests of the version in force and of trust in keys."""
+"""Tests of the configuration version in force and of trust in keys."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from savorychute.result_code import ResultCode
 
 
-def test_older_version_is_never_put_in_force_again(scene):
-    """A configuration that went backwards.
+def test_older_version_is_never_applied(scene):
+    """Guards against a configuration that goes back to an older version.
 
-    A version is in force; a listing that was under way shows the one before it.
+    A version is in force when a listing that started earlier returns the previous one.
     """
     configuration = scene.parts.configuration
     assert configuration.apply(make_deployment(version=7))
@@ -22,11 +22,11 @@
     assert configuration.version == 7
 
 
-def test_keys_are_refused_when_the_store_has_been_silent(scene):
-    """A revoked key that went on working.
+def test_keys_are_refused_when_the_store_is_unavailable(scene):
+    """Guards against a revoked key that is still accepted.
 
-    The store turns this instance away; meanwhile a key is taken back.  Beyond the time
-    of trust no key may be accepted, for nobody here knows which ones were revoked.
+    The store refuses this instance; meanwhile a key is revoked.  After the trust time
+    no key may be accepted, since this instance does not know which ones were revoked.
     """
     scene.advance(4_500)
     assert scene.admit().rank == 8
@@ -46,11 +46,11 @@
         ('/visit/1', '', ResultCode.UNAUTHENTICATED),
     ],
 )
-def test_absence_is_a_fact_only_while_it_is_fresh(scene, path, key, code):
-    """A 404 for a route that exists.
+def test_missing_route_or_key_is_refused_only_while_fresh(scene, path, key, code):
+    """Guards against a 404 for a route that exists.
 
-    A route was added while this instance was out of touch.  A caller does not repeat a
-    request elsewhere after 404 or 401, but it does after 503.
+    A route was added while this instance could not read the store.  Callers do not
+    retry a request at another instance after 404 or 401, but they do after 503.
     """
     assert scene.admit(path, key).code is code
     scene.advance(3_001)
@@ -58,7 +58,7 @@
     assert scene.admit(path, key).code is ResultCode.NOT_READY
 
 
-def test_nothing_is_known_before_the_first_configuration():
+def test_requests_are_refused_before_the_first_configuration():
     scene = make_scene()
     scene.parts.configuration.table = None
 
@@ -79,7 +79,7 @@
     assert table.find_route('other', '/x').name == 'root'
 
 
-def test_confirmation_counts_from_the_begin_of_the_read(scene):
+def test_age_counts_from_the_start_of_the_read(scene):
     configuration = scene.parts.configuration
     configuration.confirm(START_MS + 100)
     configuration.confirm(START_MS + 50)
--- a/tests/test_gateway/test_gateway_settings.py
+++ b/tests/test_gateway/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings that a platform fills in."""
+"""Tests of settings that a platform fills in."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
         ('revoke_notice_ms', 4_999.5),
     ],
 )
-def test_bound_may_be_a_fraction(name, value):
-    """No instance started.
+def test_fractional_bounds_are_accepted(name, value):
+    """Guards against instances that do not start.
 
-    The deployment plays a part of its load and states its bounds as that part; a count of
-    37.8 further attempts was taken for a fault of the settings.
+    The deployment runs at a fraction of its load and scales its bounds by it.  A count
+    of 37.8 retries was rejected as an invalid setting.
     """
     settings = parse_schema(json.dumps(DOCUMENT | {name: value}), 'x', GATEWAY_SCHEMA)
 
--- a/tests/test_gateway/test_instance_directory.py
+++ b/tests/test_gateway/test_instance_directory.py
@@ -1,14 +1,14 @@
-"""Tests of which instances callers are told to use."""
+"""Tests of choosing the instances that callers should use."""
 
 from __future__ import annotations
 
 import pytest
 
-from savorychute.gateway.discovery.discovery_question import DiscoveryQuestion
+from savorychute.gateway.discovery.discovery_query import DiscoveryQuery
 from savorychute.gateway.discovery.instance_directory import InstanceDirectory
 from savorychute.member_address import MemberAddress
 
-NEAR = DiscoveryQuestion('kerala', 'kochi')
+QUERY = DiscoveryQuery('kerala', 'kochi')
 
 
 def make_address(name, domain='kochi', incarnation=1):
@@ -20,39 +20,39 @@
     return InstanceDirectory(make_address('k0'))
 
 
-def choose(directory, now_ms, own_ready=True, suspects=(), question=NEAR):
-    members = directory.choose(question, own_ready, suspects, now_ms)
+def choose(directory, now_ms, own_ready=True, excluded=(), query=QUERY):
+    members = directory.choose(query, own_ready, excluded, now_ms)
     return [member.instance for member in members]
 
 
-def test_only_instances_that_spoke_lately_are_told(directory):
-    """A caller that connects to nobody.
+def test_only_instances_that_reported_recently_are_chosen(directory):
+    """Guards against a caller that receives the address of a killed instance.
 
-    An instance was killed; the store still lists it, and gossip repeats the list.
+    The store still lists the instance, and gossip spreads that list.
     """
-    directory.hear(make_address('k1'), True, 1_000)
-    directory.hear(make_address('k2'), True, 4_000)
+    directory.record_reported_instance(make_address('k1'), True, 1_000)
+    directory.record_reported_instance(make_address('k2'), True, 4_000)
 
     assert choose(directory, 5_500) == ['k2', 'k0']
 
 
-def test_instances_of_other_domains_fill_up(directory):
-    directory.hear(make_address('t1', 'thrissur'), True, 1_000)
+def test_instances_of_other_domains_are_added(directory):
+    directory.record_reported_instance(make_address('t1', 'thrissur'), True, 1_000)
     assert choose(directory, 1_100) == ['k0', 't1']
-    directory.hear(make_address('k1'), True, 1_000)
+    directory.record_reported_instance(make_address('k1'), True, 1_000)
 
     assert choose(directory, 1_100) == ['k1', 'k0']
 
 
-def test_leaving_and_suspected_instances_are_left_out(directory):
-    directory.hear(make_address('k1'), False, 1_000)
-    directory.hear(make_address('k2'), True, 1_000)
+def test_unready_and_excluded_instances_are_left_out(directory):
+    directory.record_reported_instance(make_address('k1'), False, 1_000)
+    directory.record_reported_instance(make_address('k2'), True, 1_000)
 
-    assert choose(directory, 1_100, own_ready=False, suspects=['k2']) == []
+    assert choose(directory, 1_100, own_ready=False, excluded=['k2']) == []
 
 
-def test_older_run_does_not_replace_a_newer_one(directory):
-    directory.hear(make_address('k1', incarnation=2), True, 1_000)
-    directory.hear(make_address('k1', incarnation=1), False, 1_001)
+def test_older_incarnation_does_not_replace_a_newer_one(directory):
+    directory.record_reported_instance(make_address('k1', incarnation=2), True, 1_000)
+    directory.record_reported_instance(make_address('k1', incarnation=1), False, 1_001)
 
     assert choose(directory, 1_100) == ['k1', 'k0']
