--- a/savorychute/gateway/__main__.py
+++ b/savorychute/gateway/__main__.py
@@ -1,6 +1,7 @@
-"""``python -m savorychute.gateway``: the command ``gateway`` alone.
+"""``python -m savorychute.gateway``: runs only the command ``gateway``.
 
-A gateway runs in little memory; the other commands and their libraries are not loaded.
+The other commands and their libraries are not loaded, so that a gateway needs little
+memory.
 """
 
 from __future__ import annotations
--- a/savorychute/gateway/daemon/entry_manager.py
+++ b/savorychute/gateway/daemon/entry_manager.py
@@ -171,4 +171,4 @@
             self._telemetry.store_failed(TOPIC, error)
             return
         self._allowance.cap.change_is_known(max_retries)
-        self._telemetry.repeats_allowed(max_retries)
+        self._telemetry.retries_allowed(max_retries)
--- a/savorychute/gateway/daemon/gateway_host.py
+++ b/savorychute/gateway/daemon/gateway_host.py
@@ -113,7 +113,7 @@
                 version if self.ready else NOT_READY_VERSION
             )
             self._parts.roster.expire(self._parts.clock.now_ms())
-            self._parts.telemetry.tell_omitted()
+            self._parts.telemetry.log_omitted()
             self._log_summaries(self._parts.clock.now_ms())
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_MS / MS_PER_S)
 
--- a/savorychute/gateway/duty_telemetry.py
+++ b/savorychute/gateway/duty_telemetry.py
@@ -1,4 +1,4 @@
-"""What a gateway tells of the duties that it carries out for all."""
+"""Logs and metrics of the duties that one instance carries out for all."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from savorychute.gateway.duties.duty_kind import DutyKind
 from savorychute.gateway.duties.duty_order import DutyOutcome
-from savorychute.gateway.log_word import make_word
+from savorychute.gateway.log_identifier import make_identifier
 from savorychute.logs import LogLevel
 
 if TYPE_CHECKING:
@@ -21,26 +21,26 @@
 
 
 class DutyTelemetry:
-    """Logs who holds the duties and each step of them.
+    """Logs changes of the holder of the duties, and each step of them.
 
-    :param telemetry: where lines and figures go.
+    :param telemetry: writes the lines and metrics.
     """
 
     def __init__(self, telemetry: GatewayTelemetry) -> None:
         self._telemetry = telemetry
 
     def duty_changed(self, change: LeaseChange) -> None:
-        """Log that this instance began or ceased to hold the duties."""
+        """Log that this instance has acquired or lost the duties."""
         self._telemetry.metrics.count('duty_changes_total', change=change.change)
         self._telemetry.log.info(
             'duty-changed',
             state=change.change,
             fencing=change.fencing,
-            reason=make_word(change.why),
+            reason=make_identifier(change.why),
         )
 
     def usage_step(self, step: UsageStep, outcome: DutyOutcome, fencing: int) -> None:
-        """Log what was done about a window's usage, and how it ended."""
+        """Log a step of reporting a window's usage, and its outcome."""
         kind, result = step.kind.name.lower(), outcome.name.lower()
         self._telemetry.metrics.count(
             'duty_steps_total', duty=DutyKind.USAGE.value, step=kind, outcome=result
@@ -58,19 +58,19 @@
         )
 
     def servers_decided(self, fleets: Sequence[ServerFleet]) -> None:
-        """Log what endpoints are wanted from now on, and why."""
+        """Log the endpoints that are wanted from now on, and why."""
         for fleet in fleets:
             self._telemetry.log.info(
                 'servers-decided',
                 service=fleet.service,
                 count=fleet.total,
-                reason=make_word(fleet.reason),
+                reason=make_identifier(fleet.reason),
             )
 
     def servers_ordered(
         self, order: ServerOrder, outcome: DutyOutcome, fencing: int
     ) -> None:
-        """Log an order of endpoints, and how the platform took it."""
+        """Log an order of endpoints, and the platform's response."""
         result = outcome.name.lower()
         self._telemetry.metrics.count(
             'duty_steps_total',
@@ -88,13 +88,13 @@
             count=order.number,
             state=result,
             fencing=fencing,
-            reason=make_word(order.reason),
+            reason=make_identifier(order.reason),
         )
 
     def store_failed(self, topic: str, error: SavorychuteError) -> None:
-        """Count a failure of the store."""
+        """Record a failure of the store."""
         self._telemetry.store_failed(topic, error)
 
     def store_answered(self, topic: str) -> None:
-        """Note that the store has answered."""
+        """Record a response of the store."""
         self._telemetry.store_answered(topic)
--- a/savorychute/gateway/endpoint_telemetry.py
+++ b/savorychute/gateway/endpoint_telemetry.py
@@ -1,11 +1,11 @@
-"""What a gateway tells of endpoints that state limits, and of its calls to them."""
+"""Logs and metrics of endpoints that state limits, and of calls to them."""
 
 from __future__ import annotations
 
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from savorychute.gateway.log_word import make_word
+from savorychute.gateway.log_identifier import make_identifier
 from savorychute.gateway.permits.permit import Denial
 from savorychute.logs import LogLevel
 
@@ -19,29 +19,29 @@
     from savorychute.gateway.permits.permit import Outcome
     from savorychute.gateway.telemetry import GatewayTelemetry
 
-# Unreadable statements that were logged, the newest; each answer may repeat one.
-UNREADABLE_KEPT = 256
+# How many logged unreadable statements are remembered; each response may repeat one.
+MAX_REMEMBERED_STATEMENTS = 256
 
 
 class CallKind(Enum):
-    """What an endpoint is called for."""
+    """The purpose of a call to an endpoint."""
 
     ATTEMPT = 'attempt'
     REPORT = 'report'
 
 
 class EndpointTelemetry:
-    """Logs what endpoints say of themselves.
+    """Logs what endpoints state about themselves, and the calls that this limits.
 
-    :param telemetry: where lines and figures go.
+    :param telemetry: writes the lines and metrics.
     """
 
     def __init__(self, telemetry: GatewayTelemetry) -> None:
         self._telemetry = telemetry
-        self._unreadable: dict[tuple[EndpointRun, StatementKind], None] = {}
+        self._logged_unreadable: dict[tuple[EndpointRun, StatementKind], None] = {}
 
     def limit_stated(self, run: EndpointRun, limit_per_s: float | None) -> None:
-        """Log that an endpoint states another limit, or none any more."""
+        """Log that an endpoint states a different limit, or no longer states one."""
         self._telemetry.write(
             LogLevel.WARNING,
             'limit-stated',
@@ -52,13 +52,13 @@
         )
 
     def leaving_stated(self, run: EndpointRun) -> None:
-        """Log that an endpoint says that it leaves."""
+        """Log that an endpoint states that it is leaving."""
         self._telemetry.write(
             LogLevel.WARNING, 'leaving-stated', '', endpoint=run.endpoint
         )
 
     def rest_stated(self, run: EndpointRun, rest_ms: int) -> None:
-        """Log that an endpoint wants nothing of this instance for a while."""
+        """Log that an endpoint asks this instance to pause its requests."""
         self._telemetry.metrics.count('rests_total')
         self._telemetry.write(
             LogLevel.WARNING,
@@ -71,20 +71,20 @@
     def statement_unreadable(
         self, run: EndpointRun, statement: UnreadableStatement
     ) -> None:
-        """Log a statement that cannot be read, once for each run and kind."""
-        seen = (run, statement.kind)
-        if seen in self._unreadable:
+        """Log an unreadable statement, once for each run and kind."""
+        logged_key = (run, statement.kind)
+        if logged_key in self._logged_unreadable:
             return
-        self._unreadable[seen] = None
-        if len(self._unreadable) > UNREADABLE_KEPT:
-            self._unreadable.pop(next(iter(self._unreadable)))
+        self._logged_unreadable[logged_key] = None
+        if len(self._logged_unreadable) > MAX_REMEMBERED_STATEMENTS:
+            self._logged_unreadable.pop(next(iter(self._logged_unreadable)))
         self._telemetry.write(
             LogLevel.WARNING,
             'statement-unreadable',
             '',
             endpoint=run.endpoint,
             item=statement.kind.value,
-            reason=make_word(statement.text),
+            reason=make_identifier(statement.text),
         )
 
     def limited_call(
@@ -94,7 +94,7 @@
         limit_per_s: float,
         request_id: str = '',
     ) -> None:
-        """Log a call to an endpoint with a limit."""
+        """Log a call to an endpoint that states a limit."""
         self._telemetry.metrics.count(
             'limited_calls_total', service=endpoint.service, kind=kind.value
         )
@@ -111,7 +111,7 @@
     def permit_decided(
         self, request_id: str, run: EndpointRun, rank: int, outcome: Outcome
     ) -> None:
-        """Log whether a call to an endpoint with a limit may be made."""
+        """Log whether a permit was granted for an endpoint that states a limit."""
         wait_ms = outcome.wait_ms if isinstance(outcome, Denial) else 0
         state = 'denied' if wait_ms else 'granted'
         self._telemetry.metrics.count('permits_total', outcome=state)
--- a/savorychute/gateway/parts.py
+++ b/savorychute/gateway/parts.py
@@ -1,4 +1,4 @@
-"""What all requests of a gateway share."""
+"""State and ports that all requests of a gateway share."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class GatewayParts(NamedTuple):
-    """State and ports; one set for each instance."""
+    """Shared state and ports, one set for each instance."""
 
     clock: Clock
     timers: TimerPort
@@ -49,7 +49,7 @@
     endpoint_telemetry: EndpointTelemetry
 
     def chooser(self, service: Service) -> Chooser:
-        """Return how endpoints of a service are chosen.
+        """Return the chooser of endpoints of a service.
 
         :param service: the service.
         """
--- a/savorychute/gateway/platform_adapter.py
+++ b/savorychute/gateway/platform_adapter.py
@@ -1,4 +1,4 @@
-"""What the adapter of a platform brings."""
+"""The interface of a platform's adapter."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 class PlatformAdapter(Protocol):
     """Translates between the platform's protocol and the gateway's types.
 
-    It decides nothing and keeps no state.  What it cannot read it reports by
+    It makes no decisions and has no state.  For input that it cannot read it raises
     :class:`~savorychute.gateway.translation_error.TranslationError`.
     """
 
@@ -53,23 +53,25 @@
         ...
 
     def decode_duties(self, names: Sequence[str]) -> frozenset[DutyKind]:
-        """Return the duties among some names of the platform's."""
+        """Return the known duties among names that the platform uses."""
         ...
 
-    def encode_usage(self, report: UsageReport, order: DutyOrder) -> HttpRequest:
-        """Return the call that reports a window's usage."""
+    def encode_usage(self, report: UsageReport, duty_order: DutyOrder) -> HttpRequest:
+        """Return the request that reports a window's usage."""
         ...
 
-    def encode_servers(self, servers: ServerOrder, order: DutyOrder) -> HttpRequest:
-        """Return the call that orders endpoints."""
+    def encode_servers(
+        self, server_order: ServerOrder, duty_order: DutyOrder
+    ) -> HttpRequest:
+        """Return the request that orders endpoints."""
         ...
 
     def decode_duty_answer(self, status: int) -> DutyOutcome:
-        """Return what the status of the answer to a duty's call says."""
+        """Return the outcome that the status of a response to such a request means."""
         ...
 
     def decode_configuration(self, key: str, value: bytes) -> Deployment | None:
-        """Return the configuration in a record, or None for another record."""
+        """Return the configuration in a record, or None for other records."""
         ...
 
     def decode_endpoint(self, key: str, value: bytes) -> EndpointEntry:
@@ -83,41 +85,41 @@
     def encode_refusal(
         self, refusal: Refusal, request: HttpRequest | None
     ) -> HttpResponse:
-        """Return an answer of the gateway's own."""
+        """Return the response for a refusal of the gateway."""
         ...
 
     def encode_attempt(self, attempt: OutboundAttempt) -> HttpRequest:
-        """Return what an endpoint is sent."""
+        """Return the request for an endpoint."""
         ...
 
     def decode_answer(
         self, status: int, headers: dict[str, str], attempt: OutboundAttempt
     ) -> EndpointAnswer:
-        """Return what the head of an endpoint's answer says."""
+        """Return the meaning of the head of an endpoint's response."""
         ...
 
     def decode_statement(
         self, status: int, headers: dict[str, str]
     ) -> EndpointStatement:
-        """Return what an endpoint says of itself in the head of any answer."""
+        """Return what an endpoint states about itself in the head of a response."""
         ...
 
     def encode_probe(self) -> HttpRequest:
-        """Return the question for an engine's load report."""
+        """Return the request for an engine's load report."""
         ...
 
     def decode_report(self, response: HttpResponse) -> EngineLoad | None:
-        """Return the load in the answer to it, or None if it holds none."""
+        """Return the load in a response to it, or None if there is none."""
         ...
 
     def decode_discovery(self, request: HttpRequest) -> DiscoveryQuery | None:
-        """Return a caller's question for addresses, or None for another request."""
+        """Return a caller's query for addresses, or None for other requests."""
         ...
 
     def encode_discovery(
         self, members: Sequence[MemberAddress], lifetime_ms: int
     ) -> HttpResponse:
-        """Return the answer to it."""
+        """Return the response with addresses of instances."""
         ...
 
     def is_readiness(self, request: HttpRequest) -> bool:
--- a/savorychute/gateway/requests/request_course.py
+++ b/savorychute/gateway/requests/request_course.py
@@ -226,7 +226,7 @@
     def _spend(self) -> bool:
         service = self._admitted.service.name
         decision = self._parts.allowance.try_spend(service, self.now_ms())
-        self._parts.telemetry.repeat_decided(self._request, service, decision)
+        self._parts.telemetry.retry_decided(self._request, service, decision)
         return decision.granted
 
     def _give_up(self, reason: str) -> None:
--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -1,12 +1,12 @@
-"""What a gateway tells its operators: log lines and metrics."""
+"""Log lines and metrics of a gateway."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from savorychute.gateway.endpoints.engine_load import EngineLoad
-from savorychute.gateway.log_budget import LogBudget
-from savorychute.gateway.log_word import WORD_CHARS, make_word
+from savorychute.gateway.log_identifier import MAX_IDENTIFIER_CHARS, make_identifier
+from savorychute.gateway.log_line_budget import LogLineBudget
 from savorychute.gateway.store.call_meter import CallMeter
 from savorychute.logs import LogLevel
 
@@ -32,63 +32,65 @@
     from savorychute.metrics import Metrics
 
 OK_OUTCOMES = ('answered',)
-# Unreadable records that were logged, the newest; listings show them again and again.
-UNREADABLE_KEPT = 256
-# In a log line, for an engine of which nothing is known,
-NO_LOAD = EngineLoad(0, 0, 0, 0)
-# and for one that has begun nothing lately.
+# How many logged unreadable records are remembered; each listing returns them again.
+MAX_REMEMBERED_RECORDS = 256
+# Logged for an engine whose load is unknown.
+UNKNOWN_LOAD = EngineLoad(0, 0, 0, 0)
+# Logged for an engine that has started no request recently.
 NO_RANK = -1
 
 
 class GatewayTelemetry:
-    """One line for each decision that touches a request or a belief, and counters.
+    """Logs each decision on a request and each change of known state, and counts them.
 
-    :param log: where the lines go.
-    :param metrics: what is counted.
-    :param clock: the time.
+    :param log: log of the instance.
+    :param metrics: metrics of the instance.
+    :param clock: monotonic clock.
     """
 
     def __init__(self, log: InstanceLog, metrics: Metrics, clock: Clock) -> None:
         self.log = log
         self.metrics = metrics
         self.calls = CallMeter(metrics)
-        self._budget = LogBudget(clock)
-        self._lost: set[str] = set()
-        self._unreadable: dict[tuple[str, int, str | None], None] = {}
+        self._budget = LogLineBudget(clock)
+        self._failing_topics: set[str] = set()
+        self._logged_unreadable: dict[tuple[str, int, str | None], None] = {}
 
     # -- dependencies
 
     def store_failed(self, topic: str, error: SavorychuteError) -> None:
-        """Count a failure, and log the first of a run of them."""
+        """Count a failure of the store, and log the first of consecutive ones."""
         self.metrics.count('store_failures_total', topic=topic)
-        if topic in self._lost:
+        if topic in self._failing_topics:
             return
-        self._lost.add(topic)
-        self.log.warning('dependency-lost', item=topic, reason=make_word(error.message))
+        self._failing_topics.add(topic)
+        self.log.warning(
+            'dependency-lost', item=topic, reason=make_identifier(error.message)
+        )
 
     def store_used(self) -> None:
-        """Log how many calls to the store were made so far, and what for."""
+        """Log how many calls to the store were made so far, by purpose."""
         for topic, counts in self.calls.summary().items():
             self.log.info('store-used', item=topic, reason=counts)
 
     def store_went_back(self, era: int) -> None:
-        """Log that the store has come back from an older copy, and what it lost is there."""
+        """Log that entries were rewritten after the store went back to a copy."""
         self.log.warning('store-went-back', era=era)
 
     def store_answered(self, topic: str) -> None:
-        """Log the first answer after failures."""
-        if topic in self._lost:
-            self._lost.discard(topic)
+        """Log the first response of the store after failures."""
+        if topic in self._failing_topics:
+            self._failing_topics.discard(topic)
             self.log.info('dependency-regained', item=topic)
 
     def record_unreadable(self, topic: str, record: UnreadableRecord) -> None:
-        """Log a record that could not be decoded, once however often it is read."""
-        seen = (topic, record.offset, record.key)
-        if seen in self._unreadable:
+        """Log a record that could not be decoded, only the first time it is read."""
+        logged_key = (topic, record.offset, record.key)
+        if logged_key in self._logged_unreadable:
             return
-        self._unreadable[seen] = None
-        if len(self._unreadable) > UNREADABLE_KEPT:
-            self._unreadable.pop(next(iter(self._unreadable)))
+        self._logged_unreadable[logged_key] = None
+        if len(self._logged_unreadable) > MAX_REMEMBERED_RECORDS:
+            self._logged_unreadable.pop(next(iter(self._logged_unreadable)))
         self.metrics.count('records_unreadable_total', topic=topic)
         self.write(
             LogLevel.ERROR,
@@ -96,38 +98,40 @@
             '',
             item=topic,
             offset=record.offset,
-            record_id=make_word(record.key or ''),
-            reason=make_word(record.reason),
+            record_id=make_identifier(record.key or ''),
+            reason=make_identifier(record.reason),
         )
 
     def settings_reloaded(self, changed: Sequence[str]) -> None:
-        """Log that the settings were read anew."""
+        """Log that the settings were reloaded."""
         self.log.info(
-            'settings-reloaded', count=len(changed), item=','.join(changed)[:WORD_CHARS]
+            'settings-reloaded',
+            count=len(changed),
+            item=','.join(changed)[:MAX_IDENTIFIER_CHARS],
         )
 
     def settings_rejected(self, error: SettingsError) -> None:
-        """Log that a new settings file has faults and changes nothing."""
+        """Log that a changed settings file has faults and was not applied."""
         self.log.error(
             'settings-rejected',
             code=error.code.number,
             count=len(error.faults),
-            reason=make_word(error.faults[0]),
+            reason=make_identifier(error.faults[0]),
         )
 
     def work_failed(self, name: str, error: Exception) -> None:
-        """Log a defect that ended background work, which begins anew."""
+        """Log a defect that ended background work, which is restarted."""
         self.log.error(
             'work-failed',
             item=name,
             error=type(error).__name__,
-            reason=make_word(str(error)),
+            reason=make_identifier(str(error)),
         )
 
-    # -- beliefs
+    # -- configuration, endpoints and members
 
     def configuration_applied(self, deployment: Deployment, offset: int) -> None:
-        """Log a version that is now in force."""
+        """Log a configuration version that is now in force."""
         self.log.info(
             'configuration-applied',
             version=deployment.version,
@@ -136,7 +140,7 @@
         )
 
     def endpoint_changed(self, entry: EndpointEntry) -> None:
-        """Log an endpoint that came or began to leave."""
+        """Log an endpoint that was added or started to drain."""
         self.log.info(
             'endpoint-changed',
             endpoint=entry.endpoint,
@@ -150,18 +154,18 @@
         self.log.info('endpoint-changed', endpoint=endpoint, state='gone')
 
     def member_changed(self, change: MemberChange) -> None:
-        """Log another instance that came, left, fell silent or came back."""
+        """Log that another instance joined, left, became unresponsive or returned."""
         self.log.info(
             'member-changed',
             member=change.instance,
             incarnation=change.incarnation,
             from_state=change.from_state,
             to_state=change.to_state,
-            reason=make_word(change.why),
+            reason=make_identifier(change.why),
         )
 
     def engines_learned(self, service: str, figures: EngineFigures) -> None:
-        """Log what predictions for a service's engines are made of."""
+        """Log the figures from which a service's engines are predicted."""
         self.log.info(
             'engines-learned',
             service=service,
@@ -173,15 +177,15 @@
     def request_refused(
         self, request: InboundRequest, refusal: Refusal, version: int, age_ms: int
     ) -> None:
-        """Log a refusal at the door."""
-        number = str(refusal.code.number)
-        self.metrics.count('refusals_total', code=number, reason=refusal.reason)
+        """Log a refusal at admission."""
+        code_number = str(refusal.code.number)
+        self.metrics.count('refusals_total', code=code_number, reason=refusal.reason)
         self.write(
             LogLevel.WARNING,
             'request-refused',
             request.attempt_id,
             code=refusal.code.number,
-            reason=make_word(refusal.reason),
+            reason=make_identifier(refusal.reason),
             ran=refusal.ran.value,
             retry_after_ms=refusal.retry_after_ms,
             version=version,
@@ -196,13 +200,13 @@
         limit: str,
         now_ms: int,
     ) -> None:
-        """Log that not even the best engine can serve a request in time.
+        """Log that even the best engine cannot serve a request in time.
 
-        Whom the engine's load belongs to tells a service that is full from one that is
-        full of less urgent requests.
+        The ranks in the engine's load distinguish a service that is saturated from one
+        that is saturated by less urgent requests.
         """
         record = choice.record
-        load = record.load or NO_LOAD
+        load = record.load or UNKNOWN_LOAD
         begun_rank = load.begun_rank
         self.metrics.count('sheds_total', rank=str(need.rank), limit=limit)
         self.write(
@@ -229,7 +233,7 @@
         reason: str,
         now_ms: int,
     ) -> None:
-        """Log an attempt that did not end well; the others are in the last line."""
+        """Log a failed attempt; successful ones appear in the line of the request."""
         record = attempt.choice.record
         service = record.entry.service
         self.metrics.count('attempts_total', service=service, outcome=outcome)
@@ -242,15 +246,15 @@
             endpoint=record.entry.endpoint,
             service=record.entry.service,
             state=outcome,
-            reason=make_word(reason),
+            reason=make_identifier(reason),
             duration_ms=now_ms - attempt.began_ms,
             count=record.outstanding,
         )
 
-    def repeat_decided(
+    def retry_decided(
         self, request: InboundRequest, service: str, decision: RepeatDecision
     ) -> None:
-        """Log whether a further attempt may be sent, and out of what."""
+        """Log whether a retry may be sent, and the figures behind the decision."""
         outcome = 'granted' if decision.granted else 'withheld'
         self.metrics.count('repeats_total', service=service, outcome=outcome)
         self.metrics.set('repeats_recent', decision.spent, service=service)
@@ -269,9 +273,9 @@
             cap=decision.cap,
         )
 
-    def repeats_allowed(self, repeats: float) -> None:
-        """Log that the store holds another cap of the repeats of this run."""
-        self.log.info('repeats-allowed', bound=repeats)
+    def retries_allowed(self, max_retries: float) -> None:
+        """Log that the store has a new cap on the retries of this run."""
+        self.log.info('repeats-allowed', bound=max_retries)
 
     def request_finished(
         self,
@@ -281,7 +285,7 @@
         status: int,
         summary: CourseSummary,
     ) -> None:
-        """Log how a request ended."""
+        """Log a finished request."""
         route = admitted.route
         self.metrics.count('requests_total', route=route.name, outcome=outcome)
         self.metrics.observe('request_ms', summary.duration_ms, admitted.rank)
@@ -294,7 +298,7 @@
             LogLevel.INFO if outcome in OK_OUTCOMES else LogLevel.WARNING,
             'request-finished',
             request.attempt_id,
-            state=make_word(outcome),
+            state=make_identifier(outcome),
             status=status,
             item=admitted.route.name,
             service=admitted.service.name,
@@ -311,9 +315,9 @@
             gap_target_ms=route.gap_target_ms,
         )
 
-    def tell_omitted(self) -> None:
-        """Log how many lines were left out, if any were."""
-        omitted = self._budget.take_omitted()
+    def log_omitted(self) -> None:
+        """Log how many lines were omitted, if any."""
+        omitted = self._budget.pop_omitted()
         if omitted:
             self.metrics.count('log_lines_omitted_total', omitted)
             self.log.warning('log-lines-omitted', count=omitted)
@@ -323,10 +327,10 @@
     ) -> None:
         """Log one line if the budget of lines allows it.
 
-        :param level: how much it matters.
-        :param event: a constant name.
-        :param request_id: the request that it belongs to, or empty.
-        :param fields: those of the line.
+        :param level: level of the line.
+        :param event: constant name of the event.
+        :param request_id: the request that the line belongs to, or empty.
+        :param fields: fields of the line.
         """
-        if self._budget.take(level >= LogLevel.WARNING):
+        if self._budget.acquire(level >= LogLevel.WARNING):
             self.log.write(level, event, request_id, **fields)
--- a/savorychute/gateway/translation_error.py
+++ b/savorychute/gateway/translation_error.py
@@ -1,4 +1,4 @@
-"""What an adapter cannot read."""
+"""The error for input that an adapter cannot read."""
 
 from __future__ import annotations
 
