--- a/savorychute/gateway/requests/request_execution.py
+++ b/savorychute/gateway/requests/request_execution.py
@@ -210,7 +210,7 @@
 
     def _retry(self) -> bool:
         """Retry a request that may have run, if that is harmless and permitted."""
-        if not self._route.repeatable or self._response.forwarding:
+        if not self._route.retryable or self._response.forwarding:
             return False
         if (
             self.possible_executions >= self._route.max_attempts
@@ -234,7 +234,7 @@
     def _spend_retry(self) -> bool:
         service = self._admitted.service.name
         decision = self._parts.allowance.try_spend(service, self.now_ms())
-        self._parts.telemetry.repeat_decided(self._request, service, decision)
+        self._parts.telemetry.retry_decided(self._request, service, decision)
         return decision.granted
 
     def _abandon(self, reason: str) -> None:
@@ -292,7 +292,7 @@
                 organisation=self._admitted.organisation,
                 urgency=self._admitted.rank if service.runs_models else None,
                 last_event=self._response.relay.last_event,
-                fresh=not self._route.repeatable,
+                fresh=not self._route.retryable,
                 permit=choice.permit,
             ),
             attempt,
@@ -320,7 +320,7 @@
         attempt = self._attempt
         if attempt is None or attempt.ended or self._response.forwarding:
             return None
-        if not self._route.repeatable:
+        if not self._route.retryable:
             return None
         if self.possible_executions + 1 >= self._route.max_attempts:
             return None
--- a/tests/test_fleet/test_retries_over_restarts.py
+++ b/tests/test_fleet/test_retries_over_restarts.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from rig import run_rig
+from fleet_fixture import run_fleet
 
 from savorychute.testing.virtual_loop import run_virtual
 
@@ -35,7 +35,7 @@
     arrivals = sorted(
         (at_s, headers['attempt-id'])
         for endpoint in rig.endpoints.values()
-        for at_s, headers in zip(endpoint.times, endpoint.got, strict=True)
+        for at_s, headers in zip(endpoint.received_times_s, endpoint.received, strict=True)
     )
     for at_s, attempt in arrivals:
         if attempt in seen:
@@ -78,7 +78,7 @@
         }
         async with (
             asyncio.timeout(TEST_S),
-            run_rig(GATEWAYS, desks=5, **settings) as rig,
+            run_fleet(GATEWAYS, plain_endpoints=5, **settings) as rig,
         ):
             rig.sent_s = []
             # The gateways must know each other before the storm.
