--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -26,6 +26,7 @@
 from savorychute.gateway.metric_rows import GATEWAY_METRICS
 from savorychute.gateway.parts import GatewayParts
 from savorychute.gateway.permits.permit_desk import PermitDesk
+from savorychute.gateway.recovery.crash_table import CrashTable
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance
 from savorychute.gateway.requests.intake import Intake
 from savorychute.gateway.settings.key_trust import read_key_trust_ms
@@ -33,12 +34,10 @@
 from savorychute.gateway.store.configuration_listener import ConfigurationListener
 from savorychute.gateway.store.endpoint_journal import EndpointJournal
 from savorychute.gateway.store.endpoint_listener import EndpointListener
-from savorychute.gateway.store.registration import Registration
-from savorychute.gateway.recovery.crash_table import CrashTable
-from savorychute.gateway.store.read_gates import ConfigurationGate
-from savorychute.gateway.store.read_gates import EndpointGate
+from savorychute.gateway.store.read_gates import ConfigurationGate, EndpointGate
 from savorychute.gateway.store.read_plan import ReadPlan
 from savorychute.gateway.store.read_timing import ReadTiming
+from savorychute.gateway.store.registration import Registration
 from savorychute.gateway.store.shared_reader import SharedReader
 from savorychute.gateway.store.store_access import StoreAccess
 from savorychute.gateway.store.store_era import StoreEra
--- a/savorychute/gateway/daemon/duty_assembly.py
+++ b/savorychute/gateway/daemon/duty_assembly.py
@@ -14,10 +14,10 @@
 from savorychute.gateway.duties.server_duty import ServerDuty
 from savorychute.gateway.duties.server_policies import SERVER_POLICIES
 from savorychute.gateway.duties.true_time import TrueTime
-from savorychute.gateway.duties.usage_duty import UsageDuty
 from savorychute.gateway.duties.usage_aggregator import UsageAggregator
 from savorychute.gateway.duties.usage_broadcaster import UsageBroadcaster
 from savorychute.gateway.duties.usage_counter import UsageCounter
+from savorychute.gateway.duties.usage_duty import UsageDuty
 from savorychute.gateway.duties.usage_windows import UsageWindows
 from savorychute.gateway.duty_telemetry import DutyTelemetry
 from savorychute.http.client_pool import ServerAddress
--- a/savorychute/gateway/daemon/peer_message_router.py
+++ b/savorychute/gateway/daemon/peer_message_router.py
@@ -9,10 +9,10 @@
 from savorychute.gateway.duties.usage_told import UsageTold
 from savorychute.gateway.permits.permit_answer import PermitAnswer
 from savorychute.gateway.permits.permit_question import PermitQuestion
-from savorychute.gateway.recovery.crash_news import CrashNews
-from savorychute.gateway.recovery.crash_question import CrashQuestion
 from savorychute.gateway.recovery.crash_broadcaster import CrashBroadcaster
 from savorychute.gateway.recovery.crash_history_fetcher import CrashHistoryFetcher
+from savorychute.gateway.recovery.crash_news import CrashNews
+from savorychute.gateway.recovery.crash_question import CrashQuestion
 from savorychute.gateway.store.store_answer import StoreAnswer
 from savorychute.gateway.store.store_question import StoreQuestion
 from savorychute.membership.ack import Ack
@@ -28,10 +28,10 @@
     from savorychute.gateway.dispatch.shortages import Shortages
     from savorychute.gateway.duties.duty_candidates import DutyCandidates
     from savorychute.gateway.duties.true_time import TrueTime
+    from savorychute.gateway.duties.usage_broadcaster import UsageBroadcaster
     from savorychute.gateway.endpoints.statement_book import StatementBook
     from savorychute.gateway.permits.permit_desk import PermitDesk
     from savorychute.gateway.recovery.crash_table import CrashTable
-    from savorychute.gateway.duties.usage_broadcaster import UsageBroadcaster
     from savorychute.gateway.store.read_plan import ReadPlan
     from savorychute.gateway.store.shared_reader import SharedReader
     from savorychute.membership.member_view import MemberView
@@ -116,7 +116,9 @@
         parts = self.parts
         match message:
             case CrashNews():
-                parts.crashes.record_reported(message.sightings, now_ms - message.age_ms)
+                parts.crashes.record_reported(
+                    message.sightings, now_ms - message.age_ms
+                )
             case CrashQuestion():
                 requester = view.address_of(sender)
                 return (
--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -20,9 +20,9 @@
     from savorychute.gateway.dispatch.engine_model import EngineFigures
     from savorychute.gateway.dispatch.need import Need
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
-    from savorychute.gateway.requests.attempt import Attempt
     from savorychute.gateway.recovery.retry_allowance import RetryDecision
     from savorychute.gateway.requests.admitted_request import AdmittedRequest
+    from savorychute.gateway.requests.attempt import Attempt
     from savorychute.gateway.requests.execution_summary import ExecutionSummary
     from savorychute.gateway.requests.inbound_request import InboundRequest
     from savorychute.gateway.requests.refusal import Refusal
--- a/tests/test_fleet/test_retries_over_restarts.py
+++ b/tests/test_fleet/test_retries_over_restarts.py
@@ -35,7 +35,9 @@
     arrivals = sorted(
         (at_s, headers['attempt-id'])
         for endpoint in rig.endpoints.values()
-        for at_s, headers in zip(endpoint.received_times_s, endpoint.received, strict=True)
+        for at_s, headers in zip(
+            endpoint.received_times_s, endpoint.received, strict=True
+        )
     )
     for at_s, attempt in arrivals:
         if attempt in seen:
--- a/tests/test_gateway/test_configuration_state.py
+++ b/tests/test_gateway/test_configuration_state.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from gateway_fakes import (START_MS, make_deployment, make_route)
-from gateway_fakes import make_gateway
+from gateway_fakes import START_MS, make_deployment, make_gateway, make_route
 
 from savorychute.gateway.configuration.request_kind import RequestKind
 from savorychute.gateway.configuration.route_table import RouteTable
--- a/tests/test_gateway/test_entry_manager.py
+++ b/tests/test_gateway/test_entry_manager.py
@@ -7,13 +7,12 @@
 
 import pytest
 from gateway_fakes import make_telemetry
-from memory_topic import (OWN, MemoryTopic)
+from memory_topic import OWN, MemoryTopic, ignore_call
 
 from savorychute.clock import MS_PER_S
 from savorychute.gateway.daemon.entry_manager import EntryManager
-from memory_topic import ignore_call
-from savorychute.gateway.recovery.retry_cap import INITIAL_RETRIES
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance, RetryBounds
+from savorychute.gateway.recovery.retry_cap import INITIAL_RETRIES
 from savorychute.gateway.store.instance_entry import decode_listing
 from savorychute.gateway.store.registration import Registration
 from savorychute.gateway.store.store_errors import StoreUnavailableError
