--- a/savorychute/gateway/endpoints/endpoint_record.py
+++ b/savorychute/gateway/endpoints/endpoint_record.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from savorychute.gateway.endpoints.endpoint_health import EndpointHealth
-from savorychute.gateway.requests.rank import LEAST_URGENT
+from savorychute.gateway.requests.rank import LEAST_URGENT_RANK
 
 if TYPE_CHECKING:
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
@@ -151,7 +151,7 @@
             return False
         return load.waiting > 0
 
-    def pending_prefill_tokens(self, rank: int = LEAST_URGENT) -> int:
+    def pending_prefill_tokens(self, rank: int = LEAST_URGENT_RANK) -> int:
         """Return the tokens that this instance's requests still have to prefill there.
 
         :param rank: count only requests that are at least as urgent.
@@ -160,7 +160,7 @@
             each.tokens for each in self._prefilling.values() if each.rank <= rank
         )
 
-    def unreported_prefill_tokens(self, rank: int = LEAST_URGENT) -> int:
+    def unreported_prefill_tokens(self, rank: int = LEAST_URGENT_RANK) -> int:
         """Return the tokens still to prefill that the last report cannot include yet.
 
         :param rank: count only requests that are at least as urgent.
@@ -172,7 +172,7 @@
             if each.rank <= rank and each.sent_ms >= uncounted_since_ms
         )
 
-    def unreported_requests(self, rank: int = LEAST_URGENT) -> int:
+    def unreported_requests(self, rank: int = LEAST_URGENT_RANK) -> int:
         """Return the number of requests that the last report cannot include yet.
 
         Requests that started to generate since then are counted as well.
--- a/savorychute/gateway/parts.py
+++ b/savorychute/gateway/parts.py
@@ -1,4 +1,4 @@
-"""What all requests of a gateway share."""
+"""State and ports that all requests of a gateway share."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     from savorychute.gateway.dispatch.engine_models import EngineModels
     from savorychute.gateway.dispatch.overload_guard import OverloadGuard
     from savorychute.gateway.dispatch.shortages import Shortages
-    from savorychute.gateway.duties.usage_ledger import UsageLedger
+    from savorychute.gateway.duties.usage_counter import UsageCounter
     from savorychute.gateway.endpoint_telemetry import EndpointTelemetry
     from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
     from savorychute.gateway.endpoints.load_monitor import LoadMonitor
     from savorychute.gateway.endpoints.statement_table import StatementTable
     from savorychute.gateway.permits.permit_handler import PermitHandler
-    from savorychute.gateway.recovery.crash_book import CrashBook
+    from savorychute.gateway.recovery.crash_table import CrashTable
     from savorychute.gateway.recovery.retry_allowance import RetryAllowance
     from savorychute.gateway.requests.attempt_port import AttemptPort, TimerPort
     from savorychute.gateway.telemetry import GatewayTelemetry
 
 
 class GatewayParts(NamedTuple):
-    """State and ports; one set for each instance."""
+    """Shared state and ports, one set for each instance."""
 
     clock: Clock
     timers: TimerPort
@@ -43,13 +43,13 @@
     statements: StatementTable
     permits: PermitHandler
     allowance: RetryAllowance
-    crashes: CrashBook
-    usage: UsageLedger
+    crashes: CrashTable
+    usage: UsageCounter
     telemetry: GatewayTelemetry
     endpoint_telemetry: EndpointTelemetry
 
     def chooser(self, service: Service) -> Chooser:
-        """Return how endpoints of a service are chosen.
+        """Return the chooser of endpoints of a service.
 
         :param service: the service.
         """
--- a/savorychute/gateway/permits/recent_denials.py
+++ b/savorychute/gateway/permits/recent_denials.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from savorychute.gateway.requests.rank import LAST_LEVEL
+from savorychute.gateway.requests.rank import LAST_ROUTE_LEVEL
 
 if TYPE_CHECKING:
     from savorychute.gateway.endpoints.endpoint_run import EndpointRun
@@ -26,7 +26,7 @@
     scarce_until_ms: int
 
 
-NO_DENIAL = _Denial(0.0, (0,) * (LAST_LEVEL + 1), 0)
+NO_DENIAL = _Denial(0.0, (0,) * (LAST_ROUTE_LEVEL + 1), 0)
 
 
 class RecentDenials:
--- a/savorychute/instance/housekeeping.py
+++ b/savorychute/instance/housekeeping.py
@@ -77,15 +77,15 @@
     def note_load(self, report: LoadReported, now_ms: int) -> list[Action]:
         """Take in an endpoint's load report."""
         parts = self._parts
-        parts.book.report(report, now_ms)
-        parts.ejector.report(report, now_ms)
+        parts.book.apply_report(report, now_ms)
+        parts.ejector.apply_report(report, now_ms)
         parts.credits.observe(report)
         self._placement_desk.note_load(report, now_ms)
         actions = self._lease_desk.note_load(report, now_ms)
         if report.state == ACTIVE:
             return actions
-        parts.leaving.note(report.endpoint, now_ms)
-        return actions + parts.leaving.send(parts.membership.view())
+        parts.leaving.record(report.endpoint, now_ms)
+        return actions + parts.leaving.broadcast(parts.membership.view())
 
     def note_order(self, finished: OrderFinished, now_ms: int) -> list[Action]:
         """Take in how an order ended."""
@@ -115,7 +115,7 @@
         """Take over load reports that came with grants of credit."""
         for report in self._parts.credits.take_reports():
             # A relayed report does not say which models are loaded.
-            self._parts.book.report(report._replace(models=()), now_ms)
+            self._parts.book.apply_report(report._replace(models=()), now_ms)
 
     def _follow_members(self, now_ms: int) -> None:
         parts = self._parts
--- a/savorychute/instance/responder.py
+++ b/savorychute/instance/responder.py
@@ -229,13 +229,13 @@
         attempt = tracked.attempt
         if attempt is not None:
             parts.credits.give_back(attempt.attempt_id, now_ms)
-            parts.quarantine.ended(
+            parts.quarantine.record_end(
                 tracked.fingerprint,
                 attempt.attempt_id,
                 code is ResultCode.OK,
                 now_ms,
             )
-            parts.book.finished(attempt.attempt_id, code is ResultCode.OK, now_ms)
+            parts.book.record_finish(attempt.attempt_id, code is ResultCode.OK, now_ms)
         parts.limiter.finish(tracked.request_id, tracked.delivered_tokens, now_ms)
         parts.admission.remove(tracked.request_id)
         parts.table.remove(tracked)
--- a/tests/test_gateway/engine_simulation.py
+++ b/tests/test_gateway/engine_simulation.py
@@ -172,8 +172,8 @@
             self._running.append(job)
             if not job.generated_tokens:
                 self._on_start(job.kind)
-                job.listener.may_send()
-                job.listener.answer_began(STREAM)
+                job.listener.can_send()
+                job.listener.response_started(STREAM)
             if not job.ended:
                 self._generate(job)
         self._step()
@@ -183,10 +183,10 @@
         is_complete = job.generated_tokens >= job.prompt.answer_tokens
         if is_complete or job.generated_tokens % self._kind.event_tokens == 1:
             number = job.generated_tokens
-            job.listener.answer_data(b'id: %d\ndata: x\n\n' % number)
+            job.listener.response_data(b'id: %d\ndata: x\n\n' % number)
         if is_complete and not job.ended:
             self.drop(job)
-            job.listener.answer_ended()
+            job.listener.response_ended()
 
     def _record_load(self):
         streams = tuple(
--- a/tests/test_gateway/fleet_simulation.py
+++ b/tests/test_gateway/fleet_simulation.py
@@ -12,17 +12,17 @@
     START_MS,
     FakeCaller,
     make_deployment,
+    make_gateway,
     make_prompt,
     make_request,
     make_route,
-    make_scene,
 )
 
 from savorychute.clock import ManualClock
 from savorychute.gateway.configuration.request_kind import RequestKind
 from savorychute.gateway.configuration.service_share import ServiceShare
 from savorychute.gateway.dispatch.partition_demand import PartitionDemand
-from savorychute.gateway.requests.request_course import RequestCourse
+from savorychute.gateway.requests.request_execution import RequestExecution
 
 # Interval at which each instance gets the report of another, and observes its streams.
 REPORT_INTERVAL_MS = 250
@@ -168,7 +168,7 @@
         self.served = True
         self._end()
 
-    def cut(self):
+    def abort(self):
         self._end()
 
     def refuse(self, refusal):
@@ -221,8 +221,8 @@
         }
         self._demands = [PartitionDemand() for _ in range(instances)]
         deployment = make_deployment(routes=tuple(map(_route, KINDS)))
-        self._scenes = [
-            make_scene(
+        self._gateways = [
+            make_gateway(
                 desks=0,
                 slots=tuple(kind.slots for kind in engines),
                 seed=f'{seed}-{number}',
@@ -250,8 +250,8 @@
 
     def start(self, kind, prompt, remaining_ms, caller):
         """Send a request to a random instance; return its execution."""
-        scene = self._rng.choice(self._scenes)
-        scene.parts.configuration.confirm(self.timeline.now_ms())
+        gateway = self._rng.choice(self._gateways)
+        gateway.parts.configuration.confirm(self.timeline.now_ms())
         request = make_request(
             f'/{kind.name}/1',
             KEY,
@@ -259,8 +259,8 @@
             prompt=prompt,
             deadline_ms=remaining_ms,
         )
-        admitted = scene.intake.admit(request, self.timeline.now_ms())
-        execution = RequestCourse(scene.parts, request, admitted, caller)
+        admitted = gateway.intake.admit(request, self.timeline.now_ms())
+        execution = RequestExecution(gateway.parts, request, admitted, caller)
         execution.start()
         return execution
 
@@ -356,18 +356,20 @@
         self._arrivals[kind_name].append(self.timeline.now_ms())
 
     def _drain(self, name):
-        for scene in self._scenes:
+        for gateway in self._gateways:
             entry = next(
-                each.entry for each in scene.parts.roster if each.entry.endpoint == name
+                each.entry
+                for each in gateway.parts.roster
+                if each.entry.endpoint == name
             )
-            scene.parts.roster.apply(entry._replace(draining=True))
+            gateway.parts.roster.apply(entry._replace(draining=True))
 
     def _observe(self):
         now_ms = self.timeline.now_ms()
-        for scene, demand in zip(self._scenes, self._demands, strict=True):
-            streams = scene.parts.roster.sensitive_streams()
-            demand.observe(streams, len(self._scenes), now_ms)
-            scene.parts.shortages.instances = len(self._scenes)
+        for gateway, demand in zip(self._gateways, self._demands, strict=True):
+            streams = gateway.parts.roster.sensitive_streams()
+            demand.observe(streams, len(self._gateways), now_ms)
+            gateway.parts.shortages.instances = len(self._gateways)
         self.timeline.call_later(OBSERVE_INTERVAL_MS, self._observe)
 
     def _exchange_reports(self):
@@ -377,8 +379,8 @@
             if other == number:
                 continue
             demand.record_reported(self._demands[other].advertised(now_ms), now_ms)
-            reported = self._scenes[other].parts.shortages.advertised(now_ms)
-            self._scenes[number].parts.shortages.record_reported(reported, now_ms)
+            reported = self._gateways[other].parts.shortages.advertised(now_ms)
+            self._gateways[number].parts.shortages.record_reported(reported, now_ms)
         self.timeline.call_later(REPORT_INTERVAL_MS, self._exchange_reports)
 
 
--- a/tests/test_gateway/test_endpoint_runs.py
+++ b/tests/test_gateway/test_endpoint_runs.py
@@ -188,51 +188,51 @@
     assert final_runs == [[last.run], [last.run]]
 
 
-def test_report_of_a_restarted_engine_ends_the_old_run(scene):
+def test_report_of_a_restarted_engine_ends_the_old_run(gateway):
     """Guards against a prompt sent to an engine for the cache of its previous run.
 
     The engine has restarted within one heartbeat, so the list does not show it yet; its
     load report does.
     """
-    listed = scene.parts.roster.get('e0').entry
-    scene.parts.roster.apply(listed._replace(born_ms=FIRST_MS))
-    record = scene.parts.roster.get('e0')
+    listed = gateway.parts.roster.get('e0').entry
+    gateway.parts.roster.apply(listed._replace(born_ms=FIRST_MS))
+    record = gateway.parts.roster.get('e0')
     load = EngineLoad(0, 0, 0, 0, born_ms=SECOND_MS)
-    scene.attempts.loads['e0'] = load
-    scene.parts.loads.query(record, lambda is_alive: None)  # noqa: ARG005
+    gateway.attempts.loads['e0'] = load
+    gateway.parts.loads.query(record, lambda is_alive: None)  # noqa: ARG005
 
     assert record.run_ended
-    assert scene.parts.roster.get('e0').entry.run == EndpointRun('e0', SECOND_MS)
+    assert gateway.parts.roster.get('e0').entry.run == EndpointRun('e0', SECOND_MS)
 
 
-def test_request_at_an_ended_run_is_handled_as_a_crash(scene):
+def test_request_at_an_ended_run_is_handled_as_a_crash(gateway):
     """Guards against a caller that waits until its deadline.
 
     Its engine has lost power and restarts at the same address, so the connection does
     not break and probes reach the new run.
     """
     prompt = make_prompt()
-    _, caller = scene.start('/draft/1', prompt=prompt)
-    attempt = scene.last
-    attempt.begin(STREAM, b'id: 1\ndata: x\n\n')
-    entry = scene.parts.roster.get(attempt.endpoint).entry
+    _, caller = gateway.start('/draft/1', prompt=prompt)
+    attempt = gateway.last_attempt
+    attempt.start_response(STREAM, b'id: 1\ndata: x\n\n')
+    entry = gateway.parts.roster.get(attempt.endpoint).entry
 
-    scene.parts.roster.apply(entry._replace(born_ms=SECOND_MS))
+    gateway.parts.roster.apply(entry._replace(born_ms=SECOND_MS))
 
     assert attempt.cancelled
     assert caller.state == 'cut'
 
 
-def test_three_crashes_under_one_name_count_as_three(scene):
+def test_three_crashes_under_one_name_count_as_three(gateway):
     """Guards against a request that crashes an endpoint repeatedly.
 
     The endpoint restarts under its name within a second; counted by name, its three
     crashes were one.
     """
-    crashes = scene.parts.crashes
+    crashes = gateway.parts.crashes
     for born_ms in (1, 2, 3):
         run = EndpointRun('e0', born_ms)
-        crashes.broke_off(CrashSighting('f', run), 1_000)
+        crashes.record_interruption(CrashSighting('f', run), 1_000)
         crashes.endpoint_ended(run, 1_100)
 
     assert crashes.is_suspect('f', 1_200)
--- a/tests/test_gateway/test_failing_engines.py
+++ b/tests/test_gateway/test_failing_engines.py
@@ -10,24 +10,24 @@
 SHORT = make_prompt('s', shared=170, own=540, answer=280)
 
 
-def fail_first_engine(scene, times=12):
+def fail_first_engine(gateway, times=12):
     """Let the first engine chosen for diagnoses fail all of them; return its name.
 
     The other engines answer.
     """
-    for record in scene.parts.roster:
-        record.apply_report(IDLE, scene.clock.now_ms())
-    scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    failing = scene.last.endpoint
+    for record in gateway.parts.roster:
+        record.apply_report(IDLE, gateway.clock.now_ms())
+    gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    failing = gateway.last_attempt.endpoint
     for _ in range(times):
-        while scene.last.endpoint == failing:
-            scene.last.answer(FAILURE)
-        scene.last.answer(STREAM, b'id: 1\ndata: x\n\n')
-        scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+        while gateway.last_attempt.endpoint == failing:
+            gateway.last_attempt.respond(FAILURE)
+        gateway.last_attempt.respond(STREAM, b'id: 1\ndata: x\n\n')
+        gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
     return failing
 
 
-def test_failures_of_one_engine_do_not_refuse_most_urgent_stream(scene):
+def test_failures_of_one_engine_do_not_refuse_most_urgent_stream(gateway):
     """Guards against refusal of the most urgent streams while others are served.
 
     The dedicated engine fails half of its requests while its reports look good.  When
@@ -35,34 +35,34 @@
     wait, these were refused.  As none succeeded any more, they were refused for the
     rest of the day.
     """
-    fail_first_engine(scene)
-    _, caller = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+    fail_first_engine(gateway)
+    _, caller = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
 
     assert caller.refusal is None
     assert caller.state == 'waiting'
 
 
-def test_stream_leaves_partition_whose_engine_fails(scene):
-    failing = fail_first_engine(scene)
-    scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+def test_stream_leaves_partition_whose_engine_fails(gateway):
+    failing = fail_first_engine(gateway)
+    gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
 
-    assert scene.last.endpoint != failing
+    assert gateway.last_attempt.endpoint != failing
 
 
-def test_failed_engine_is_used_again_after_a_while(scene):
+def test_failed_engine_is_used_again_after_a_while(gateway):
     """Guards against an engine that gets no requests after it has recovered.
 
     Only a success reduced its failure share, and no request was sent there.
     """
-    failing = fail_first_engine(scene)
-    scene.advance(20_000)
-    for record in scene.parts.roster:
-        record.apply_report(IDLE, scene.clock.now_ms())
-    scene.parts.configuration.confirm(scene.clock.now_ms())
+    failing = fail_first_engine(gateway)
+    gateway.advance(20_000)
+    for record in gateway.parts.roster:
+        record.apply_report(IDLE, gateway.clock.now_ms())
+    gateway.parts.configuration.confirm(gateway.clock.now_ms())
     used = set()
     for _ in range(8):
-        scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-        used.add(scene.last.endpoint)
+        gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+        used.add(gateway.last_attempt.endpoint)
 
     assert failing in used
 
--- a/tests/test_gateway/test_leaving_engines.py
+++ b/tests/test_gateway/test_leaving_engines.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from gateway_fakes import IDLE, make_entry, make_prompt, make_scene
+from gateway_fakes import IDLE, make_entry, make_gateway, make_prompt
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -14,51 +14,51 @@
 
 
 @pytest.fixture
-def scene():
+def gateway():
     """A gateway with an engine that stated that it is leaving, and another engine."""
-    scene = make_scene(engines=2)
-    scene.attempts.loads['e0'] = LEAVING_LOAD
-    scene.parts.loads.query(scene.parts.roster.get('e0'), lambda is_alive: None)  # noqa: ARG005
-    return scene
+    gateway = make_gateway(engines=2)
+    gateway.attempts.loads['e0'] = LEAVING_LOAD
+    gateway.parts.loads.query(gateway.parts.roster.get('e0'), lambda is_alive: None)  # noqa: ARG005
+    return gateway
 
 
-def usable(scene):
-    return [each.entry.endpoint for each in scene.parts.roster.usable('pool')]
+def usable(gateway):
+    return [each.entry.endpoint for each in gateway.parts.roster.usable('pool')]
 
 
-def test_leaving_engine_gets_no_new_requests(scene):
-    assert usable(scene) == ['e1']
+def test_leaving_engine_gets_no_new_requests(gateway):
+    assert usable(gateway) == ['e1']
 
 
 @pytest.mark.parametrize('sequence', [1, 2])
-def test_entry_does_not_revoke_leaving(scene, sequence):
+def test_entry_does_not_revoke_leaving(gateway, sequence):
     """Guards against a leaving engine that a listing or heartbeat restores."""
-    scene.parts.roster.apply(make_entry('e0', 'pool', slots=64, sequence=sequence))
+    gateway.parts.roster.apply(make_entry('e0', 'pool', slots=64, sequence=sequence))
 
-    assert usable(scene) == ['e1']
+    assert usable(gateway) == ['e1']
 
 
-def test_leaving_engine_stays_excluded_after_its_entry_was_missing(scene):
+def test_leaving_engine_stays_excluded_after_its_entry_was_missing(gateway):
     """Guards against a leaving engine that an older copy of the store restores."""
-    scene.parts.roster.store_failed(scene.clock.now_ms())
-    scene.parts.roster.exclude('e0')
-    scene.parts.roster.apply(make_entry('e0', 'pool', slots=64, sequence=2))
+    gateway.parts.roster.store_failed(gateway.clock.now_ms())
+    gateway.parts.roster.exclude('e0')
+    gateway.parts.roster.apply(make_entry('e0', 'pool', slots=64, sequence=2))
 
-    assert usable(scene) == ['e1']
+    assert usable(gateway) == ['e1']
 
 
-def test_new_run_of_an_engine_that_left_is_used(scene):
+def test_new_run_of_an_engine_that_left_is_used(gateway):
     entry = make_entry('e0', 'pool', slots=64, sequence=1, born_ms=5)
-    scene.parts.roster.apply(entry)
+    gateway.parts.roster.apply(entry)
 
-    assert sorted(usable(scene)) == ['e0', 'e1']
+    assert sorted(usable(gateway)) == ['e0', 'e1']
 
 
-def test_request_chosen_before_leaving_goes_to_another_engine(scene):
+def test_request_chosen_before_leaving_goes_to_another_engine(gateway):
     """Guards against a request to an engine chosen before it stated its leaving."""
-    scene.start('/diagnosis/1', prompt=make_prompt())
+    gateway.start('/diagnosis/1', prompt=make_prompt())
 
-    assert scene.last.endpoint == 'e1'
+    assert gateway.last_attempt.endpoint == 'e1'
 
 
 NAMES = ['e0', 'e1', 'e2']
@@ -73,9 +73,9 @@
 )
 
 
-def apply_step(scene, step, *values):
+def apply_step(gateway, step, *values):
     """Apply a step to the roster; return the run that states that it leaves, if any."""
-    roster, now_ms = scene.parts.roster, scene.clock.now_ms()
+    roster, now_ms = gateway.parts.roster, gateway.clock.now_ms()
     match step:
         case 'entry':
             name, born_ms, sequence = values
@@ -97,13 +97,15 @@
         case 'store fails':
             roster.store_failed(now_ms)
         case 'time passes':
-            scene.advance(3_000)
-            roster.expire(scene.clock.now_ms())
+            gateway.advance(3_000)
+            roster.expire(gateway.clock.now_ms())
         case 'answer':
-            scene.parts.statements.leaving.record_leaving(EndpointRun(*values), now_ms)
+            gateway.parts.statements.leaving.record_leaving(
+                EndpointRun(*values), now_ms
+            )
             return EndpointRun(*values)
         case 'news':
-            scene.parts.statements.leaving.record_reported(
+            gateway.parts.statements.leaving.record_reported(
                 [ToldLeaving(*values)], now_ms
             )
             return EndpointRun(*values)
@@ -114,16 +116,16 @@
 @given(steps=st.lists(steps, max_size=30))
 def test_leaving_run_is_never_used_again(steps):
     """Guards against a leaving endpoint that any later message restores."""
-    scene = make_scene(engines=3)
+    gateway = make_gateway(engines=3)
     left_runs = set()
     for step in steps:
-        left_runs.add(apply_step(scene, *step))
-        used = {record.entry.run for record in scene.parts.roster.usable('pool')}
+        left_runs.add(apply_step(gateway, *step))
+        used = {record.entry.run for record in gateway.parts.roster.usable('pool')}
         assert not used & left_runs
 
 
-def test_leaving_engine_is_announced_for_a_while(scene):
-    leaving, now_ms = scene.parts.statements.leaving, scene.clock.now_ms()
+def test_leaving_engine_is_announced_for_a_while(gateway):
+    leaving, now_ms = gateway.parts.statements.leaving, gateway.clock.now_ms()
 
     assert leaving.announcements(now_ms) == (ToldLeaving('e0', 0),)
     assert leaving.announcements(now_ms + 60_000) == ()
--- a/tests/test_gateway/test_loads_by_rank.py
+++ b/tests/test_gateway/test_loads_by_rank.py
@@ -9,9 +9,9 @@
     START_MS,
     make_deployment,
     make_entry,
+    make_gateway,
     make_prompt,
     make_route,
-    make_scene,
 )
 
 from savorychute.gateway.configuration.request_kind import RequestKind
@@ -134,24 +134,24 @@
         gap_target_ms=400,
         tier=1,
     )
-    scene = make_scene(deployment=make_deployment(routes=(note,)))
+    gateway = make_gateway(deployment=make_deployment(routes=(note,)))
     engines = sorted(
-        scene.parts.roster.usable('pool'), key=lambda each: each.partition_key
+        gateway.parts.roster.usable('pool'), key=lambda each: each.partition_key
     )
     dedicated = engines[-1].entry.endpoint
     full_load = EngineLoad(40, 2, 64, 4_000, streams=(RunningStream(CHAT, 9),) * 64)
-    scene.attempts.loads = {
+    gateway.attempts.loads = {
         each.entry.endpoint: full_load
         for each in engines
         if each.entry.endpoint != dedicated
     }
 
-    _, caller = scene.start(
+    _, caller = gateway.start(
         '/note/1', method='POST', prompt=make_prompt('p', 570, 1_800)
     )
 
     assert caller.refusal is None
-    assert scene.last.endpoint == dedicated
+    assert gateway.last_attempt.endpoint == dedicated
 
 
 def test_shortages_are_sent_with_probes():
--- a/tests/test_gateway/test_overload_guard.py
+++ b/tests/test_gateway/test_overload_guard.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from gateway_fakes import make_entry, make_prompt, make_scene
+from gateway_fakes import make_entry, make_gateway, make_prompt
 
 from savorychute.gateway.dispatch.chooser import Choice
 from savorychute.gateway.dispatch.overload_guard import OverloadGuard
@@ -55,13 +55,13 @@
     The request is refused at once, it is not sent to any engine, and the caller is told
     when to retry.
     """
-    scene = make_scene()
-    for record in scene.parts.roster:
-        record.apply_report(EngineLoad(120, 4, 40, 9_000), scene.clock.now_ms())
+    gateway = make_gateway()
+    for record in gateway.parts.roster:
+        record.apply_report(EngineLoad(120, 4, 40, 9_000), gateway.clock.now_ms())
 
-    _, caller = scene.start('/draft/1', prompt=make_prompt())
+    _, caller = gateway.start('/draft/1', prompt=make_prompt())
 
-    assert not scene.attempts.sent
+    assert not gateway.attempts.sent
     assert caller.refusal.code is ResultCode.OVERLOADED
     assert caller.refusal.ran is Ran.NOT_RUN
     assert caller.refusal.retry_after_ms > 0
@@ -74,11 +74,11 @@
     Under load the prefill of 200,000 tokens takes three seconds.  If it counted as a
     wait, the largest prompts would be refused while all others are served.
     """
-    scene = make_scene()
-    for record in scene.parts.roster:
-        record.apply_report(EngineLoad(4, 0, 20, 9_000), scene.clock.now_ms())
+    gateway = make_gateway()
+    for record in gateway.parts.roster:
+        record.apply_report(EngineLoad(4, 0, 20, 9_000), gateway.clock.now_ms())
 
-    _, caller = scene.start('/draft/1', prompt=make_prompt(own=own))
+    _, caller = gateway.start('/draft/1', prompt=make_prompt(own=own))
 
     assert caller.refusal is None
 
--- a/tests/test_gateway/test_shortages.py
+++ b/tests/test_gateway/test_shortages.py
@@ -85,76 +85,76 @@
     assert shed_share(shortages, SUMMARY) == 0.0
 
 
-def report_full_engines(scene):
+def report_full_engines(gateway):
     """Let all engines report that the most urgent streams use all slots."""
     streams = (RunningStream(0, 30),) * 64
-    for record in scene.parts.roster:
+    for record in gateway.parts.roster:
         load = EngineLoad(20, 0, 64, 700, streams=streams)
-        record.apply_report(load, scene.clock.now_ms())
-    scene.attempts.holds_probes = True
+        record.apply_report(load, gateway.clock.now_ms())
+    gateway.attempts.defers_probes = True
 
 
-def count_unserved(scene):
-    reported = scene.parts.shortages.advertised(scene.clock.now_ms())
+def count_unserved(gateway):
+    reported = gateway.parts.shortages.advertised(gateway.clock.now_ms())
     return {each.tier: round(each.unserved) for each in reported}
 
 
-def test_refused_request_counts(scene):
-    for record in scene.parts.roster:
+def test_refused_request_counts(gateway):
+    for record in gateway.parts.roster:
         load = EngineLoad(200, 4, 200, 9_000)
-        record.apply_report(load, scene.clock.now_ms())
-    scene.attempts.loads = {
-        record.entry.endpoint: record.load for record in scene.parts.roster
+        record.apply_report(load, gateway.clock.now_ms())
+    gateway.attempts.loads = {
+        record.entry.endpoint: record.load for record in gateway.parts.roster
     }
 
-    _, caller = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
+    _, caller = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
 
     assert caller.state == 'refused'
-    assert count_unserved(scene) == {0: 1}
+    assert count_unserved(gateway) == {0: 1}
 
 
-def test_refused_request_of_the_last_tier_is_not_reported(scene):
-    for record in scene.parts.roster:
-        record.apply_report(EngineLoad(120, 4, 40, 9_000), scene.clock.now_ms())
+def test_refused_request_of_the_last_tier_is_not_reported(gateway):
+    for record in gateway.parts.roster:
+        record.apply_report(EngineLoad(120, 4, 40, 9_000), gateway.clock.now_ms())
 
-    _, caller = scene.start('/draft/1', prompt=make_prompt())
+    _, caller = gateway.start('/draft/1', prompt=make_prompt())
 
     assert caller.state == 'refused'
-    assert count_unserved(scene) == {}
+    assert count_unserved(gateway) == {}
 
 
-def test_caller_that_leaves_a_full_engine_without_answer_counts(scene):
-    execution, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    scene.advance(2_000)
-    report_full_engines(scene)
+def test_caller_that_leaves_a_full_engine_without_answer_counts(gateway):
+    execution, _ = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    gateway.advance(2_000)
+    report_full_engines(gateway)
     execution.caller_left()
 
-    assert count_unserved(scene) == {0: 1}
+    assert count_unserved(gateway) == {0: 1}
 
 
-def test_caller_that_leaves_early_does_not_count(scene):
-    execution, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    scene.advance(500)
-    report_full_engines(scene)
+def test_caller_that_leaves_early_does_not_count(gateway):
+    execution, _ = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    gateway.advance(500)
+    report_full_engines(gateway)
     execution.caller_left()
 
-    assert count_unserved(scene) == {}
+    assert count_unserved(gateway) == {}
 
 
-def test_caller_that_leaves_unresponsive_engine_with_free_slots_does_not_count(scene):
+def test_caller_that_leaves_unresponsive_engine_with_free_slots_does_not_count(gateway):
     """Guards against summaries shed for a hanging engine while the others are idle."""
-    execution, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    scene.advance(2_000)
+    execution, _ = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    gateway.advance(2_000)
     execution.caller_left()
 
-    assert count_unserved(scene) == {}
+    assert count_unserved(gateway) == {}
 
 
-def test_caller_that_leaves_a_started_stream_does_not_count(scene):
-    execution, _ = scene.start('/diagnosis/1', method='POST', prompt=SHORT)
-    scene.last.begin(STREAM, b'id: 1\ndata: x\n\n')
-    scene.advance(2_000)
-    report_full_engines(scene)
+def test_caller_that_leaves_a_started_stream_does_not_count(gateway):
+    execution, _ = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
+    gateway.last_attempt.start_response(STREAM, b'id: 1\ndata: x\n\n')
+    gateway.advance(2_000)
+    report_full_engines(gateway)
     execution.caller_left()
 
-    assert count_unserved(scene) == {}
+    assert count_unserved(gateway) == {}
