--- a/benches/capacity_roles/claims_role.py
+++ b/benches/capacity_roles/claims_role.py
@@ -19,9 +19,9 @@
 from savorychute.requests.claim_batch import ClaimBatch
 from savorychute.requests.claim_index import ClaimIndex
 from savorychute.requests.claim_owner import ClaimOwner
-from savorychute.requests.key_elsewhere import KeyElsewhere
-from savorychute.requests.key_keeper import KeyKeeper
-from savorychute.requests.key_may_run import KeyMayRun
+from savorychute.requests.key_granted import KeyGranted
+from savorychute.requests.key_manager import KeyManager
+from savorychute.requests.key_redirect import KeyRedirect
 from savorychute.requests.key_settings import KeySettings
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
         rng: Random,
     ) -> None:
         self._parts = parts
-        self.keeper = KeyKeeper(KeySettings(), own, rng)
+        self.keeper = KeyManager(KeySettings(), own, rng)
         self.keeper.set_wall_clock(WALL_OFFSET_MS, 0)
         self.admitted = 0
         self.arrived = 0
@@ -116,10 +116,10 @@
         """Finish at once what may run; a caller that is sent elsewhere goes."""
         actions: list[Action] = []
         for result in results:
-            if isinstance(result, KeyMayRun):
+            if isinstance(result, KeyGranted):
                 self.admitted += 1
                 self.keeper.finish(result.request_id, 200, 'text/plain', b'', now_ms)
-            elif isinstance(result, KeyElsewhere):
+            elif isinstance(result, KeyRedirect):
                 self._parts[result.address.instance].inbox.append(result.request_id)
             elif isinstance(result, (AppendRecord, ReadRecords)):
                 actions.append(result)
@@ -185,7 +185,7 @@
         owner = ClaimOwner(f'entry-{number % instances:04}', 1)
         key = uuid.UUID(make_key(WALL_OFFSET_MS, rng)).hex
         claims = (Claim(key, f'{rng.getrandbits(128):032x}'),)
-        index.fold(ClaimBatch(f'{number}', owner, WALL_OFFSET_MS, 0, claims))
+        index.apply(ClaimBatch(f'{number}', owner, WALL_OFFSET_MS, 0, claims))
     return index
 
 
--- a/benches/capacity_roles/keys_role.py
+++ b/benches/capacity_roles/keys_role.py
@@ -12,8 +12,8 @@
 from benches.capacity_roles.target import SIZES, Target
 from savorychute.actions import SendPeer
 from savorychute.clock import MS_PER_S
-from savorychute.requests.key_keeper import KeyKeeper
-from savorychute.requests.key_may_run import KeyMayRun
+from savorychute.requests.key_granted import KeyGranted
+from savorychute.requests.key_manager import KeyManager
 from savorychute.requests.key_settings import KeySettings
 from savorychute.requests.start_permitted import StartPermitted
 
@@ -49,7 +49,7 @@
         rate_per_ms: float,
         rng: Random,
     ) -> None:
-        self.keeper = KeyKeeper(KeySettings(), own, rng)
+        self.keeper = KeyManager(KeySettings(), own, rng)
         self.permitted = 0
         self._view = make_view(own, alive)
         self._rng = rng
@@ -85,7 +85,7 @@
         """Announce what may run, and finish at once what is permitted."""
         actions: list[Action] = []
         for result in results:
-            if isinstance(result, KeyMayRun):
+            if isinstance(result, KeyGranted):
                 announced = self.keeper.announce_start(
                     result.request_id, 'engine-0001', 'stream', self._view, now_ms
                 )
--- a/savorychute/instance/attempt_desk.py
+++ b/savorychute/instance/attempt_desk.py
@@ -56,7 +56,7 @@
             return [CancelAttempt(sent.attempt_id)]
         tracked.attempt.sent = True
         tracked.attempt.progress_ms = now_ms
-        tracked.life.move(
+        tracked.life.transition(
             RequestState.SENDING,
             now_ms,
             f'sending to {tracked.attempt.endpoint}',
@@ -78,7 +78,7 @@
         if tracked.expects_tokens and is_failure:
             reason = f'endpoint answered {started.status}'
             return self._abandon(attempt, reason, now_ms)
-        tracked.life.move(
+        tracked.life.transition(
             RequestState.RUNNING,
             now_ms,
             f'status {started.status}',
@@ -165,7 +165,7 @@
 
     def _enter_streaming(self, tracked: TrackedRequest, now_ms: int) -> None:
         if tracked.life.state is not RequestState.STREAMING:
-            tracked.life.move(RequestState.STREAMING, now_ms, 'first token')
+            tracked.life.transition(RequestState.STREAMING, now_ms, 'first token')
 
     def _note_progress(
         self, tracked: TrackedRequest, attempt: Attempt, tokens: int, now_ms: int
@@ -245,7 +245,7 @@
     ) -> list[Action]:
         parts = self._parts
         if proved_not_run:
-            tracked.life.prove_not_started(attempt.attempt_id)
+            tracked.life.mark_not_started(attempt.attempt_id)
         elif not tracked.limits.idempotent:
             return self._responder.give_up(
                 tracked, ResultCode.OUTCOME_UNKNOWN, failed.reason, now_ms
--- a/savorychute/instance/dispatcher.py
+++ b/savorychute/instance/dispatcher.py
@@ -212,7 +212,7 @@
             now_ms,
         )
         parts.quarantine.started(tracked.fingerprint, attempt_id, endpoint, now_ms)
-        tracked.life.move(RequestState.GRANTED, now_ms, f'granted {endpoint}')
+        tracked.life.transition(RequestState.GRANTED, now_ms, f'granted {endpoint}')
         if tracked.limits.idempotent:
             return self.send(tracked, now_ms)
         return self._key_desk.announce(tracked, now_ms)
--- a/savorychute/instance/key_desk.py
+++ b/savorychute/instance/key_desk.py
@@ -8,8 +8,8 @@
 from savorychute.errors import RequestError
 from savorychute.ran import Ran
 from savorychute.requests import (
-    KeyElsewhere,
-    KeyMayRun,
+    KeyGranted,
+    KeyRedirect,
     KeyRefused,
     KeyReplay,
     StartDenied,
@@ -91,11 +91,11 @@
         return actions
 
     def _follow_one(self, outcome: object, now_ms: int) -> list[Action]:
-        if isinstance(outcome, KeyMayRun):
+        if isinstance(outcome, KeyGranted):
             return self._permit(outcome, now_ms)
         if isinstance(outcome, StartPermitted):
             return self._run(outcome.request_id, now_ms, self._send)
-        if isinstance(outcome, KeyElsewhere):
+        if isinstance(outcome, KeyRedirect):
             return self._redirect(outcome, now_ms)
         if isinstance(outcome, KeyReplay):
             return self._replay(outcome, now_ms)
@@ -103,15 +103,15 @@
             return self._refuse(outcome, now_ms)
         return [outcome]  # type: ignore[list-item]
 
-    def _permit(self, outcome: KeyMayRun, now_ms: int) -> list[Action]:
+    def _permit(self, outcome: KeyGranted, now_ms: int) -> list[Action]:
         tracked = self._parts.table.find(outcome.request_id)
         if tracked is None:
             # The caller left while the witness or the log was asked.
             code = ResultCode.CALLER_LEFT
-            settled = self._parts.keys.not_run(outcome.request_id, now_ms, code)
+            settled = self._parts.keys.settle_not_run(outcome.request_id, now_ms, code)
             return self.follow(settled, now_ms)
         tracked.holds_key = True
-        tracked.life.decide_key()
+        tracked.life.mark_key_decided()
         return self._run(outcome.request_id, now_ms, self._enqueue)
 
     def _run(
@@ -125,7 +125,7 @@
             return []
         return step(tracked, now_ms)
 
-    def _redirect(self, outcome: KeyElsewhere, now_ms: int) -> list[Action]:
+    def _redirect(self, outcome: KeyRedirect, now_ms: int) -> list[Action]:
         tracked = self._parts.table.find(outcome.request_id)
         if tracked is None:
             return []
@@ -144,7 +144,7 @@
         if tracked is None:
             return []
         if outcome.ran is Ran.NOT_RUN:
-            tracked.life.decide_key()
+            tracked.life.mark_key_decided()
         return self._responder.give_up(
             tracked, outcome.code, outcome.message, now_ms, ran=outcome.ran
         )
--- a/savorychute/instance/parts.py
+++ b/savorychute/instance/parts.py
@@ -18,7 +18,7 @@
 from savorychute.limits import OrganisationLimiter
 from savorychute.membership import Membership
 from savorychute.recovery import Ejector, LeavingSpread, Quarantine, RetryBudget
-from savorychute.requests import KeyKeeper
+from savorychute.requests import KeyManager
 from savorychute.routing import ROUTERS, EndpointBook, OutputLengths, Router
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
     ejector: Ejector
     leaving: LeavingSpread
     quarantine: Quarantine
-    keys: KeyKeeper
+    keys: KeyManager
     leases: LeaseKeeper
     orders: OrderDesk
 
@@ -71,7 +71,7 @@
     epoch_offset_ms = settings.epoch_offset_ms
     configuration = settings.configuration._replace(epoch_offset_ms=epoch_offset_ms)
     audit = settings.audit._replace(epoch_offset_ms=epoch_offset_ms)
-    keys = KeyKeeper(settings.keys, address, fork())
+    keys = KeyManager(settings.keys, address, fork())
     keys.set_wall_clock(epoch_offset_ms, 0)
     leases = LeaseKeeper(settings.leases, name, fork(), log_budget)
     book = EndpointBook(
--- a/savorychute/instance/queue_desk.py
+++ b/savorychute/instance/queue_desk.py
@@ -67,7 +67,9 @@
                 tracked, code, code.meaning, now_ms, outcome.retry_after_ms
             )
             return actions
-        tracked.life.move(RequestState.QUEUED, now_ms, f'queued for {tracked.pool}')
+        tracked.life.transition(
+            RequestState.QUEUED, now_ms, f'queued for {tracked.pool}'
+        )
         return actions
 
     def put_back(self, tracked: TrackedRequest, now_ms: int) -> list[Action]:
@@ -83,7 +85,9 @@
             code = ResultCode.QUARANTINED
             return self._responder.give_up(tracked, code, code.meaning, now_ms)
         self._parts.admission.restore(self._describe(tracked), now_ms)
-        tracked.life.move(RequestState.QUEUED, now_ms, f'queued for {tracked.pool}')
+        tracked.life.transition(
+            RequestState.QUEUED, now_ms, f'queued for {tracked.pool}'
+        )
         return []
 
     def answer_shed(
--- a/savorychute/instance/responder.py
+++ b/savorychute/instance/responder.py
@@ -106,7 +106,7 @@
         actions.append(FinishResponse(tracked.request_id))
         if tracked.caller_left:
             actions = []
-        tracked.life.move(RequestState.ANSWERED, now_ms, 'whole answer')
+        tracked.life.transition(RequestState.ANSWERED, now_ms, 'whole answer')
         if tracked.holds_key and attempt is not None:
             settled = self._parts.keys.finish(
                 tracked.request_id, attempt.status, attempt.content_type, body, now_ms
@@ -134,13 +134,13 @@
         :param message: what the caller is told.
         :param ran: the best that may be said; the life may weaken it.
         """
-        if ran is Ran.NOT_RUN and not tracked.life.may_claim_not_run:
+        if ran is Ran.NOT_RUN and not tracked.life.can_claim_not_run:
             ran = Ran.UNKNOWN
         attempt = tracked.attempt
         handle = self._make_handle(tracked)
         settled = self._settle_key(tracked, ran, code, now_ms)
         state = RequestState.NOT_RUN if ran is Ran.NOT_RUN else RequestState.UNKNOWN
-        tracked.life.move(state, now_ms, f'{code.name}: {message}')
+        tracked.life.transition(state, now_ms, f'{code.name}: {message}')
         answer: Action
         if tracked.responding:
             answer = FinishResponse(tracked.request_id, code, ran, message, handle)
@@ -163,16 +163,18 @@
 
     def drop(self, tracked: TrackedRequest, reason: str, now_ms: int) -> list[Action]:
         """End a request whose caller is gone."""
-        ran = Ran.NOT_RUN if tracked.life.may_claim_not_run else Ran.UNKNOWN
+        ran = Ran.NOT_RUN if tracked.life.can_claim_not_run else Ran.UNKNOWN
         code = ResultCode.CALLER_LEFT
         settled = self._settle_key(tracked, ran, code, now_ms)
-        tracked.life.move(RequestState.CANCELLED, now_ms, reason)
+        tracked.life.transition(RequestState.CANCELLED, now_ms, reason)
         self._close(tracked, code, ran, now_ms)
         return settled
 
     def close_replay(self, tracked: TrackedRequest, now_ms: int) -> None:
         """End a request that got the kept outcome of its key's one run."""
-        tracked.life.move(RequestState.ANSWERED, now_ms, 'kept outcome of the key')
+        tracked.life.transition(
+            RequestState.ANSWERED, now_ms, 'kept outcome of the key'
+        )
         self._close(tracked, ResultCode.OK, Ran.RAN, now_ms)
 
     def _copy_answer(self, tracked: TrackedRequest) -> bytes | None:
@@ -208,12 +210,12 @@
         """Tell the key keeper how the one run of a key ended, or that none did."""
         keys = self._parts.keys
         if not tracked.holds_key:
-            keys.leave(tracked.request_id)
+            keys.remove_waiter(tracked.request_id)
             return []
         if ran is Ran.NOT_RUN:
-            settled = keys.not_run(tracked.request_id, now_ms, code)
+            settled = keys.settle_not_run(tracked.request_id, now_ms, code)
         else:
-            settled = keys.unknown(tracked.request_id, now_ms)
+            settled = keys.settle_unknown(tracked.request_id, now_ms)
         return self._follow(settled, now_ms)
 
     def _follow(self, outcomes: Sequence[object], now_ms: int) -> list[Action]:
--- a/savorychute/instance/tracked_request.py
+++ b/savorychute/instance/tracked_request.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from savorychute.requests.request_life import RequestLife
+from savorychute.requests.request_lifecycle import RequestLifecycle
 
 if TYPE_CHECKING:
     from savorychute.contracts.class_limits import ClassLimits
@@ -58,11 +58,11 @@
         self.limits = limits
         self.fingerprint = fingerprint
         self.pool = request.model or f'service:{request.service}'
-        self.life = RequestLife(
+        self.life = RequestLifecycle(
             request.request_id,
             now_ms,
-            resumes=bool(request.handle),
-            keyed=not limits.idempotent,
+            is_resumed=bool(request.handle),
+            has_key=not limits.idempotent,
         )
         self.deadline_ms = now_ms + limits.timeout_ms
         self.attempt: Attempt | None = None
--- a/savorychute/requests/claim.py
+++ b/savorychute/requests/claim.py
@@ -1,4 +1,4 @@
-"""One key that a batch of claims names."""
+"""A claim of one request key."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Claim(NamedTuple):
-    """A caller-brought key, as 32 hexadecimal digits, and its request."""
+    """A caller-supplied key, as 32 hexadecimal digits, and its request's hash."""
 
     key: str
     fingerprint: str
--- a/savorychute/requests/claim_batch.py
+++ b/savorychute/requests/claim_batch.py
@@ -1,4 +1,4 @@
-"""Claims of one instance, appended together."""
+"""Claims that one instance appends to the log in one record."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-# msgspec reads the annotations of fields while the program runs.
+# msgspec evaluates the field annotations at run time.
 from savorychute.requests.claim import Claim  # noqa: TC001
 from savorychute.requests.claim_owner import ClaimOwner  # noqa: TC001
 
@@ -14,11 +14,11 @@
 
 
 class ClaimBatch(NamedTuple):
-    """One record of the stream of claims.
+    """One record of the claims stream.
 
-    ``seen_offset``: when the writer's wall clock showed ``wall_ms`` it had
-    read every record before that offset.  ``released`` keys belong to the
-    owner, were certainly not run and never will be.
+    ``seen_offset``: at ``wall_ms`` of its wall clock the writer had read every
+    record before this offset.  ``released``: keys of the owner that were not
+    run and never will be.
     """
 
     batch_id: str
@@ -29,14 +29,14 @@
     released: tuple[str, ...] = ()
 
     def encode(self) -> bytes:
-        """Return the record's payload."""
+        """Return the payload of the log record."""
         return msgspec.json.encode(self)
 
 
 def decode_batch(payload: bytes) -> ClaimBatch | None:
-    """Return the batch in a payload, or None if it is none.
+    """Return the batch in a payload, or None if the payload is invalid.
 
-    :param payload: a record's payload.
+    :param payload: the payload of a log record.
     """
     try:
         return msgspec.json.decode(payload, type=ClaimBatch)
--- a/savorychute/requests/claim_entry.py
+++ b/savorychute/requests/claim_entry.py
@@ -1,4 +1,4 @@
-"""The first claim of a key."""
+"""The first claim of a request key in the log."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ClaimEntry(NamedTuple):
-    """Who owns a key, for which request, and whether it was given up."""
+    """The owner of a key, its request, and whether the owner released the key."""
 
     owner: ClaimOwner
     fingerprint: str
--- a/savorychute/requests/claim_index.py
+++ b/savorychute/requests/claim_index.py
@@ -1,4 +1,4 @@
-"""The first claim of each key, folded from the log."""
+"""Index of the first claim of each key in the log."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 
 class ClaimIndex:
-    """Who claimed which key first, as far back as it matters.
+    """Stores which owner claimed each key first.
 
-    A key is decidable only if no claim of it can lie before what was read.
-    Let D be ``clock_margin_ms``, the most by which any two wall clocks differ.
-    Whoever claims a key checks that its time is at most D ahead, so a claim
-    that was in the log when some clock showed F is of a key of at most
-    F + 2 D.  Keys of a later time than that are covered.
+    A key is decidable only if all records that can hold a claim of it were
+    read.  Let D be ``clock_margin_ms``, the maximum difference between any two
+    wall clocks.  An instance claims a key only if the key's timestamp is at
+    most D ahead of its own clock, so a claim that was in the log when some
+    clock showed F is of a key whose timestamp is at most F + 2 D.  Keys with a
+    later timestamp are covered.
 
-    :param settings: bounds.
+    :param settings: limits.
     """
 
     def __init__(self, settings: KeySettings) -> None:
@@ -29,31 +30,31 @@
         self._entries: dict[int, ClaimEntry] = {}
         self._start_offset = 0
         self._covered_ms: int | None = None
-        self._forgotten_ms = 0
+        self._removed_before_ms = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     @property
-    def floor_ms(self) -> int | None:
-        """The least time of a key that can be decided, or None before reading."""
+    def earliest_decidable_ms(self) -> int | None:
+        """The earliest timestamp of a decidable key, or None before the first read."""
         if self._covered_ms is None:
             return None
-        return max(self._covered_ms, self._forgotten_ms)
+        return max(self._covered_ms, self._removed_before_ms)
 
     def start(self, offset: int, wall_ms: int) -> None:
-        """Begin, or begin again after a gap, to read at *offset*.
+        """Start reading at *offset*, or restart there after a gap.
 
-        :param offset: every record from here on will be folded.
-        :param wall_ms: the time; all records before *offset* are in the log.
+        :param offset: every record from this offset on will be applied.
+        :param wall_ms: a time at which all records before *offset* were in the log.
         """
         self._start_offset = offset
-        is_whole = offset == 0
+        is_complete = offset == 0
         margin_ms = 2 * self._settings.clock_margin_ms
-        self._covered_ms = 0 if is_whole else wall_ms + margin_ms
+        self._covered_ms = 0 if is_complete else wall_ms + margin_ms
 
-    def fold(self, batch: ClaimBatch) -> None:
-        """Take the next record of the log.
+    def apply(self, batch: ClaimBatch) -> None:
+        """Apply the next record of the log.
 
         :param batch: the record.
         """
@@ -64,29 +65,31 @@
                 self._entries[sequence] = entry
         for key in batch.released:
             self._release(key, batch)
-        self._extend_cover(batch)
+        self._extend_coverage(batch)
 
     def find(self, sequence: int) -> ClaimEntry | None:
         """Return the first claim of a key, or None if none was read.
 
-        :param sequence: the key's number.
+        :param sequence: the sequence number of the key.
         """
         return self._entries.get(sequence)
 
-    def forget_old(self, wall_ms: int) -> None:
-        """Drop entries that are too old or too many, and remember how old.
+    def remove_expired(self, wall_ms: int) -> None:
+        """Remove expired and surplus entries and store up to which timestamp.
 
-        :param wall_ms: the time.
+        :param wall_ms: the current wall-clock time.
         """
         oldest_ms = wall_ms - self._settings.claim_lifetime_ms
-        self._forgotten_ms = max(self._forgotten_ms, oldest_ms)
+        self._removed_before_ms = max(self._removed_before_ms, oldest_ms)
         for sequence in list(self._entries):
-            is_crowded = len(self._entries) > self._settings.max_claims
-            if is_crowded:
-                # Who is dropped early must not be claimed anew.
-                too_old_ms = _time_of(sequence) + 1
-                self._forgotten_ms = max(self._forgotten_ms, too_old_ms)
-            elif _time_of(sequence) >= self._forgotten_ms:
+            is_over_limit = len(self._entries) > self._settings.max_claims
+            if is_over_limit:
+                # A key whose entry is removed early must not be claimed again.
+                removed_before_ms = _time_of(sequence) + 1
+                self._removed_before_ms = max(
+                    self._removed_before_ms, removed_before_ms
+                )
+            elif _time_of(sequence) >= self._removed_before_ms:
                 break
             del self._entries[sequence]
 
@@ -96,12 +99,12 @@
         if sequence is not None and entry is not None and entry.owner == batch.owner:
             self._entries[sequence] = entry._replace(released=True)
 
-    def _extend_cover(self, batch: ClaimBatch) -> None:
-        """Reach further back if the batch dates what lies before the start."""
+    def _extend_coverage(self, batch: ClaimBatch) -> None:
+        """Extend the coverage if the batch dates the records before the start."""
         if self._covered_ms is None or batch.seen_offset < self._start_offset:
             return
-        dated_ms = batch.wall_ms + 2 * self._settings.clock_margin_ms
-        self._covered_ms = min(self._covered_ms, dated_ms)
+        covered_ms = batch.wall_ms + 2 * self._settings.clock_margin_ms
+        self._covered_ms = min(self._covered_ms, covered_ms)
 
 
 def _time_of(sequence: int) -> int:
--- a/savorychute/requests/claim_owner.py
+++ b/savorychute/requests/claim_owner.py
@@ -1,4 +1,4 @@
-"""Who claims a key."""
+"""The owner of a claim."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ClaimOwner(NamedTuple):
-    """One incarnation of an instance."""
+    """The incarnation of an instance that claimed a key."""
 
     instance: str
     incarnation: int
--- a/savorychute/requests/claim_writer.py
+++ b/savorychute/requests/claim_writer.py
@@ -1,4 +1,4 @@
-"""Appends claims in groups."""
+"""Appends claims to the log in batches."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 
 
 class ClaimWriter:
-    """Commits claims in groups, one append at a time.
+    """Batches claims, with one append in flight at a time.
 
-    A lone claim is appended at once; under load the claims that arrive while
-    an append is on its way, or within ``claim_batch_ms`` of the last one, go
-    together.  So a slow log makes larger groups, not more appends.
+    A single claim is appended at once.  Under load, the claims that arrive
+    while an append is in flight, or within ``claim_batch_ms`` of the previous
+    one, share one append, so a slow log leads to larger batches instead of more
+    appends.
 
-    :param settings: bounds.
+    :param settings: limits and intervals.
     :param owner: this incarnation.
     """
 
@@ -32,91 +33,95 @@
         self._released: list[str] = []
         self._sent: dict[str, tuple[Claim, ...]] = {}
         self._batch_count = 0
-        self._asked_ms = 0
-        self._next_ms = 0
-        self._down_until_ms = 0
+        self._sent_ms = 0
+        self._next_append_ms = 0
+        self._unavailable_until_ms = 0
 
     @property
-    def is_waiting(self) -> bool:
-        """Whether an append is on its way."""
+    def is_append_pending(self) -> bool:
+        """Whether an append is in flight."""
         return bool(self._sent)
 
-    def is_down(self, now_ms: int) -> bool:
-        """Return whether the log refused lately, so that waiting is in vain.
+    def is_unavailable(self, now_ms: int) -> bool:
+        """Return whether an append failed recently, so that claims cannot succeed.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        return now_ms < self._down_until_ms
+        return now_ms < self._unavailable_until_ms
 
     def add(self, claim: Claim) -> None:
-        """Queue a claim for the next group.
+        """Queue a claim for the next batch.
 
         :param claim: the claim.
         """
         self._claims[claim.key] = claim
 
-    def drop(self, key: str) -> None:
-        """Take a claim out again if it was not appended yet.
+    def remove(self, key: str) -> None:
+        """Remove a claim from the queue if it was not appended yet.
 
         :param key: the claimed key.
         """
         self._claims.pop(key, None)
 
     def release(self, key: str) -> None:
-        """Queue the news that an owned key was not run and never will be.
+        """Queue the release of an owned key, which was not run and never will be.
 
         :param key: the key.
         """
         if len(self._released) < self._settings.claim_batch_count:
             self._released.append(key)
 
-    def flush(self, wall_ms: int, seen_offset: int, now_ms: int) -> AppendRecord | None:
-        """Return the append of the next group if it is time for it.
+    def next_append(
+        self, wall_ms: int, seen_offset: int, now_ms: int
+    ) -> AppendRecord | None:
+        """Return the append of the next batch if one is due.
 
-        :param wall_ms: the wall-clock time.
-        :param seen_offset: what was read so far.
-        :param now_ms: the time.
+        :param wall_ms: the current wall-clock time.
+        :param seen_offset: the offset before which every record was read.
+        :param now_ms: the current time.
         """
         if not self._claims and not self._released:
             return None
-        if self._sent or now_ms < self._next_ms or self.is_down(now_ms):
+        if self._sent or now_ms < self._next_append_ms or self.is_unavailable(now_ms):
             return None
-        batch = self._take_batch(wall_ms, seen_offset)
+        batch = self._make_batch(wall_ms, seen_offset)
         self._sent[batch.batch_id] = batch.claims
-        self._asked_ms = now_ms
-        self._next_ms = now_ms + self._settings.claim_batch_ms
+        self._sent_ms = now_ms
+        self._next_append_ms = now_ms + self._settings.claim_batch_ms
         return AppendRecord(batch.batch_id, CLAIMS_STREAM, batch.encode())
 
-    def finished(self, finished: AppendFinished, now_ms: int) -> tuple[Claim, ...]:
-        """Take the outcome of an append; return claims certainly not in the log.
+    def handle_result(self, finished: AppendFinished, now_ms: int) -> tuple[Claim, ...]:
+        """Handle the result of an append; return the claims that were not appended.
 
-        :param finished: the outcome.
-        :param now_ms: the time.
+        A claim whose result is unknown is not among them.
+
+        :param finished: the result.
+        :param now_ms: the current time.
         """
         claims = self._sent.pop(finished.append_id, ())
         if finished.outcome == 'appended':
             return ()
-        self._down_until_ms = now_ms + self._settings.log_retry_ms
+        self._unavailable_until_ms = now_ms + self._settings.log_retry_ms
         return claims if finished.outcome == 'refused' else ()
 
     def expire(self, now_ms: int) -> None:
-        """Stop waiting for an append whose outcome never came.
+        """Stop waiting for an append whose result did not arrive in time.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        if now_ms - self._asked_ms >= self._settings.claim_wait_ms and self._sent:
+        if now_ms - self._sent_ms >= self._settings.claim_wait_ms and self._sent:
             self._sent.clear()
-            self._down_until_ms = now_ms + self._settings.log_retry_ms
+            self._unavailable_until_ms = now_ms + self._settings.log_retry_ms
 
     def next_due_ms(self) -> int | None:
-        """Return when :meth:`flush` or :meth:`expire` has something to do."""
+        """Return when :meth:`next_append` or :meth:`expire` is due next, or None."""
         if self._sent:
-            return self._asked_ms + self._settings.claim_wait_ms
+            return self._sent_ms + self._settings.claim_wait_ms
         if self._claims or self._released:
-            return max(self._next_ms, self._down_until_ms)
+            return max(self._next_append_ms, self._unavailable_until_ms)
         return None
 
-    def _take_batch(self, wall_ms: int, seen_offset: int) -> ClaimBatch:
+    def _make_batch(self, wall_ms: int, seen_offset: int) -> ClaimBatch:
         self._batch_count += 1
         keys = list(self._claims)[: self._settings.claim_batch_count]
         claims = tuple(self._claims.pop(key) for key in keys)
--- a/savorychute/requests/continuation_handle.py
+++ b/savorychute/requests/continuation_handle.py
@@ -1,4 +1,4 @@
-"""Handles with which callers resume a stream."""
+"""Continuation handles, with which callers resume a stream."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class ContinuationHandle(NamedTuple):
-    """A stream on an engine and the next token that the caller lacks.
+    """A stream on an engine and the first token that the caller has not received.
 
-    The caller holds it, no instance does: any instance resumes the stream at
+    Only the caller stores the handle; any instance can resume the stream at
     ``offset``.  ``organisation`` is checked against the caller's token.
     """
 
@@ -30,16 +30,16 @@
     pool: str = ''
 
     def encode(self) -> str:
-        """Return the handle as text that fits an HTTP header."""
+        """Return the handle as text that is valid in an HTTP header."""
         data = base64.urlsafe_b64encode(msgspec.json.encode(self))
         return HANDLE_PREFIX + data.decode().rstrip('=')
 
 
 def decode_handle(text: str) -> ContinuationHandle:
-    """Return the handle that *text* spells.
+    """Return the handle that *text* encodes.
 
-    :param text: what :meth:`ContinuationHandle.encode` gave.
-    :raises RequestError: ``HANDLE_MALFORMED`` if it is no handle.
+    :param text: the result of :meth:`ContinuationHandle.encode`.
+    :raises RequestError: ``HANDLE_MALFORMED`` if *text* is not a valid handle.
     """
     if not text.startswith(HANDLE_PREFIX) or len(text) > MAX_HANDLE_CHARACTERS:
         raise _malformed(text)
--- a/savorychute/requests/key_may_run.py
+++ b/savorychute/requests/key_granted.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class KeyMayRun(NamedTuple):
-    """This instance alone decides the key, and it has not run."""
+class KeyGranted(NamedTuple):
+    """This instance alone decides the key, and it has not run yet."""
 
     request_id: str
--- a/savorychute/requests/key_issuer.py
+++ b/savorychute/requests/key_issuer.py
@@ -21,38 +21,39 @@
 
 SECRET_BYTES = 16
 TAG_BYTES = 8
-MAX_RECALLED = 64
-#: Longer than it takes to detect a death, so that no key names a dead witness.
-UNANSWERING_MS = 10_000
+MAX_RECENT_WITNESSES = 64
+#: How long new keys avoid a witness that did not respond.  Longer than the detection
+#: of a failed member takes, so that new keys do not name a failed witness.
+UNRESPONSIVE_MS = 10_000
 
 
 class KeyIssuer:
-    """Issues keys without keeping any state per key.
+    """Issues keys without storing state for each of them.
 
-    Each key ends in a tag, a BLAKE2s hash keyed with a secret that lives as
-    long as this incarnation.  Without it a caller could alter the issue time
-    of a key that is no longer remembered and have its request run twice, or
-    guess another caller's key and use it up.
+    Each key ends in a tag, a BLAKE2s hash keyed with a secret of this
+    incarnation.  Without the tag a caller could alter the issue time of a key
+    whose record has expired and have its request run twice, or guess and use
+    up another caller's key.
 
-    :param address: this instance.
-    :param rng: source of the secret.
+    :param address: the address of this instance.
+    :param rng: the source of the secret.
     """
 
     def __init__(self, address: MemberAddress, rng: random.Random) -> None:
         self._address = address
         self._secret = rng.randbytes(SECRET_BYTES)
         self._sequence = 0
-        self._recalled: dict[str, MemberAddress] = {}
-        self._unanswering: dict[str, int] = {}
+        self._recent_witnesses: dict[str, MemberAddress] = {}
+        self._unresponsive: dict[str, int] = {}
 
     def issue(self, view: MemberView, now_ms: int) -> str:
         """Return a new key, with a witness if there is another instance.
 
-        :param view: the members to choose the witness from.
-        :param now_ms: the time; the key's age counts from here.
+        :param view: the members from which the witness is chosen.
+        :param now_ms: the current time, from which the age of the key is counted.
         """
         self._sequence += 1
-        witness = self._next_witness(view, now_ms)
+        witness = self._choose_witness(view, now_ms)
         key = RequestKey(
             text='',
             issued=True,
@@ -69,45 +70,45 @@
     def is_own(self, key: RequestKey) -> bool:
         """Return whether this incarnation issued *key*.
 
-        :param key: any issued key.
+        :param key: an issued key.
         """
         expected = self._tag(format_fields(key))
         return hmac.compare_digest(expected.encode(), key.tag.encode())
 
-    def recall_witness(self, key: RequestKey) -> MemberAddress | None:
-        """Return where the witness of *key* was when the key was issued.
+    def find_recent_witness(self, key: RequestKey) -> MemberAddress | None:
+        """Return the address that the witness of *key* had at the issue of the key.
 
-        A witness that is leaving is no longer in the view, yet answers.
+        A leaving witness is no longer among the alive members but still responds.
 
-        :param key: a key of this incarnation.
+        :param key: a key issued by this incarnation.
         """
-        address = self._recalled.get(key.witness)
+        address = self._recent_witnesses.get(key.witness)
         if address is None or address.incarnation != key.witness_incarnation:
             return None
         return address
 
-    def note_unanswered(self, witness: str, now_ms: int) -> None:
-        """Name *witness* in new keys only if there is no other, for a while.
+    def record_unresponsive(self, witness: str, now_ms: int) -> None:
+        """Avoid *witness* in new keys for a while if there is an alternative.
 
-        :param witness: an instance that did not answer a start notice.
-        :param now_ms: the time.
+        :param witness: an instance that did not respond to a start notice.
+        :param now_ms: the current time.
         """
-        self._unanswering[witness] = now_ms + UNANSWERING_MS
+        self._unresponsive[witness] = now_ms + UNRESPONSIVE_MS
 
-    def _next_witness(self, view: MemberView, now_ms: int) -> MemberAddress | None:
-        self._unanswering = {
+    def _choose_witness(self, view: MemberView, now_ms: int) -> MemberAddress | None:
+        self._unresponsive = {
             witness: until_ms
-            for witness, until_ms in self._unanswering.items()
+            for witness, until_ms in self._unresponsive.items()
             if until_ms > now_ms
         }
-        witnesses = choose_witnesses(self._address, view, self._unanswering)
+        witnesses = choose_witnesses(self._address, view, self._unresponsive)
         if not witnesses:
             return None
         witness = witnesses[self._sequence % len(witnesses)]
-        self._recalled.pop(witness.instance, None)
-        self._recalled[witness.instance] = witness
-        if len(self._recalled) > MAX_RECALLED:
-            del self._recalled[next(iter(self._recalled))]
+        self._recent_witnesses.pop(witness.instance, None)
+        self._recent_witnesses[witness.instance] = witness
+        if len(self._recent_witnesses) > MAX_RECENT_WITNESSES:
+            del self._recent_witnesses[next(iter(self._recent_witnesses))]
         return witness
 
     def _tag(self, fields: str) -> str:
--- a/savorychute/requests/key_phase.py
+++ b/savorychute/requests/key_phase.py
@@ -1,4 +1,4 @@
-"""How far a key has come at the instance that decides it."""
+"""The phase of a key at the instance that decides it."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 class KeyPhase(Enum):
     """The phases of a key; the last three are final.
 
-    ``HELD``: taken up by a request, nothing announced.  ``ANNOUNCED``: the
-    witness was told, and has not answered.  ``STARTED``: bytes may leave.
+    ``HELD``: granted to a request, start not announced.  ``ANNOUNCED``: a start
+    notice was sent to the witness, which has not answered.  ``STARTED``: the
+    request may be sent to an endpoint.
     """
 
     HELD = auto()
--- a/savorychute/requests/key_question.py
+++ b/savorychute/requests/key_question.py
@@ -1,4 +1,4 @@
-"""A question to the witness of a key."""
+"""A query to the witness of a key."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @peer_message(52)
 class KeyQuestion(NamedTuple):
-    """Has *key* been started?  If not, revoke it."""
+    """Asks whether *key* was started; if it was not, the witness revokes it."""
 
     key: str
     fingerprint: str
--- a/savorychute/requests/key_record.py
+++ b/savorychute/requests/key_record.py
@@ -1,4 +1,4 @@
-"""What the deciding instance remembers of one key."""
+"""The record of one key at the instance that decides it."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class KeyRecord:
-    """One key that a request has taken up.
+    """A key that was granted to a request.
 
     :param key: the key.
-    :param fingerprint: of the one request that the key stands for.
-    :param runner: the request that may run under it.
+    :param fingerprint: the fingerprint of the only request that may use the key.
+    :param runner: the id of the request that may run under the key.
     """
 
     __slots__ = (
--- a/savorychute/requests/key_elsewhere.py
+++ b/savorychute/requests/key_redirect.py
@@ -1,4 +1,4 @@
-"""Another instance decides a key."""
+"""Redirection of a request to the instance that decides its key."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
     from savorychute.member_address import MemberAddress
 
 
-class KeyElsewhere(NamedTuple):
-    """Redirect the caller; says nothing about whether the key ran."""
+class KeyRedirect(NamedTuple):
+    """Another instance decides the key; this does not say whether the key ran."""
 
     request_id: str
     address: MemberAddress
--- a/savorychute/requests/key_refused.py
+++ b/savorychute/requests/key_refused.py
@@ -1,4 +1,4 @@
-"""A key under which a request will not run here."""
+"""Refusal of a request because of its key."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class KeyRefused(NamedTuple):
-    """The final answer for this request, without a body.
+    """The final response to this request, without a body.
 
-    ``ran`` is ``NOT_RUN`` only if nobody will ever run this request under this
-    key.  With ``UNKNOWN`` asking again with the same key is always safe.
+    ``ran`` is ``NOT_RUN`` only if no instance will ever run this request under
+    this key.  With ``UNKNOWN`` a retry with the same key is always safe.
     ``handle`` resumes the stream that the key may have started, or is empty.
     """
 
--- a/savorychute/requests/key_replay.py
+++ b/savorychute/requests/key_replay.py
@@ -1,4 +1,4 @@
-"""A stored answer for a key."""
+"""Replay of the stored response of a key."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class KeyReplay(NamedTuple):
-    """The request ran under this key; send its stored answer again."""
+    """The request ran under this key; its stored response is sent again."""
 
     request_id: str
     status: int
--- a/savorychute/requests/key_settings.py
+++ b/savorychute/requests/key_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the key keeper."""
+"""Settings of the key manager."""
 
 from __future__ import annotations
 
@@ -6,22 +6,23 @@
 
 
 class KeySettings(NamedTuple):
-    """Bounds of what a key keeper waits for and remembers.
+    """Timeouts, intervals and limits of the key manager.
 
     ``key_lifetime_ms``: a key starts nothing later than this after its issue.
-    ``witness_margin_ms``: how much longer a witness remembers than that, for
-    clocks that run at unlike rates.  ``notice_interval_ms`` and
-    ``notice_timeout_ms``: resending of a start notice and when the issuer
-    gives up.  ``question_*``: the same for a question to a witness.
-    ``clock_margin_ms``: the most by which wall clocks of callers and instances
-    differ.  ``claim_lifetime_ms``: keys that callers bring are refused when
-    older.  ``claim_wait_ms``: how long a request waits for its claim.
-    ``claim_homes``: how many instances claim keys; the others send callers
-    there.  ``claim_follow_ms``: how long one that is no home reads the stream
-    after a key came back to it.
-    ``log_retry_ms``: how long claims are refused at once after the log failed.
-    ``redirect_memory_ms``: a key that comes back within this time was not
-    answered where its caller was sent.  ``outcome_*``: stored answers.
+    ``witness_margin_ms``: how much longer than that a witness retains a record,
+    because clocks run at different rates.  ``notice_interval_ms`` and
+    ``notice_timeout_ms``: when a start notice is resent, and when the issuer
+    stops waiting for the answer.  ``question_*``: the same for a query to a
+    witness.  ``clock_margin_ms``: the maximum difference between the wall clocks
+    of callers and instances.  ``claim_lifetime_ms``: older caller-supplied keys
+    are refused.  ``claim_wait_ms``: how long a request waits for its claim.
+    ``claim_homes``: the number of instances that claim keys; the others redirect
+    callers to them.  ``claim_follow_ms``: how long an instance that is not a
+    home reads the claims stream after a caller retried a key there.
+    ``log_retry_ms``: how long claims are refused immediately after the log
+    failed.  ``redirect_memory_ms``: a key retried within this time was not
+    answered by the instance to which it was redirected.  ``outcome_*``: limits
+    of stored responses.
     """
 
     key_lifetime_ms: int = 600_000
--- a/savorychute/requests/key_store.py
+++ b/savorychute/requests/key_store.py
@@ -1,11 +1,11 @@
-"""The keys that this incarnation decides."""
+"""Records of the keys that this incarnation decides."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from savorychute.ran import Ran
-from savorychute.requests.key_may_run import KeyMayRun
+from savorychute.requests.key_granted import KeyGranted
 from savorychute.requests.key_phase import KeyPhase
 from savorychute.requests.key_record import KeyRecord
 from savorychute.requests.key_refused import KeyRefused
@@ -21,13 +21,13 @@
 
 
 class KeyStore:
-    """Every key taken up here, until no request may run under it any more.
+    """Stores each granted key until no request can run under it any more.
 
-    A key has one runner.  Its verdict is final: after 'not run' nothing runs
-    under it, so a caller that was told so can rely on it even if a copy of
-    its request is still on the way.
+    A key has one runner.  Its settled phase is final: after ``NOT_RUN`` nothing
+    runs under the key, so a caller can rely on this outcome even if a duplicate
+    of its request is still in flight.
 
-    :param settings: bounds.
+    :param settings: limits.
     """
 
     def __init__(self, settings: KeySettings) -> None:
@@ -42,28 +42,28 @@
     def find(self, sequence: int) -> KeyRecord | None:
         """Return the record of a key, or None.
 
-        :param sequence: the key's number.
+        :param sequence: the sequence number of the key.
         """
         return self._records.get(sequence)
 
     def find_runner(self, request_id: str) -> KeyRecord | None:
-        """Return the unsettled record that *request_id* runs, or None.
+        """Return the unsettled record whose runner is *request_id*, or None.
 
-        :param request_id: the request.
+        :param request_id: the id of the request.
         """
         return self._runners.get(request_id)
 
-    def take_up(
+    def grant(
         self, request_id: str, key: RequestKey, fingerprint: str
     ) -> list[KeyOutcome]:
-        """Let *request_id* run under a key that was never taken up.
+        """Grant a key that was not granted before to *request_id*.
 
-        When the store is full the key stays as it was, so the caller may come
-        again with it; 'not run' would be final and is not said.
+        If the store is full, the key is refused as ``UNKNOWN`` and the caller may
+        retry with it; ``NOT_RUN`` would be final.
 
-        :param request_id: the request.
+        :param request_id: the id of the request.
         :param key: the key.
-        :param fingerprint: of the request.
+        :param fingerprint: the fingerprint of the request.
         """
         if len(self._records) >= self._settings.max_keys:
             return [
@@ -71,22 +71,22 @@
                     request_id,
                     ResultCode.MEMORY_EXHAUSTED,
                     Ran.UNKNOWN,
-                    'no room for another key; send again with the same key',
+                    'too many keys are stored; retry with the same key',
                 )
             ]
         record = KeyRecord(key, fingerprint, request_id)
         self._records[key.sequence] = record
         self._runners[request_id] = record
-        return [KeyMayRun(request_id)]
+        return [KeyGranted(request_id)]
 
     def join(
         self, request_id: str, record: KeyRecord, fingerprint: str
     ) -> list[KeyOutcome]:
-        """Answer a further request under a key, or let it wait.
+        """Return the outcome of a further request under a key, or let it wait.
 
-        :param request_id: the further request.
-        :param record: the key's record.
-        :param fingerprint: of the further request.
+        :param request_id: the id of the further request.
+        :param record: the record of the key.
+        :param fingerprint: the fingerprint of the further request.
         """
         if record.fingerprint != fingerprint:
             return [
@@ -94,18 +94,18 @@
                     request_id,
                     ResultCode.KEY_REUSED,
                     Ran.NOT_RUN,
-                    f'key {record.key.text} stands for another request',
+                    f'key {record.key.text} was used for a different request',
                 )
             ]
         if record.is_final:
-            return [self._repeat(request_id, record)]
+            return [self._make_outcome(request_id, record)]
         if len(record.waiting) >= self._settings.max_waiting_per_key:
             return [
                 KeyRefused(
                     request_id,
                     ResultCode.OUTCOME_UNKNOWN,
                     Ran.UNKNOWN,
-                    f'key {record.key.text} is in progress; ask again later',
+                    f'key {record.key.text} is in progress; retry later',
                 )
             ]
         record.waiting = (*record.waiting, request_id)
@@ -119,13 +119,13 @@
         now_ms: int,
         outcome: StoredOutcome | None = None,
     ) -> list[KeyOutcome]:
-        """Give a key its verdict and answer the requests that wait for it.
+        """Settle a key and return the outcomes of the requests that wait for it.
 
-        :param record: the key's record.
+        :param record: the record of the key.
         :param phase: one of the final phases.
-        :param code: why.
-        :param now_ms: the time.
-        :param outcome: the answer, if it ran to its end.
+        :param code: the result code of the waiting requests.
+        :param now_ms: the current time.
+        :param outcome: the response, if the request completed.
         """
         if record.is_final:
             return []
@@ -133,45 +133,45 @@
         record.code = code
         record.settled_ms = now_ms
         if outcome is not None:
-            self._outcomes.keep(record.key.sequence, outcome)
+            self._outcomes.store(record.key.sequence, outcome)
         self._runners.pop(record.runner, None)
         waiting = record.waiting
         record.waiting = ()
-        return [self._repeat(request_id, record) for request_id in waiting]
+        return [self._make_outcome(request_id, record) for request_id in waiting]
 
-    def leave(self, request_id: str) -> None:
-        """Stop answering a request that waits for another one's outcome.
+    def remove_waiter(self, request_id: str) -> None:
+        """Remove a request that waits for the outcome of the runner.
 
-        :param request_id: a request whose caller left.
+        :param request_id: a request whose caller has disconnected.
         """
         for record in self._runners.values():
             if request_id in record.waiting:
-                kept = (other for other in record.waiting if other != request_id)
-                record.waiting = tuple(kept)
+                remaining = (other for other in record.waiting if other != request_id)
+                record.waiting = tuple(remaining)
                 return
 
-    def forget_old(self, issued_before_ms: int, now_ms: int) -> None:
-        """Drop settled keys under which nothing can start any more.
+    def remove_expired(self, issued_before_ms: int, now_ms: int) -> None:
+        """Remove settled keys under which nothing can start any more.
 
-        Keys are kept in the order in which they were taken up, which nearly
-        is that of their issue; one that is out of order waits for the next
+        Keys are stored in the order in which they were granted, which is nearly
+        the order of their issue; a key that is out of order is removed by a later
         call.
 
-        :param issued_before_ms: keys issued earlier are refused by their age.
-        :param now_ms: the time.
+        :param issued_before_ms: keys issued earlier are refused because of their age.
+        :param now_ms: the current time.
         """
         settled_before_ms = now_ms - self._settings.outcome_lifetime_ms
-        old = []
+        expired = []
         for sequence, record in self._records.items():
             if record.key.issued_ms >= issued_before_ms:
                 break
             if record.is_final and record.settled_ms < settled_before_ms:
-                old.append(sequence)
-        for sequence in old:
+                expired.append(sequence)
+        for sequence in expired:
             del self._records[sequence]
-            self._outcomes.forget(sequence)
+            self._outcomes.discard(sequence)
 
-    def _repeat(self, request_id: str, record: KeyRecord) -> KeyOutcome:
+    def _make_outcome(self, request_id: str, record: KeyRecord) -> KeyOutcome:
         outcome = self._outcomes.find(record.key.sequence)
         if outcome is not None:
             return KeyReplay(
@@ -182,10 +182,10 @@
                 request_id,
                 ResultCode.OUTCOME_FORGOTTEN,
                 Ran.RAN,
-                f'key {record.key.text} ran; its answer is no longer kept',
+                f'key {record.key.text} ran; its response is no longer stored',
             )
         code = record.code or ResultCode.OUTCOME_UNKNOWN
         ran = Ran.NOT_RUN if record.phase is KeyPhase.NOT_RUN else Ran.UNKNOWN
         return KeyRefused(
-            request_id, code, ran, f'key {record.key.text} was settled before'
+            request_id, code, ran, f'key {record.key.text} is already settled'
         )
--- a/savorychute/requests/key_verdict.py
+++ b/savorychute/requests/key_verdict.py
@@ -1,4 +1,4 @@
-"""A witness's answer to a question about a key."""
+"""The response of a witness to a query about a key."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 @peer_message(53)
 class KeyVerdict(NamedTuple):
-    """One of :class:`WitnessVerdict` for *key*, and the stream that it started."""
+    """The verdict on *key* and the stream that was started under it.
+
+    ``verdict`` is the value of a :class:`WitnessVerdict`.
+    """
 
     key: str
     fingerprint: str
--- a/savorychute/requests/keys_settled.py
+++ b/savorychute/requests/keys_settled.py
@@ -1,4 +1,4 @@
-"""An issuer's news of keys that are done with."""
+"""A report of settled keys from their issuer to a witness."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @peer_message(54)
 class KeysSettled(NamedTuple):
-    """Keys that ran to their end, and keys that were certainly not run."""
+    """Keys whose request completed, and keys whose request did not run."""
 
     ran: tuple[str, ...]
     not_run: tuple[str, ...]
--- a/savorychute/requests/outcome_store.py
+++ b/savorychute/requests/outcome_store.py
@@ -1,4 +1,4 @@
-"""Answers kept for callers that ask again."""
+"""Storage of responses for callers that retry."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class OutcomeStore:
-    """Answers by key, bounded in count and bytes; the oldest go first.
+    """Stores responses by key, limited in count and bytes; evicts the oldest first.
 
-    :param settings: the bounds.
+    :param settings: the limits.
     """
 
     def __init__(self, settings: KeySettings) -> None:
@@ -22,43 +22,43 @@
 
     @property
     def size_bytes(self) -> int:
-        """The bodies' size in sum."""
+        """The total size of the stored bodies."""
         return self._size_bytes
 
     def __len__(self) -> int:
         return len(self._outcomes)
 
-    def keep(self, sequence: int, outcome: StoredOutcome) -> None:
-        """Keep an answer unless its body is too large.
+    def store(self, sequence: int, outcome: StoredOutcome) -> None:
+        """Store a response unless its body is too large.
 
-        :param sequence: the key's number.
-        :param outcome: the answer.
+        :param sequence: the sequence number of the key.
+        :param outcome: the response.
         """
         if len(outcome.body) > self._settings.outcome_body_max_bytes:
             return
-        self.forget(sequence)
+        self.discard(sequence)
         self._outcomes[sequence] = outcome
         self._size_bytes += len(outcome.body)
-        while self._is_over_bounds():
-            self.forget(next(iter(self._outcomes)))
+        while self._exceeds_limits():
+            self.discard(next(iter(self._outcomes)))
 
     def find(self, sequence: int) -> StoredOutcome | None:
-        """Return the answer for a key, or None if it is not kept.
+        """Return the response of a key, or None if it is not stored.
 
-        :param sequence: the key's number.
+        :param sequence: the sequence number of the key.
         """
         return self._outcomes.get(sequence)
 
-    def forget(self, sequence: int) -> None:
-        """Drop the answer for a key, if there is one.
+    def discard(self, sequence: int) -> None:
+        """Discard the response of a key, if one is stored.
 
-        :param sequence: the key's number.
+        :param sequence: the sequence number of the key.
         """
         outcome = self._outcomes.pop(sequence, None)
         if outcome is not None:
             self._size_bytes -= len(outcome.body)
 
-    def _is_over_bounds(self) -> bool:
+    def _exceeds_limits(self) -> bool:
         if len(self._outcomes) > self._settings.outcome_max_count:
             return True
         return self._size_bytes > self._settings.outcome_max_bytes
--- a/savorychute/requests/pending_claim.py
+++ b/savorychute/requests/pending_claim.py
@@ -1,4 +1,4 @@
-"""A claim that is not decided yet."""
+"""A claim that is not yet decided."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class PendingClaim(NamedTuple):
-    """The key, its request's fingerprint, who waits, and until when."""
+    """A claimed key, its fingerprint, the waiting requests and their deadline."""
 
     key: RequestKey
     fingerprint: str
     request_ids: tuple[str, ...]
-    give_up_ms: int
+    deadline_ms: int
--- a/savorychute/requests/pending_question.py
+++ b/savorychute/requests/pending_question.py
@@ -1,4 +1,4 @@
-"""A question that waits for its witness."""
+"""A query that waits for the response of a witness."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 
 class PendingQuestion(NamedTuple):
-    """The question, who waits for it, when to repeat it and to give up.
+    """A query, the waiting requests, the time of its next send and its deadline.
 
-    ``issuer`` is where they are sent if the key was started, unless it is gone.
+    ``issuer`` is the instance to which the requests are redirected if the key was
+    started; None if it is unavailable.
     """
 
     question: KeyQuestion
     witness: MemberAddress
     issuer: MemberAddress | None
     request_ids: tuple[str, ...]
-    next_ms: int
-    give_up_ms: int
+    next_send_ms: int
+    deadline_ms: int
--- a/savorychute/requests/pending_start.py
+++ b/savorychute/requests/pending_start.py
@@ -1,4 +1,4 @@
-"""A start notice that waits for its witness."""
+"""A start notice that waits for the answer of the witness."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class PendingStart(NamedTuple):
-    """The notice, where it goes, when to repeat it and when to give up."""
+    """A start notice, its witness, the time of its next send and its deadline."""
 
     record: KeyRecord
     notice: StartNotice
     witness: MemberAddress
-    next_ms: int
-    give_up_ms: int
+    next_send_ms: int
+    deadline_ms: int
--- a/savorychute/requests/redirect_memory.py
+++ b/savorychute/requests/redirect_memory.py
@@ -1,4 +1,4 @@
-"""Remembers which callers were sent to another instance."""
+"""Bounded memory of keys whose callers were redirected."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class RedirectMemory:
-    """Tells a key that comes back from one that comes first.
+    """Distinguishes the retry of a redirected key from its first arrival.
 
-    :param settings: how long and how many are remembered.
+    :param settings: how long and how many redirects are remembered.
     """
 
     def __init__(self, settings: KeySettings) -> None:
         self._settings = settings
-        self._sent_ms: dict[str, int] = {}
+        self._redirected_ms: dict[str, int] = {}
 
-    def is_repeated(self, key_text: str, now_ms: int) -> bool:
-        """Return whether the key was here lately, and remember it.
+    def is_retry(self, key_text: str, now_ms: int) -> bool:
+        """Record the key and return whether it was recorded recently.
 
         :param key_text: the key.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        sent_ms = self._sent_ms.pop(key_text, None)
-        self._sent_ms[key_text] = now_ms
-        if len(self._sent_ms) > self._settings.max_redirects:
-            del self._sent_ms[next(iter(self._sent_ms))]
-        if sent_ms is None:
+        redirected_ms = self._redirected_ms.pop(key_text, None)
+        self._redirected_ms[key_text] = now_ms
+        if len(self._redirected_ms) > self._settings.max_redirects:
+            del self._redirected_ms[next(iter(self._redirected_ms))]
+        if redirected_ms is None:
             return False
-        return now_ms - sent_ms <= self._settings.redirect_memory_ms
+        return now_ms - redirected_ms <= self._settings.redirect_memory_ms
--- a/savorychute/requests/request_event.py
+++ b/savorychute/requests/request_event.py
@@ -1,4 +1,4 @@
-"""One step of a request's life."""
+"""One transition in the lifecycle of a request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RequestEvent(NamedTuple):
-    """A transition: when, between which states, for which attempt, and why."""
+    """The time, states, reason and attempt of a transition."""
 
     at_ms: int
     before: RequestState
--- a/savorychute/requests/request_key.py
+++ b/savorychute/requests/request_key.py
@@ -1,4 +1,4 @@
-"""Request keys as callers carry them."""
+"""Parsing and formatting of request keys."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 FIELD_SEPARATOR = ':'
 FIELD_COUNT = 8
 MAX_KEY_CHARACTERS = 256
-TIME_ORDERED_VERSION = 7
+TIME_ORDERED_UUID_VERSION = 7
 TIME_SHIFT_BITS = 80
 
 
 class RequestKey(NamedTuple):
-    """One key, parsed.
+    """A parsed request key.
 
     An issued key names its issuer and its witness with their incarnations.
-    ``sequence`` and ``issued_ms`` are the issuer's own count and monotonic
-    time.  ``tag`` cannot be guessed and is checked by the issuer alone.  A key
-    that the caller brought is a UUIDv7 (RFC 9562): ``sequence`` is its
-    128 bits, ``issued_ms`` its Unix time, and the other fields are empty.
+    ``sequence`` and ``issued_ms`` are the count and the monotonic time of the
+    issuer.  ``tag`` cannot be guessed and is checked only by the issuer.  A
+    caller-supplied key is a UUIDv7 (RFC 9562): ``sequence`` is its 128 bits,
+    ``issued_ms`` its Unix time, and the other fields are empty.
     """
 
     text: str
@@ -56,7 +56,7 @@
 
 
 def parse_key(text: str) -> RequestKey:
-    """Return the key that *text* spells.
+    """Return the key that *text* represents.
 
     :param text: an issued key or a UUIDv7.
     :raises RequestError: ``KEY_MALFORMED`` if it is neither.
@@ -65,7 +65,7 @@
         raise _malformed(text, 'is too long')
     if text.startswith(ISSUED_PREFIX + FIELD_SEPARATOR):
         return _parse_issued(text)
-    return _parse_brought(text)
+    return _parse_caller_key(text)
 
 
 def _parse_issued(text: str) -> RequestKey:
@@ -85,23 +85,23 @@
             tag=fields[7],
         )
     except ValueError:
-        raise _malformed(text, 'has a field that is no number') from None
-    # Two spellings of one key would be two keys to whoever compares texts.
+        raise _malformed(text, 'has a field that is not a number') from None
+    # Keys are compared by their text, so each key must have exactly one spelling.
     if f'{format_fields(key)}{FIELD_SEPARATOR}{key.tag}' != text:
-        raise _malformed(text, 'is not spelled as it was issued')
+        raise _malformed(text, 'is not in the form in which it was issued')
     return key
 
 
-def _parse_brought(text: str) -> RequestKey:
+def _parse_caller_key(text: str) -> RequestKey:
     try:
         value = uuid.UUID(text)
     except ValueError:
         raise _malformed(text, 'is neither an issued key nor a UUID') from None
-    if value.version != TIME_ORDERED_VERSION:
-        raise _malformed(text, 'is not a UUID of version 7')
+    if value.version != TIME_ORDERED_UUID_VERSION:
+        raise _malformed(text, 'is not a version 7 UUID')
     return RequestKey(str(value), False, value.int, value.int >> TIME_SHIFT_BITS)
 
 
-def _malformed(text: str, fault: str) -> RequestError:
-    message = f'request key {text[:MAX_KEY_CHARACTERS]!r} {fault}'
+def _malformed(text: str, problem: str) -> RequestError:
+    message = f'request key {text[:MAX_KEY_CHARACTERS]!r} {problem}'
     return RequestError(ResultCode.KEY_MALFORMED, message)
--- a/savorychute/requests/request_state.py
+++ b/savorychute/requests/request_state.py
@@ -1,4 +1,4 @@
-"""The states of a request's life."""
+"""The states in the lifecycle of a request."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class RequestState(StrEnum):
-    """Where a request stands.
+    """The state of a request.
 
-    ``GRANTED`` has an endpoint and a credit but no byte has left;
-    ``SENDING`` begins when the host is about to write the first byte.
+    ``GRANTED``: the request has an endpoint and a credit, but no byte was sent.
+    ``SENDING``: starts when the host is about to write the first byte.
     """
 
     RECEIVED = 'received'
--- a/savorychute/requests/request_transitions.py
+++ b/savorychute/requests/request_transitions.py
@@ -1,4 +1,4 @@
-"""Which state of a request may follow which."""
+"""The allowed transitions between the states of a request."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
     RequestState.UNKNOWN: frozenset(),
     RequestState.CANCELLED: frozenset(),
 }
-"""The whole machine.  ``RECEIVED`` to ``ANSWERED`` is a stored answer replayed
-for a key; ``STREAMING`` to ``QUEUED`` waits for a resume of the stream."""
+"""The transitions of the state machine.
+
+``RECEIVED`` to ``ANSWERED``: the stored response of a key is replayed.
+``STREAMING`` to ``QUEUED``: the request waits to resume its stream.
+"""
 
 FINAL_STATES = frozenset(state for state, after in TRANSITIONS.items() if not after)
--- a/savorychute/requests/settle_queue.py
+++ b/savorychute/requests/settled_key_queue.py
@@ -1,4 +1,4 @@
-"""News of settled keys on their way to witnesses."""
+"""Queue of settled keys to report to their witnesses."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 MAX_KEYS_PER_MESSAGE = 64
 
 
-class SettleQueue:
-    """Collects news for each witness and sends it once an interval.
+class SettledKeyQueue:
+    """Collects settled keys for each witness and reports them once per interval.
 
-    The news only makes a witness's answers better, so it is sent once and a
-    loss is harmless: without it the witness says 'may have run'.
+    A report only makes the verdicts of a witness more precise, so it is sent once
+    and its loss is harmless: without it the verdict is 'may have run'.
 
     :param settings: the interval.
     """
@@ -29,30 +29,30 @@
         self._settings = settings
         self._ran: dict[str, list[str]] = {}
         self._not_run: dict[str, list[str]] = {}
-        self._next_ms: int | None = None
+        self._next_send_ms: int | None = None
 
     def add(self, key: RequestKey, ran: bool) -> None:
-        """Queue news of one key.
+        """Queue the report of one key.
 
-        :param key: a key that its witness was told of.
-        :param ran: whether it ran to its end; if not, it certainly never ran.
+        :param key: a key whose start was announced to its witness.
+        :param ran: true if its request completed, false if it never ran.
         """
         if not key.witness:
             return
-        news = self._ran if ran else self._not_run
-        texts = news.setdefault(key.witness, [])
+        keys_by_witness = self._ran if ran else self._not_run
+        texts = keys_by_witness.setdefault(key.witness, [])
         if len(texts) < MAX_KEYS_PER_MESSAGE:
             texts.append(key.text)
 
     def tick(self, view: MemberView, now_ms: int) -> list[Action]:
-        """Send what is due.
+        """Send the queued reports if the interval has passed.
 
-        :param view: the members.
-        :param now_ms: the time.
+        :param view: the current members.
+        :param now_ms: the current time.
         """
-        if self._next_ms is not None and now_ms < self._next_ms:
+        if self._next_send_ms is not None and now_ms < self._next_send_ms:
             return []
-        self._next_ms = now_ms + self._settings.settle_interval_ms
+        self._next_send_ms = now_ms + self._settings.settle_interval_ms
         actions: list[Action] = []
         for instance in sorted({*self._ran, *self._not_run}):
             address = view.address_of(instance)
--- a/savorychute/requests/start_answer.py
+++ b/savorychute/requests/start_answer.py
@@ -1,4 +1,4 @@
-"""A witness's answer to a start notice."""
+"""The answer of a witness to a start notice."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 @peer_message(51)
 class StartAnswer(NamedTuple):
-    """The start is noted, or refused because the key is revoked or foreign."""
+    """Whether the witness recorded the start, and if not, the reason.
+
+    A start is refused if the key was revoked, if another incarnation is the witness
+    or if the table of the witness is full.
+    """
 
     key: str
     accepted: bool
--- a/savorychute/requests/start_denied.py
+++ b/savorychute/requests/start_denied.py
@@ -1,4 +1,4 @@
-"""A keyed request that must not be sent."""
+"""Denial of the start of a keyed request."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class StartDenied(NamedTuple):
-    """No byte may leave; the key is settled as *ran* says."""
+    """No byte of the request may be sent; its key is settled as *ran*."""
 
     request_id: str
     code: ResultCode
--- a/savorychute/requests/start_desk.py
+++ b/savorychute/requests/start_handler.py
@@ -1,4 +1,4 @@
-"""The issuer's side of starting a keyed request."""
+"""Announces starts of keyed requests to their witnesses."""
 
 from __future__ import annotations
 
@@ -22,22 +22,23 @@
     from savorychute.requests.key_record import KeyRecord
     from savorychute.requests.key_settings import KeySettings
     from savorychute.requests.key_store import KeyStore
-    from savorychute.requests.settle_queue import SettleQueue
+    from savorychute.requests.settled_key_queue import SettledKeyQueue
     from savorychute.requests.start_answer import StartAnswer
 
 
-class StartDesk:
-    """Tells the witness of each start and waits for its answer.
+class StartHandler:
+    """Announces each start to the witness of the key and waits for its answer.
 
-    No byte may leave for an endpoint before the witness has accepted.  If it
-    does not answer in time the key is settled as not run *here*, which is
-    true whatever the witness noted, because only this incarnation runs it.
+    No byte may be sent to an endpoint before the witness has accepted the start.
+    If the witness does not answer in time, the key is settled as not run.  This is
+    correct whatever the witness recorded, because only this incarnation runs the
+    key.
 
-    :param settings: intervals.
-    :param address: this instance.
-    :param issuer: what issued the keys.
-    :param store: the keys taken up here.
-    :param settled: news for witnesses.
+    :param settings: limits and intervals.
+    :param address: the address of this instance.
+    :param issuer: the issuer of the keys.
+    :param store: the keys that this incarnation decides.
+    :param settled_keys: the queue of settled keys to report to witnesses.
     """
 
     def __init__(
@@ -46,13 +47,13 @@
         address: MemberAddress,
         issuer: KeyIssuer,
         store: KeyStore,
-        settled: SettleQueue,
+        settled_keys: SettledKeyQueue,
     ) -> None:
         self._settings = settings
         self._address = address
         self._issuer = issuer
         self._store = store
-        self._settled = settled
+        self._settled_keys = settled_keys
         self._pending: dict[str, PendingStart] = {}
 
     def announce(
@@ -63,19 +64,19 @@
         view: MemberView,
         now_ms: int,
     ) -> list[KeyOutcome | Action]:
-        """Announce a start, or permit it if no witness needs to be asked.
+        """Announce a start, or permit it if no answer of a witness is required.
 
-        :param record: the key that the request runs under.
-        :param endpoint: where it is about to go.
-        :param stream_id: the stream that could be resumed there, or empty.
-        :param view: the members.
-        :param now_ms: the time.
+        :param record: the record of the key.
+        :param endpoint: the endpoint to which the request will be sent.
+        :param stream_id: the stream that can be resumed there, or empty.
+        :param view: the current members.
+        :param now_ms: the current time.
         """
         if not record.key.issued or not record.key.witness:
             record.phase = KeyPhase.STARTED
             return [StartPermitted(record.runner)]
         if record.phase is KeyPhase.STARTED:
-            return self._announce_again(record, endpoint, stream_id, view)
+            return self._announce_further_attempt(record, endpoint, stream_id, view)
         if self._is_too_old(record, now_ms):
             return self._deny(
                 record, ResultCode.KEY_TOO_OLD, 'the key is too old', now_ms
@@ -83,10 +84,13 @@
         witness = self._find_witness(record, view)
         if witness is None:
             return self._deny(
-                record, ResultCode.WITNESS_UNAVAILABLE, 'the witness is gone', now_ms
+                record,
+                ResultCode.WITNESS_UNAVAILABLE,
+                'the witness is unavailable',
+                now_ms,
             )
         record.phase = KeyPhase.ANNOUNCED
-        notice = self._notice(record, endpoint, stream_id)
+        notice = self._make_notice(record, endpoint, stream_id)
         self._pending[record.runner] = PendingStart(
             record,
             notice,
@@ -94,16 +98,16 @@
             now_ms + self._settings.notice_interval_ms,
             now_ms + self._settings.notice_timeout_ms,
         )
-        return [_send(witness, notice)]
+        return [_make_send(witness, notice)]
 
-    def answered(
+    def handle_answer(
         self, sender: str, answer: StartAnswer, now_ms: int
     ) -> list[KeyOutcome | Action]:
-        """Take a witness's answer.
+        """Handle the answer of a witness.
 
-        :param sender: who sent it.
+        :param sender: the instance that sent the answer.
         :param answer: the answer.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         pending = self._find_pending(answer.key, sender)
         if pending is None:
@@ -113,67 +117,69 @@
         if not answer.accepted:
             return self._deny(record, ResultCode.KEY_REVOKED, answer.reason, now_ms)
         if self._is_too_old(record, now_ms):
-            # The witness may have revoked the key, told a caller 'not run' and
-            # forgotten the revocation before this notice reached it; it does so
-            # only after the key's lifetime.
+            # Before this notice arrived, the witness may have revoked the key,
+            # reported 'not run' to a caller and forgotten the revocation; it
+            # forgets a revocation only after the lifetime of the key.
             return self._deny(
                 record, ResultCode.KEY_TOO_OLD, 'the key is too old', now_ms
             )
         record.phase = KeyPhase.STARTED
         return [StartPermitted(record.runner)]
 
-    def drop(self, request_id: str) -> None:
-        """Forget a notice whose request was settled otherwise.
+    def cancel(self, request_id: str) -> None:
+        """Discard a pending notice whose request was settled in another way.
 
-        :param request_id: the request.
+        :param request_id: the id of the request.
         """
         self._pending.pop(request_id, None)
 
     def tick(self, now_ms: int) -> list[KeyOutcome | Action]:
-        """Repeat notices and give up those that took too long.
+        """Resend unanswered notices and deny the starts that timed out.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         results: list[KeyOutcome | Action] = []
         for request_id, pending in list(self._pending.items()):
-            if now_ms >= pending.give_up_ms:
+            if now_ms >= pending.deadline_ms:
                 del self._pending[request_id]
                 witness = pending.record.key.witness
-                self._issuer.note_unanswered(witness, now_ms)
+                self._issuer.record_unresponsive(witness, now_ms)
                 results += self._deny(
                     pending.record,
                     ResultCode.WITNESS_UNAVAILABLE,
                     'the witness did not answer',
                     now_ms,
                 )
-            elif now_ms >= pending.next_ms:
-                next_ms = now_ms + self._settings.notice_interval_ms
-                self._pending[request_id] = pending._replace(next_ms=next_ms)
-                results.append(_send(pending.witness, pending.notice))
+            elif now_ms >= pending.next_send_ms:
+                next_send_ms = now_ms + self._settings.notice_interval_ms
+                self._pending[request_id] = pending._replace(next_send_ms=next_send_ms)
+                results.append(_make_send(pending.witness, pending.notice))
         return results
 
     def next_due_ms(self) -> int | None:
-        """Return when :meth:`tick` has something to do, or None."""
+        """Return when :meth:`tick` is due next, or None."""
         return min(
-            (min(p.next_ms, p.give_up_ms) for p in self._pending.values()),
+            (min(p.next_send_ms, p.deadline_ms) for p in self._pending.values()),
             default=None,
         )
 
-    def _announce_again(
+    def _announce_further_attempt(
         self, record: KeyRecord, endpoint: str, stream_id: str, view: MemberView
     ) -> list[KeyOutcome | Action]:
-        """Permit a further attempt at once; the witness never revokes a start."""
+        """Permit a further attempt at once, because a witness never revokes a start."""
         results: list[KeyOutcome | Action] = [StartPermitted(record.runner)]
         witness = self._find_witness(record, view)
         if witness is not None:
-            results.append(_send(witness, self._notice(record, endpoint, stream_id)))
+            results.append(
+                _make_send(witness, self._make_notice(record, endpoint, stream_id))
+            )
         return results
 
     def _deny(
         self, record: KeyRecord, code: ResultCode, message: str, now_ms: int
     ) -> list[KeyOutcome | Action]:
         if record.phase is KeyPhase.ANNOUNCED:
-            self._settled.add(record.key, ran=False)
+            self._settled_keys.add(record.key, ran=False)
         waiting = self._store.settle(record, KeyPhase.NOT_RUN, code, now_ms)
         return [StartDenied(record.runner, code, Ran.NOT_RUN, message), *waiting]
 
@@ -189,7 +195,7 @@
             is_same = current.incarnation == key.witness_incarnation
             return current if is_same else None
         if key.witness in view.leaving:
-            return self._issuer.recall_witness(key)
+            return self._issuer.find_recent_witness(key)
         return None
 
     def _find_pending(self, key_text: str, sender: str) -> PendingStart | None:
@@ -199,7 +205,9 @@
                 return pending
         return None
 
-    def _notice(self, record: KeyRecord, endpoint: str, stream_id: str) -> StartNotice:
+    def _make_notice(
+        self, record: KeyRecord, endpoint: str, stream_id: str
+    ) -> StartNotice:
         return StartNotice(
             record.key.text,
             record.fingerprint,
@@ -210,5 +218,5 @@
         )
 
 
-def _send(witness: MemberAddress, notice: StartNotice) -> SendPeer:
+def _make_send(witness: MemberAddress, notice: StartNotice) -> SendPeer:
     return SendPeer(witness.instance, witness.host, witness.peer_port, notice)
--- a/savorychute/requests/start_notice.py
+++ b/savorychute/requests/start_notice.py
@@ -1,4 +1,4 @@
-"""An issuer's notice to the witness of a key."""
+"""A notice of an issuer to the witness of a key."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @peer_message(50)
 class StartNotice(NamedTuple):
-    """The issuer wants to start *key* at *endpoint* as *stream_id*.
+    """The issuer is about to start *key* at *endpoint* as *stream_id*.
 
-    ``host`` and ``peer_port`` are where the answer goes, because the witness
-    may not have met the issuer yet.
+    ``host`` and ``peer_port`` are the address for the answer, because the issuer
+    may not be among the members that the witness knows.
     """
 
     key: str
--- a/savorychute/requests/start_permitted.py
+++ b/savorychute/requests/start_permitted.py
@@ -6,6 +6,6 @@
 
 
 class StartPermitted(NamedTuple):
-    """Bytes of this request may leave for an endpoint now."""
+    """The request may be sent to an endpoint now."""
 
     request_id: str
--- a/savorychute/requests/stored_outcome.py
+++ b/savorychute/requests/stored_outcome.py
@@ -1,4 +1,4 @@
-"""An answer kept for a caller that asks again."""
+"""A response stored for callers that retry."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class StoredOutcome(NamedTuple):
-    """A whole answer as it was sent."""
+    """A complete response, as it was sent."""
 
     status: int
     content_type: str
--- a/savorychute/requests/witness_choice.py
+++ b/savorychute/requests/witness_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the instances that witness an issuer's keys."""
+"""Chooses the witnesses of the keys of an issuer."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 
 
 def choose_witnesses(
-    own: MemberAddress, view: MemberView, unanswering: Collection[str] = ()
+    own: MemberAddress, view: MemberView, unresponsive: Collection[str] = ()
 ) -> tuple[MemberAddress, ...]:
-    """Return up to two witnesses, the same ones as long as both stay.
+    """Return up to two witnesses, the same ones as long as both are alive.
 
-    Instances of the same region and another failure domain come first: near
-    enough for a round trip on the request path, and unlikely to be lost
-    together with the issuer.  Few and steady witnesses keep the number of
-    pairs that exchange messages small.
+    Instances in the same region and another failure domain are preferred: they are
+    near enough for a round trip on the request path and unlikely to fail together
+    with the issuer.  Few, stable witnesses limit the number of pairs of instances
+    that exchange messages.
 
-    A member that has died is chosen until its death is known, some seconds
-    later, and each request under such a key would be refused.  So members that
-    are suspected or did not answer lately come last.
+    A failed member stays in the view for some seconds until the failure is
+    detected, and each request under a key that names it would be refused.
+    Therefore members that are suspected or were unresponsive recently come last.
 
-    :param own: the issuer.
-    :param view: the members.
-    :param unanswering: members that did not answer a notice lately.
+    :param own: the address of the issuer.
+    :param view: the current members.
+    :param unresponsive: members that did not answer a notice recently.
     """
-    others = [member for member in view.alive if _may_witness(own, member, view)]
+    others = [member for member in view.alive if _can_witness(own, member, view)]
 
     def rank(member: MemberAddress) -> tuple[bool, bool, bool, int]:
         name = member.instance
-        is_doubtful = name in view.suspects or name in unanswering
-        return (is_doubtful, *_rank(own, member))
+        is_unreliable = name in view.suspects or name in unresponsive
+        return (is_unreliable, *_rank(own, member))
 
     others.sort(key=rank)
     return tuple(others[:WITNESS_COUNT])
 
 
-def _may_witness(own: MemberAddress, member: MemberAddress, view: MemberView) -> bool:
+def _can_witness(own: MemberAddress, member: MemberAddress, view: MemberView) -> bool:
     if member.instance == own.instance:
         return False
     return member.instance not in view.leaving
--- a/savorychute/requests/witness_note.py
+++ b/savorychute/requests/witness_record.py
@@ -1,18 +1,19 @@
-"""What a witness remembers of one key."""
+"""The record of one key at its witness."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 
-class WitnessNote(NamedTuple):
+class WitnessRecord(NamedTuple):
     """Either the start of a key or its revocation, never both.
 
-    ``revoked`` notes have no endpoint.  ``ran`` says that the issuer answered.
+    A ``revoked`` record has no endpoint.  ``ran``: the issuer reported that the
+    request completed.
     """
 
     revoked: bool
-    noted_ms: int
+    recorded_ms: int
     issuer: str
     incarnation: int
     sequence: int
--- a/savorychute/requests/witness_verdict.py
+++ b/savorychute/requests/witness_verdict.py
@@ -1,4 +1,4 @@
-"""What a witness says of a key."""
+"""The verdicts of a witness on a key."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class WitnessVerdict(StrEnum):
-    """What a witness says of a key.
+    """The verdict of a witness on a key.
 
     ``REVOKED``: not run and never will be.  ``STARTED``: may have run.
-    ``RAN``: answered by its issuer.  ``REUSED``: the key belongs to another
-    request.  ``FORGOTTEN``: the witness holds no evidence either way.
+    ``RAN``: its request completed.  ``REUSED``: the key was used for a different
+    request.  ``FORGOTTEN``: the witness has no evidence either way.
     """
 
     REVOKED = 'revoked'
--- a/tests/test_requests/claim_scene.py
+++ b/tests/test_requests/claim_fixture.py
@@ -1,4 +1,4 @@
-"""A log of claims that fails as it is told, and keepers that use it."""
+"""Key managers that share a log of claims with injectable faults."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import uuid
 from typing import TYPE_CHECKING
 
-from key_scene import KeyScene
+from key_fixture import KeyFixture
 
 from savorychute.actions import AppendRecord, ReadRecords
 from savorychute.inputs import AppendFinished, RecordsRead
@@ -25,8 +25,8 @@
     return str(uuid.UUID(int=value))
 
 
-class ClaimScene(KeyScene):
-    """Appends wait in ``appends`` until landed or refused; reads are instant."""
+class ClaimFixture(KeyFixture):
+    """Appends stay in ``appends`` until completed; reads are answered at once."""
 
     ignores_log = False
 
@@ -41,13 +41,13 @@
             self.tick(instance)
 
     def make_key(self, age_ms: int = 0) -> str:
-        """Make a key as a caller does."""
+        """Return a new caller-supplied key."""
         return make_uuid7(self.now_ms - age_ms, self.rng)
 
-    def collect(self, instance, results):
-        """Keep appends, answer reads, and return the outcomes."""
+    def process_results(self, instance, results):
+        """Queue appends, response reads and return the outcomes."""
         outcomes = []
-        for result in super().collect(instance, results):
+        for result in super().process_results(instance, results):
             if isinstance(result, AppendRecord):
                 self.appends.append((instance, result))
             elif isinstance(result, ReadRecords):
@@ -57,29 +57,29 @@
         return outcomes
 
     def read(self, instance, request):
-        """Answer a read."""
+        """Answer a read from the log."""
         first = max(self.expired, request.from_offset)
         records = tuple(self.records[first : first + request.max_records])
         end = len(self.records)
-        answer = RecordsRead('claims', True, records, self.expired, end)
+        response = RecordsRead('claims', True, records, self.expired, end)
         if not self.is_readable:
-            answer = RecordsRead('claims', False)
-        results = self.keepers[instance].records_read(answer, self.now_ms)
-        return self.collect(instance, results)
+            response = RecordsRead('claims', False)
+        results = self.managers[instance].records_read(response, self.now_ms)
+        return self.process_results(instance, results)
 
-    def land(self, outcome='appended'):
-        """Let the oldest append land; tell its sender *outcome*."""
+    def complete_append(self, outcome='appended'):
+        """Complete the oldest append and report *outcome* to its sender."""
         instance, append = self.appends.pop(0)
         offset = len(self.records)
         if outcome != 'refused':
             self.records.append(LogRecord(offset, append.payload))
-        if instance not in self.keepers:
+        if instance not in self.managers:
             return []
         finished = AppendFinished(append.append_id, 'claims', outcome, offset)
-        results = self.keepers[instance].append_finished(finished, self.now_ms)
-        return self.collect(instance, results)
+        results = self.managers[instance].append_finished(finished, self.now_ms)
+        return self.process_results(instance, results)
 
-    def wait(self, instance, duration_ms):
-        """Let time pass and an instance see it."""
+    def advance(self, instance, duration_ms):
+        """Advance the clock and tick an instance."""
         self.now_ms += duration_ms
         return self.tick(instance)
--- a/tests/test_requests/conftest.py
+++ b/tests/test_requests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures of the request tests."""
+"""Fixtures of the request tests."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 sys.path.insert(0, str(Path(__file__).parent))
 
-from key_scene import KeyScene
+from key_fixture import KeyFixture
 
 
 @pytest.fixture
-def scene():
-    return KeyScene()
+def cluster():
+    return KeyFixture()
--- a/tests/test_requests/key_explorer.py
+++ b/tests/test_requests/key_explorer.py
@@ -1,4 +1,4 @@
-"""Tries all orders of events of a bounded scene."""
+"""Explores all orders of events of a bounded scenario."""
 
 from __future__ import annotations
 
@@ -9,78 +9,78 @@
 from functools import partial
 from typing import NamedTuple
 
-NAMES: dict[object, int] = {}
+CONSTANT_NUMBERS: dict[object, int] = {}
 CONSTANTS: dict[int, object] = {}
-"""Objects that no event changes; states refer to them by number."""
+"""Objects that no event changes; pickled states refer to them by number."""
 
 FAULTS = {'lose', 'repeat', 'crash', 'pause', 'unsee', 'submit', 'restart', 'suspect'}
 
 
 class Exploration(NamedTuple):
-    """How much was tried."""
+    """The size of an exploration."""
 
     states: int
     transitions: int
-    ends: int
+    end_states: int
 
 
-def explore(world) -> Exploration:
-    """Visit every state that can be reached from *world*, each once.
+def explore(simulation) -> Exploration:
+    """Visit each state that is reachable from *simulation* once.
 
-    A failed check is raised with the events that led there.
+    A failed check is raised with the events that led to it.
     """
-    seen = set()
-    stack = [(freeze(world), ())]
+    visited = set()
+    stack = [(freeze(simulation), ())]
     transitions = 0
-    ends = 0
+    end_states = 0
     while stack:
-        data, path = stack.pop()
-        here = pickle.loads(data)
-        events = here.events()
+        data, trace = stack.pop()
+        state = pickle.loads(data)
+        events = state.events()
         if not any(event.kind not in FAULTS for event in events):
-            ends += 1
-            verify(here.check_end, path)
+            end_states += 1
+            verify(state.check_end, trace)
         for event in events:
             transitions += 1
-            after = pickle.loads(data)
-            way = (*path, event)
-            verify(partial(after.apply, event), way)
-            verify(after.check, way)
-            frozen = freeze(after)
-            mark = hashlib.blake2b(frozen, digest_size=12).digest()
-            if mark not in seen:
-                seen.add(mark)
-                stack.append((frozen, way))
-    return Exploration(len(seen), transitions, ends)
-
-
-def verify(check, path) -> None:
-    """Run *check*; on failure say what happened before."""
+            successor = pickle.loads(data)
+            next_trace = (*trace, event)
+            verify(partial(successor.apply, event), next_trace)
+            verify(successor.check, next_trace)
+            frozen = freeze(successor)
+            digest = hashlib.blake2b(frozen, digest_size=12).digest()
+            if digest not in visited:
+                visited.add(digest)
+                stack.append((frozen, next_trace))
+    return Exploration(len(visited), transitions, end_states)
+
+
+def verify(check, trace) -> None:
+    """Run *check*; on failure report the preceding events."""
     try:
         check()
     except AssertionError as failure:
-        story = ', '.join(f'{kind} {target}'.strip() for kind, target in path)
-        raise AssertionError(f'{failure} after: {story}') from failure
+        description = ', '.join(f'{kind} {target}'.strip() for kind, target in trace)
+        raise AssertionError(f'{failure} after: {description}') from failure
 
 
-def freeze(world) -> bytes:
-    """Return the world's state as bytes."""
+def freeze(simulation) -> bytes:
+    """Return the state of the simulation as bytes."""
     buffer = io.BytesIO()
     pickler = pickle.Pickler(buffer, pickle.HIGHEST_PROTOCOL)
     pickler.dispatch_table = copyreg.dispatch_table | dict.fromkeys(
-        world.constant_types, name_constant
+        simulation.constant_types, reduce_constant
     )
-    pickler.dump(world)
+    pickler.dump(simulation)
     return buffer.getvalue()
 
 
-def name_constant(thing):
-    """Reduce a constant to its name."""
-    name = NAMES.setdefault(thing, len(NAMES))
-    CONSTANTS[name] = thing
-    return find_constant, (name,)
+def reduce_constant(constant):
+    """Reduce a constant to its number for pickling."""
+    number = CONSTANT_NUMBERS.setdefault(constant, len(CONSTANT_NUMBERS))
+    CONSTANTS[number] = constant
+    return find_constant, (number,)
 
 
-def find_constant(name: int):
-    """Return the constant with that number."""
-    return CONSTANTS[name]
+def find_constant(number: int):
+    """Return the constant with the given number."""
+    return CONSTANTS[number]
--- a/tests/test_requests/key_scene.py
+++ b/tests/test_requests/key_fixture.py
@@ -1,4 +1,4 @@
-"""Key keepers that exchange messages by hand."""
+"""Key managers whose messages are delivered explicitly."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from savorychute.actions import ReadRecords, SendPeer
 from savorychute.member_address import MemberAddress
 from savorychute.membership.member_view import MemberView
-from savorychute.requests import KeyKeeper, KeySettings
+from savorychute.requests import KeyManager, KeySettings
 
 
 def make_address(instance: str, incarnation: int = 1) -> MemberAddress:
@@ -18,81 +18,81 @@
     )
 
 
-class KeyScene:
-    """Instances ``a``, ``b``, ``c``; messages wait in ``mail`` until delivered."""
+class KeyFixture:
+    """Instances ``a``, ``b``, ``c``; messages are ``in_flight`` until delivered."""
 
     ignores_log = True
 
     def __init__(self, settings: KeySettings | None = None) -> None:
         self.settings = settings or KeySettings()
         self.now_ms = 1_000
-        self.mail = []
-        self.keepers = {}
+        self.in_flight = []
+        self.managers = {}
         self.addresses = {}
         self.suspects = frozenset()
         for instance in 'abc':
             self.start(instance, 1)
 
     def start(self, instance: str, incarnation: int) -> None:
-        """Start an incarnation of an instance, with empty memory."""
+        """Start an incarnation of an instance without any state."""
         address = make_address(instance, incarnation)
         rng = random.Random(f'{instance}{incarnation}')
         self.addresses[instance] = address
-        self.keepers[instance] = KeyKeeper(self.settings, address, rng)
+        self.managers[instance] = KeyManager(self.settings, address, rng)
 
     def crash(self, instance: str) -> None:
-        """Lose an instance."""
-        del self.keepers[instance]
+        """Crash an instance."""
+        del self.managers[instance]
         del self.addresses[instance]
 
     def view(self, own: str) -> MemberView:
-        """Return the members as the scene knows them."""
+        """Return the current member view of an instance."""
         alive = tuple(sorted(self.addresses.values()))
         return MemberView(self.addresses[own], alive, self.suspects)
 
     def issue(self, instance: str) -> str:
         """Issue a key at an instance."""
-        keeper = self.keepers[instance]
-        return keeper.issuer.issue(self.view(instance), self.now_ms)
+        manager = self.managers[instance]
+        return manager.issuer.issue(self.view(instance), self.now_ms)
 
     def admit(self, instance, request_id, key, fingerprint='f'):
-        """Bring a request with a key to an instance."""
-        keeper = self.keepers[instance]
+        """Send a request with a key to an instance."""
+        manager = self.managers[instance]
         view = self.view(instance)
-        results = keeper.admit(request_id, key, fingerprint, view, self.now_ms)
-        return self.collect(instance, results)
+        results = manager.admit(request_id, key, fingerprint, view, self.now_ms)
+        return self.process_results(instance, results)
 
     def announce(self, instance, request_id, stream_id='s'):
-        """Ask an instance for permission to send a request."""
-        keeper = self.keepers[instance]
+        """Request permission of an instance to send a request to an endpoint."""
+        manager = self.managers[instance]
         view = self.view(instance)
-        results = keeper.announce_start(request_id, 'e', stream_id, view, self.now_ms)
-        return self.collect(instance, results)
+        results = manager.announce_start(request_id, 'e', stream_id, view, self.now_ms)
+        return self.process_results(instance, results)
 
     def tick(self, instance):
-        """Let an instance see the time."""
-        results = self.keepers[instance].tick(self.view(instance), self.now_ms)
-        return self.collect(instance, results)
+        """Tick an instance."""
+        results = self.managers[instance].tick(self.view(instance), self.now_ms)
+        return self.process_results(instance, results)
 
     def deliver(self):
-        """Deliver all mail and return the outcomes that it caused."""
+        """Deliver all messages and return the resulting outcomes."""
         outcomes = []
-        while self.mail:
-            sender, action = self.mail.pop(0)
-            keeper = self.keepers.get(action.instance)
-            if keeper is None:
+        while self.in_flight:
+            sender, action = self.in_flight.pop(0)
+            manager = self.managers.get(action.instance)
+            if manager is None:
                 continue
             view = self.view(action.instance)
-            results = keeper.receive(sender, action.message, view, self.now_ms)
-            outcomes += self.collect(action.instance, results)
+            results = manager.receive(sender, action.message, view, self.now_ms)
+            outcomes += self.process_results(action.instance, results)
         return outcomes
 
-    def collect(self, instance, results):
-        """Put messages into the mail and return the other results."""
+    def process_results(self, instance, results):
+        """Queue the messages to peers and return the other results."""
         outcomes = []
         for result in results:
             if isinstance(result, SendPeer):
-                self.mail.append((instance, result))
+                self.in_flight.append((instance, result))
             elif not (self.ignores_log and isinstance(result, ReadRecords)):
                 outcomes.append(result)
         return outcomes
--- a/tests/test_requests/test_key_explorer.py
+++ b/tests/test_requests/test_key_explorer.py
@@ -1,17 +1,17 @@
-"""All orders of events around one issued key.
+"""Tests of all orders of events around one issued key.
 
-In each scene the caller sends its request, with the one key, to the issuer and
-again to another instance, which may take the issuer for dead, rightly or not.
-The endpoints may run it, run it and lose the answer, or prove a refusal.
+In each scenario the caller sends its request with the key to the issuer and then to
+another instance, which may consider the issuer failed, rightly or wrongly.  The
+endpoints run the request, run it and lose the response, or prove a refusal.
 """
 
 from __future__ import annotations
 
 import pytest
 from key_explorer import explore
-from key_world import Budget, KeyWorld
+from key_simulation import Budget, KeySimulation
 
-SCENES = [
+SCENARIOS = [
     ('ab', Budget(crashes=1, jumps=1)),
     ('ab', Budget(pauses=1)),
     ('ab', Budget(losses=1, jumps=1)),
@@ -25,7 +25,7 @@
     ('abc', Budget(suspicions=1)),
 ]
 
-WIDE_SCENES = [
+WIDE_SCENARIOS = [
     ('ab', Budget(crashes=1, losses=1, jumps=1)),
     ('ab', Budget(pauses=1, losses=1)),
     ('ab', Budget(crashes=1, restarts=1, jumps=1)),
@@ -34,12 +34,12 @@
     ('abc', Budget(suspicions=1, submissions=2)),
     ('abc', Budget(pauses=1, losses=1)),
 ]
-"""Scenes too large for every run; ``python explore_wide.py`` tries them."""
+"""Scenarios too large for the regular tests; run them with ``explore_wide.py``."""
 
 
-@pytest.mark.parametrize('instances, budget', SCENES)
-def test_no_order_of_events_breaks_a_promise(instances, budget):
-    exploration = explore(KeyWorld(budget, instances))
-    # Fewer would mean that the scene itself has come to nothing.
+@pytest.mark.parametrize('instances, budget', SCENARIOS)
+def test_invariants_hold_in_all_orders_of_events(instances, budget):
+    exploration = explore(KeySimulation(budget, instances))
+    # Fewer states would mean that the scenario does not exercise the key.
     assert exploration.states > 100
-    assert exploration.ends > 0
+    assert exploration.end_states > 0
--- a/tests/test_requests/test_witness_choice.py
+++ b/tests/test_requests/test_witness_choice.py
@@ -22,24 +22,24 @@
     return {parse_key(text).witness for text in texts}
 
 
-def test_member_that_did_not_answer_is_no_witness_for_a_while():
-    """Callers would be refused for seconds after an instance crashed.
+def test_unresponsive_member_is_not_chosen_as_witness_for_a_while():
+    """Callers were refused for seconds after an instance crashed.
 
-    A witness dies; until its death is known it is alive in the view, and
-    every key that names it ends in WITNESS_UNAVAILABLE.
+    A witness crashes; until the crash is detected it is alive in the view, and each
+    key that names it ends in WITNESS_UNAVAILABLE.
     """
     members = make_members(6)
     view = MemberView(own=members[0], alive=members)
     issuer = KeyIssuer(members[0], random.Random(1))
-    dead = min(list_witnesses(issuer, view, 0))
+    crashed = min(list_witnesses(issuer, view, 0))
 
-    issuer.note_unanswered(dead, 0)
+    issuer.record_unresponsive(crashed, 0)
 
-    assert dead not in list_witnesses(issuer, view, 1_000)
-    assert dead in list_witnesses(issuer, view, 60_000)
+    assert crashed not in list_witnesses(issuer, view, 1_000)
+    assert crashed in list_witnesses(issuer, view, 60_000)
 
 
-def test_suspected_member_is_the_last_choice():
+def test_suspected_member_is_chosen_last():
     members = make_members(4)
     issuer = KeyIssuer(members[0], random.Random(1))
     chosen = list_witnesses(issuer, MemberView(members[0], members), 0)
