--- a/savorychute/gateway/metric_rows.py
+++ b/savorychute/gateway/metric_rows.py
@@ -67,7 +67,10 @@
         'Records of the store that another writer left and nobody can read.',
     ),
     MetricRow(
-        'request_ms', 'histogram', ('tier',), 'From a request to the end of its answer.'
+        'request_ms',
+        'histogram',
+        ('tier',),
+        'From a request to the end of its answer.',
     ),
     MetricRow(
         'first_event_ms',
