--- a/savorychute/requests/claim_handler.py
+++ b/savorychute/requests/claim_handler.py
@@ -193,14 +193,14 @@
         self, request_id: str, key: RequestKey, wall_ms: int
     ) -> KeyRefused | None:
         if key.issued_ms > wall_ms + self._settings.clock_margin_ms:
-            message = f'the timestamp of key {key.text} is in the future'
+            message = f'the time in key {key.text} lies in the future'
             return _unknown(request_id, ResultCode.KEY_MALFORMED, message)
         if key.issued_ms < wall_ms - self._settings.claim_lifetime_ms:
-            message = f'key {key.text} is older than the retention of claims'
+            message = f'key {key.text} is older than its records'
             return _unknown(request_id, ResultCode.KEY_TOO_OLD, message)
         earliest_decidable_ms = self._index.earliest_decidable_ms
         if earliest_decidable_ms is None or key.issued_ms < earliest_decidable_ms:
-            message = f'this instance has not read claims as old as key {key.text}'
+            message = f'claims as old as key {key.text} were not read here'
             return _unknown(request_id, ResultCode.NOT_READY, message)
         return None
 
@@ -216,10 +216,10 @@
         if pending is not None:
             return self._join(request_id, pending, fingerprint)
         if self._reader.is_failing or self._writer.is_unavailable(now_ms):
-            message = 'the log is unavailable; retry with the same key'
+            message = 'the log does not answer; send again with the same key'
             return [_unknown(request_id, ResultCode.LOG_UNAVAILABLE, message)]
         if len(self._pending) >= self._settings.max_pending_claims:
-            message = 'too many claims are pending; retry with the same key'
+            message = 'too many claims wait; send again with the same key'
             return [_unknown(request_id, ResultCode.MEMORY_EXHAUSTED, message)]
         deadline_ms = now_ms + self._settings.claim_wait_ms
         self._pending[key.sequence] = PendingClaim(
@@ -232,10 +232,10 @@
         self, request_id: str, pending: PendingClaim, fingerprint: str
     ) -> list[KeyOutcome | Action]:
         if pending.fingerprint != fingerprint:
-            message = f'key {pending.key.text} was used for a different request'
+            message = f'key {pending.key.text} stands for another request'
             return [_unknown(request_id, ResultCode.KEY_REUSED, message)]
         if len(pending.request_ids) >= self._settings.max_waiting_per_key:
-            message = f'key {pending.key.text} is in progress; retry later'
+            message = f'key {pending.key.text} is in progress; ask again later'
             return [_unknown(request_id, ResultCode.OUTCOME_UNKNOWN, message)]
         request_ids = (*pending.request_ids, request_id)
         joined = pending._replace(request_ids=request_ids)
@@ -281,11 +281,11 @@
     ) -> list[KeyOutcome | Action]:
         """Decide a request by the first claim of its key."""
         if entry.fingerprint != fingerprint:
-            message = f'key {key.text} was used for a different request'
+            message = f'key {key.text} stands for another request'
             code = ResultCode.KEY_REUSED
             return [KeyRefused(request_id, code, Ran.NOT_RUN, message)]
         if entry.released:
-            message = f'key {key.text} did not run; retry with a new key'
+            message = f'key {key.text} did not run; send again with a new key'
             code = ResultCode.KEY_REVOKED
             return [KeyRefused(request_id, code, Ran.NOT_RUN, message)]
         if entry.owner == self._owner:
@@ -294,7 +294,7 @@
         is_unavailable = owner is None or owner.incarnation > entry.owner.incarnation
         is_self = entry.owner.instance == self._owner.instance
         if is_unavailable or is_self or self._redirects.is_retry(key.text, now_ms):
-            message = f'the instance that decides key {key.text} is unavailable'
+            message = f'the instance that decides key {key.text} is gone'
             return [_unknown(request_id, ResultCode.OUTCOME_UNKNOWN, message)]
         assert owner is not None
         return [KeyRedirect(request_id, owner)]
@@ -309,7 +309,7 @@
 
     def _refuse_pending(self, pending: PendingClaim) -> list[KeyOutcome | Action]:
         self._abandon(pending)
-        message = 'the log is unavailable; retry with the same key'
+        message = 'the log does not answer; send again with the same key'
         code = ResultCode.LOG_UNAVAILABLE
         return [_unknown(r, code, message) for r in pending.request_ids]
 
--- a/savorychute/requests/key_manager.py
+++ b/savorychute/requests/key_manager.py
@@ -138,7 +138,7 @@
         """
         record = self._find_runner(request_id)
         if record is None:
-            message = 'the request has no key'
+            message = 'the request holds no key'
             code = ResultCode.KEY_REQUIRED
             return [StartDenied(request_id, code, Ran.NOT_RUN, message)]
         return self._start_handler.announce(record, endpoint, stream_id, view, now_ms)
@@ -279,14 +279,14 @@
         self, request_id: str, key: RequestKey, fingerprint: str, now_ms: int
     ) -> list[KeyOutcome]:
         if not self.issuer.is_own(key):
-            message = f'request key {key.text!r} was not issued by this instance'
+            message = f'request key {key.text!r} was not issued here'
             code = ResultCode.KEY_MALFORMED
             return [KeyRefused(request_id, code, Ran.UNKNOWN, message)]
         record = self._store.find(key.sequence)
         if record is not None:
             return self._store.join(request_id, record, fingerprint)
         if now_ms - key.issued_ms > self._settings.key_lifetime_ms:
-            message = f'request key {key.text!r} has expired'
+            message = f'request key {key.text!r} is older than what is remembered'
             code = ResultCode.KEY_TOO_OLD
             return [KeyRefused(request_id, code, Ran.UNKNOWN, message)]
         return self._store.grant(request_id, key, fingerprint)
--- a/savorychute/requests/key_store.py
+++ b/savorychute/requests/key_store.py
@@ -71,7 +71,7 @@
                     request_id,
                     ResultCode.MEMORY_EXHAUSTED,
                     Ran.UNKNOWN,
-                    'too many keys are stored; retry with the same key',
+                    'no room for another key; send again with the same key',
                 )
             ]
         record = KeyRecord(key, fingerprint, request_id)
@@ -94,7 +94,7 @@
                     request_id,
                     ResultCode.KEY_REUSED,
                     Ran.NOT_RUN,
-                    f'key {record.key.text} was used for a different request',
+                    f'key {record.key.text} stands for another request',
                 )
             ]
         if record.is_final:
@@ -105,7 +105,7 @@
                     request_id,
                     ResultCode.OUTCOME_UNKNOWN,
                     Ran.UNKNOWN,
-                    f'key {record.key.text} is in progress; retry later',
+                    f'key {record.key.text} is in progress; ask again later',
                 )
             ]
         record.waiting = (*record.waiting, request_id)
@@ -182,10 +182,10 @@
                 request_id,
                 ResultCode.OUTCOME_FORGOTTEN,
                 Ran.RAN,
-                f'key {record.key.text} ran; its response is no longer stored',
+                f'key {record.key.text} ran; its answer is no longer kept',
             )
         code = record.code or ResultCode.OUTCOME_UNKNOWN
         ran = Ran.NOT_RUN if record.phase is KeyPhase.NOT_RUN else Ran.UNKNOWN
         return KeyRefused(
-            request_id, code, ran, f'key {record.key.text} is already settled'
+            request_id, code, ran, f'key {record.key.text} was settled before'
         )
--- a/savorychute/requests/question_handler.py
+++ b/savorychute/requests/question_handler.py
@@ -69,12 +69,10 @@
         witness = view.address_of(key.witness)
         if witness is None or witness.incarnation != key.witness_incarnation:
             return [
-                _redirect_or_unknown(
-                    request_id, 'the issuer and the witness are unavailable', issuer
-                )
+                _redirect_or_unknown(request_id, 'issuer and witness are gone', issuer)
             ]
         if len(self._pending) >= self._settings.max_questions:
-            return [_unknown(request_id, 'too many queries to witnesses are pending')]
+            return [_unknown(request_id, 'too many questions to witnesses')]
         return self._send_question(
             request_id, key, fingerprint, witness, issuer, now_ms
         )
@@ -200,16 +198,16 @@
     if verdict.stream_id:
         handle = ContinuationHandle(verdict.endpoint, verdict.stream_id, 0).encode()
     if verdict.verdict == WitnessVerdict.REVOKED.value:
-        message = 'the key is revoked and did not run; retry with a new key'
+        message = 'the key is revoked and did not run; send again with a new key'
         return KeyRefused(request_id, ResultCode.KEY_REVOKED, Ran.NOT_RUN, message)
     if verdict.verdict == WitnessVerdict.REUSED.value:
-        message = 'the key was used for a different request'
+        message = 'the key stands for another request'
         return KeyRefused(request_id, ResultCode.KEY_REUSED, Ran.NOT_RUN, message)
     if verdict.verdict == WitnessVerdict.RAN.value:
-        message = 'the key ran; the instance that stored its response is unavailable'
+        message = 'the key ran; the instance that kept its answer is gone'
         code = ResultCode.OUTCOME_FORGOTTEN
         return KeyRefused(request_id, code, Ran.RAN, message, handle)
-    return _unknown(request_id, 'the issuer of the key is unavailable', handle)
+    return _unknown(request_id, 'the issuer of the key is gone', handle)
 
 
 def _unknown(request_id: str, message: str, handle: str = '') -> KeyRefused:
--- a/savorychute/requests/request_key.py
+++ b/savorychute/requests/request_key.py
@@ -85,10 +85,10 @@
             tag=fields[7],
         )
     except ValueError:
-        raise _malformed(text, 'has a field that is not a number') from None
+        raise _malformed(text, 'has a field that is no number') from None
     # Keys are compared by their text, so each key must have exactly one spelling.
     if f'{format_fields(key)}{FIELD_SEPARATOR}{key.tag}' != text:
-        raise _malformed(text, 'is not in the form in which it was issued')
+        raise _malformed(text, 'is not spelled as it was issued')
     return key
 
 
@@ -98,7 +98,7 @@
     except ValueError:
         raise _malformed(text, 'is neither an issued key nor a UUID') from None
     if value.version != TIME_ORDERED_UUID_VERSION:
-        raise _malformed(text, 'is not a version 7 UUID')
+        raise _malformed(text, 'is not a UUID of version 7')
     return RequestKey(str(value), False, value.int, value.int >> TIME_SHIFT_BITS)
 
 
--- a/savorychute/requests/start_handler.py
+++ b/savorychute/requests/start_handler.py
@@ -86,7 +86,7 @@
             return self._deny(
                 record,
                 ResultCode.WITNESS_UNAVAILABLE,
-                'the witness is unavailable',
+                'the witness is gone',
                 now_ms,
             )
         record.phase = KeyPhase.ANNOUNCED
--- a/savorychute/requests/witness_table.py
+++ b/savorychute/requests/witness_table.py
@@ -56,11 +56,11 @@
             return StartAnswer(key.text, False, 'another incarnation is the witness')
         record = self._records.get(key.text)
         if record is not None and record.revoked:
-            return StartAnswer(key.text, False, 'the key was revoked after a query')
+            return StartAnswer(key.text, False, 'a caller asked and it was revoked')
         if record is not None and record.ran:
             return StartAnswer(key.text, True, '')
         if record is None and not self._ensure_capacity():
-            return StartAnswer(key.text, False, 'the witness has too many records')
+            return StartAnswer(key.text, False, 'the witness holds too many keys')
         self._records.pop(key.text, None)
         self._records[key.text] = WitnessRecord(
             False,
