--- a/savorychute/instance/__init__.py
+++ b/savorychute/instance/__init__.py
@@ -1,4 +1,4 @@
-"""A complete instance, assembled from the parts."""
+"""A complete instance, assembled from its parts."""
 
 from __future__ import annotations
 
--- a/savorychute/instance/attempt.py
+++ b/savorychute/instance/attempt.py
@@ -1,26 +1,26 @@
-"""One try of a request at one endpoint."""
+"""One attempt of a request at one endpoint."""
 
 from __future__ import annotations
 
 
 class Attempt:
-    """What an instance knows of an attempt in progress.
+    """The state of an attempt in progress.
 
-    :param attempt_id: unique over all instances.
-    :param endpoint: where it runs.
-    :param stream_id: the engine's name for its stream.
-    :param offset: the first token that is expected.
-    :param resumed: whether it takes up a stream that exists.
-    :param now_ms: when it was granted.
+    :param attempt_id: unique across all instances.
+    :param endpoint: the endpoint that runs it.
+    :param stream_id: the id of its stream at the engine.
+    :param offset: the offset of the first expected token.
+    :param resumed: whether it resumes an existing stream.
+    :param now_ms: the time at which it was granted.
     """
 
     __slots__ = (
         'attempt_id',
         'content_type',
         'endpoint',
-        'is_silent',
+        'is_unresponsive',
+        'last_progress_ms',
         'next_offset',
-        'progress_ms',
         'resumed',
         'sent',
         'started',
@@ -43,9 +43,9 @@
         self.stream_id = stream_id
         self.next_offset = offset
         self.resumed = resumed
-        self.progress_ms = now_ms
+        self.last_progress_ms = now_ms
         self.sent = False
-        self.is_silent = False
+        self.is_unresponsive = False
         self.started = False
         self.status = 0
         self.content_type = ''
--- a/savorychute/instance/core.py
+++ b/savorychute/instance/core.py
@@ -7,21 +7,21 @@
 from savorychute import inputs
 from savorychute.actions import CancelAttempt
 from savorychute.errors import RequestError
-from savorychute.instance.attempt_desk import AttemptDesk
-from savorychute.instance.departure import Departure
+from savorychute.instance.attempt_handler import AttemptHandler
 from savorychute.instance.dispatcher import Dispatcher
 from savorychute.instance.explanations import Explanations
-from savorychute.instance.housekeeping import Housekeeping
+from savorychute.instance.graceful_shutdown import GracefulShutdown
 from savorychute.instance.intake import Intake
-from savorychute.instance.key_desk import KeyDesk
-from savorychute.instance.log_desk import LogDesk
-from savorychute.instance.operator_desk import OperatorDesk
+from savorychute.instance.key_handler import KeyHandler
+from savorychute.instance.log_result_handler import LogResultHandler
+from savorychute.instance.operator_command_handler import OperatorCommandHandler
 from savorychute.instance.parts import assemble_parts
-from savorychute.instance.peer_desk import PeerDesk
-from savorychute.instance.queue_desk import QueueDesk
+from savorychute.instance.peer_message_handler import PeerMessageHandler
+from savorychute.instance.periodic_tasks import PeriodicTasks
+from savorychute.instance.queue_handler import QueueHandler
+from savorychute.instance.request_timeouts import RequestTimeouts
 from savorychute.instance.responder import Responder
 from savorychute.instance.status import describe_status
-from savorychute.instance.timers import Timers
 from savorychute.membership.discovery import answer_discovery
 from savorychute.result_code import ResultCode
 
@@ -41,14 +41,14 @@
 
 
 class Instance:
-    """All parts assembled; a host drives it and carries out its actions.
+    """All parts of an instance; a host drives it and carries out its actions.
 
-    Nothing here blocks, sleeps or reads a clock: time comes in as ``now_ms``,
-    which must never go back.
+    The instance never blocks, sleeps or reads a clock: the host passes the time
+    as ``now_ms``, which must never go back.
 
-    :param settings: the settings of every part.
-    :param address: who and where the instance is.
-    :param rng: the seeded source of every random choice.
+    :param settings: the settings of all parts.
+    :param address: the name and address of the instance.
+    :param rng: the seeded generator behind every random choice.
     """
 
     def __init__(
@@ -59,50 +59,50 @@
         self._rng = rng
         self._parts = assemble_parts(settings, address, rng)
         self.events = self._parts.events
-        self._assemble_desks()
-        self._receivers = self._list_receivers()
-        self._housekeeping_ms = 0
-        self._pumped_ms = 0
+        self._assemble_handlers()
+        self._receivers = self._map_receivers()
+        self._periodic_tasks_due_ms = 0
+        self._last_dispatch_ms = 0
 
     @property
     def next_tick_ms(self) -> int:
-        """When :meth:`tick` wants to be called next."""
-        due_ms = min(self._housekeeping_ms, self._parts.keys.next_due_ms())
+        """The time at which :meth:`tick` is due next."""
+        due_ms = min(self._periodic_tasks_due_ms, self._parts.keys.next_due_ms())
         if self._parts.admission.pools():
-            due_ms = min(due_ms, self._pumped_ms + self._settings.pump_period_ms)
+            due_ms = min(due_ms, self._last_dispatch_ms + self._settings.pump_period_ms)
         return due_ms
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be served."""
-        return self._parts.configuration.ready and not self._departure.has_begun
+        """Whether the instance can serve callers."""
+        return self._parts.configuration.ready and not self._shutdown.has_started
 
     @property
     def idle(self) -> bool:
         """Whether no request is in progress."""
-        return len(self._parts.table) == 0
+        return len(self._parts.request_table) == 0
 
     def deliver(self, message: Input, now_ms: int) -> list[Action]:
-        """Take in something that happened.
+        """Handle an input from the host.
 
         :param message: one of :mod:`savorychute.inputs`.
-        :returns: what the host is to do, in this order.
+        :returns: the actions for the host, to be carried out in this order.
         """
         return self._receivers[type(message)](message, now_ms)
 
     def tick(self, now_ms: int) -> list[Action]:
-        """Do what is due by time; call it at :attr:`next_tick_ms` or later."""
-        if now_ms >= self._housekeeping_ms:
-            self._housekeeping_ms = now_ms + self._settings.tick_period_ms
-            actions = self._housekeeping.tick(now_ms)
-            actions += self._departure.tick(now_ms)
-            actions += self._timers.check(now_ms)
+        """Do the work that is due; call it at :attr:`next_tick_ms` or later."""
+        if now_ms >= self._periodic_tasks_due_ms:
+            self._periodic_tasks_due_ms = now_ms + self._settings.tick_period_ms
+            actions = self._periodic_tasks.tick(now_ms)
+            actions += self._shutdown.tick(now_ms)
+            actions += self._request_timeouts.check(now_ms)
         else:
-            actions = self._housekeeping.tick_keys(now_ms)
-        return actions + self._pump_all(now_ms)
+            actions = self._periodic_tasks.tick_keys(now_ms)
+        return actions + self._dispatch_all(now_ms)
 
     def discover(self, token: str) -> DiscoveryAnswer:
-        """Return which instances the caller should use.
+        """Return the instances that the caller should use.
 
         :param token: the caller's bearer token.
         :raises RequestError: ``NOT_READY`` or ``UNAUTHENTICATED``.
@@ -118,7 +118,7 @@
         )
 
     def issue_key(self, token: str, now_ms: int) -> str:
-        """Return a request key whose one run this instance decides.
+        """Return a request key whose single run this instance decides.
 
         :param token: the caller's bearer token.
         :raises RequestError: ``NOT_READY`` or ``UNAUTHENTICATED``.
@@ -128,77 +128,81 @@
         return self._parts.keys.issuer.issue(view, now_ms)
 
     def status(self, now_ms: int) -> StatusDocument:
-        """Return the instance's state in figures."""
+        """Return the status figures of the instance."""
         return describe_status(self._parts, now_ms)
 
-    def _assemble_desks(self) -> None:
+    def _assemble_handlers(self) -> None:
         parts = self._parts
         explanations = Explanations(self._settings.explained_requests)
         responder = Responder(parts, explanations)
-        key_desk = KeyDesk(parts, responder)
-        responder.connect(key_desk.follow)
-        queue_desk = QueueDesk(parts, responder)
-        self._departure = Departure(parts, responder)
-        self._dispatcher = Dispatcher(parts, key_desk, queue_desk)
+        key_handler = KeyHandler(parts, responder)
+        responder.set_key_outcome_handler(key_handler.handle_outcomes)
+        queue_handler = QueueHandler(parts, responder)
+        self._shutdown = GracefulShutdown(parts, responder)
+        self._dispatcher = Dispatcher(parts, key_handler, queue_handler)
         self._intake = Intake(
             parts,
             responder,
             self._dispatcher,
-            key_desk,
-            queue_desk,
-            self._departure,
+            key_handler,
+            queue_handler,
+            self._shutdown,
         )
-        key_desk.connect(self._intake.enqueue, self._dispatcher.send)
-        self._attempt_desk = AttemptDesk(parts, responder, self._dispatcher, queue_desk)
-        self._operator_desk = OperatorDesk(parts, explanations)
-        self._peer_desk = PeerDesk(parts, key_desk)
-        self._log_desk = LogDesk(parts, key_desk)
-        self._timers = Timers(parts, responder, self._attempt_desk, queue_desk)
-        self._housekeeping = Housekeeping(parts, key_desk)
+        key_handler.set_next_steps(self._intake.enqueue, self._dispatcher.send)
+        self._attempt_handler = AttemptHandler(
+            parts, responder, self._dispatcher, queue_handler
+        )
+        self._operator_command_handler = OperatorCommandHandler(parts, explanations)
+        self._peer_message_handler = PeerMessageHandler(parts, key_handler)
+        self._log_result_handler = LogResultHandler(parts, key_handler)
+        self._request_timeouts = RequestTimeouts(
+            parts, responder, self._attempt_handler, queue_handler
+        )
+        self._periodic_tasks = PeriodicTasks(parts, key_handler)
         self._responder = responder
 
-    def _list_receivers(self) -> dict[type, Callable[..., list[Action]]]:
-        attempts = self._attempt_desk
+    def _map_receivers(self) -> dict[type, Callable[..., list[Action]]]:
+        attempts = self._attempt_handler
         return {
-            inputs.AppendFinished: self._log_desk.note_append,
-            inputs.AttemptChunk: attempts.pass_chunk,
+            inputs.AppendFinished: self._log_result_handler.handle_finished_append,
+            inputs.AttemptChunk: attempts.handle_chunk,
             inputs.AttemptEnded: attempts.end,
             inputs.AttemptFailed: attempts.fail,
-            inputs.AttemptPaused: attempts.note_paused,
-            inputs.AttemptSent: attempts.note_sent,
-            inputs.AttemptStarted: attempts.note_started,
-            inputs.CallerLeft: self._drop_caller,
+            inputs.AttemptPaused: attempts.record_paused,
+            inputs.AttemptSent: attempts.record_sent,
+            inputs.AttemptStarted: attempts.record_started,
+            inputs.CallerLeft: self._handle_caller_left,
             inputs.CallerRequest: self._intake.receive,
-            inputs.ListingFetched: self._housekeeping.note_listing,
-            inputs.LoadReported: self._housekeeping.note_load,
-            inputs.OperatorCommand: self._operator_desk.receive,
-            inputs.OrderFinished: self._housekeeping.note_order,
+            inputs.ListingFetched: self._periodic_tasks.handle_listing,
+            inputs.LoadReported: self._periodic_tasks.handle_load_report,
+            inputs.OperatorCommand: self._operator_command_handler.receive,
+            inputs.OrderFinished: self._periodic_tasks.handle_finished_order,
             inputs.PeerReceived: self._receive_peer,
             inputs.RecordsRead: self._receive_records,
-            inputs.ShutdownRequested: self._shut_down,
+            inputs.ShutdownRequested: self._start_shutdown,
         }
 
     def _receive_peer(self, received: inputs.PeerReceived, now_ms: int) -> list[Action]:
-        actions = self._peer_desk.receive(received, now_ms)
-        self._housekeeping.follow_configuration(now_ms)
+        actions = self._peer_message_handler.receive(received, now_ms)
+        self._periodic_tasks.apply_configuration(now_ms)
         if self._parts.admission.pools():
-            actions += self._pump_all(now_ms)
+            actions += self._dispatch_all(now_ms)
         return actions
 
     def _receive_records(self, read: inputs.RecordsRead, now_ms: int) -> list[Action]:
-        actions = self._log_desk.note_records(read, now_ms)
-        self._housekeeping.follow_configuration(now_ms)
+        actions = self._log_result_handler.handle_records(read, now_ms)
+        self._periodic_tasks.apply_configuration(now_ms)
         return actions
 
-    def _drop_caller(self, left: inputs.CallerLeft, now_ms: int) -> list[Action]:
-        """Stop the work for a caller that is gone; it would be wasted."""
-        tracked = self._parts.table.find(left.request_id)
+    def _handle_caller_left(self, left: inputs.CallerLeft, now_ms: int) -> list[Action]:
+        """Cancel the work for a caller that has left."""
+        tracked = self._parts.request_table.find(left.request_id)
         if tracked is None:
             return []
         attempt = tracked.attempt
         if tracked.holds_key and attempt is not None and attempt.sent:
-            # The one run that the key permits goes on: the caller may ask for
-            # its outcome again under the same key, and gets it then.
+            # The single run that the key permits continues: the caller may
+            # send the same key again and then gets the outcome of this run.
             tracked.caller_left = True
             return []
         actions: list[Action] = []
@@ -206,19 +210,19 @@
             tracked.wasted_tokens += attempt.tokens
             actions.append(CancelAttempt(attempt.attempt_id))
         actions += self._responder.drop(tracked, 'caller left', now_ms)
-        return actions + self._dispatcher.pump(tracked.pool, now_ms)
+        return actions + self._dispatcher.dispatch_pool(tracked.pool, now_ms)
 
-    def _shut_down(
+    def _start_shutdown(
         self, _request: inputs.ShutdownRequested, now_ms: int
     ) -> list[Action]:
-        """Leave: nothing new is taken, everything in progress is finished."""
-        return self._departure.begin(now_ms)
+        """Start to shut down: refuse new requests, finish those in progress."""
+        return self._shutdown.start(now_ms)
 
-    def _pump_all(self, now_ms: int) -> list[Action]:
-        self._pumped_ms = now_ms
+    def _dispatch_all(self, now_ms: int) -> list[Action]:
+        self._last_dispatch_ms = now_ms
         actions: list[Action] = []
         for pool in self._parts.admission.pools():
-            actions += self._dispatcher.pump(pool, now_ms)
+            actions += self._dispatcher.dispatch_pool(pool, now_ms)
         return actions
 
     def _authenticate(self, token: str) -> OrganisationLimits:
--- a/savorychute/instance/directory.py
+++ b/savorychute/instance/directory.py
@@ -1,4 +1,4 @@
-"""What follows from the configuration in force, ready for look-ups."""
+"""Look-up tables derived from the configuration in force."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 
 CONTRACT_PREFIX = 'contract:'
 ENDPOINT_PREFIX = 'endpoint:'
-ACTIVE = 'active'
-DIGEST_LENGTH = 12
+ACTIVE_STATE = 'active'
+ORGANISATION_DIGEST_CHARS = 12
 
 
 def hash_token(token: str) -> str:
-    """Return the hex SHA-256 digest under which a token is kept."""
+    """Return the hex SHA-256 digest that is stored instead of a token."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def digest_organisation(organisation: str) -> str:
-    """Return the prefix that the organisation's stream ids carry."""
+    """Return the prefix of the organisation's stream ids."""
     digest = hashlib.sha256(organisation.encode()).hexdigest()
-    return digest[:DIGEST_LENGTH]
+    return digest[:ORGANISATION_DIGEST_CHARS]
 
 
 class Directory:
     """Organisations by token, their limits, and usable endpoints.
 
-    It follows the configuration change by change; at 1,400 contracts deriving
-    everything anew for each of 1,500 changes a day would be wasted work.
+    It applies configuration changes one by one: with 1,400 contracts and 1,500
+    changes a day, rebuilding the tables for each change would waste work.
     """
 
     def __init__(self) -> None:
@@ -46,27 +46,27 @@
         self.endpoints: dict[str, EndpointDocument] = {}
         self._entries: dict[str, OrganisationEntry] = {}
         self._organisations: dict[str, str] = {}
-        self._listed: frozenset[str] = frozenset()
+        self._leaving_names: frozenset[str] = frozenset()
 
     def apply(self, changes: Iterable[AppliedChange]) -> None:
-        """Follow the configuration.
+        """Apply changes of the configuration.
 
         :param changes: in the order in which they came into force.
         """
         for change in changes:
             if change.item.startswith(CONTRACT_PREFIX):
                 organisation = change.item.removeprefix(CONTRACT_PREFIX)
-                self._drop_organisation(organisation)
+                self._remove_organisation(organisation)
                 if change.document is not None:
                     self._add_organisation(organisation, change.document)  # type: ignore[arg-type]
             elif change.item.startswith(ENDPOINT_PREFIX):
                 self._set_endpoint(change)
 
     def find_organisation(self, token: str) -> OrganisationLimits | None:
-        """Return the limits of the organisation whose token this is.
+        """Return the limits of the organisation that owns the token.
 
-        The look-up is by the token's hash, and the hash is compared in
-        constant time, so the time taken tells nothing about valid tokens.
+        The look-up uses the hash of the token, and hashes are compared in
+        constant time, so the time taken reveals nothing about valid tokens.
         """
         token_hash = hash_token(token)
         organisation = self._organisations.get(token_hash)
@@ -78,7 +78,7 @@
             return None
         return entry.limits
 
-    def may_use(self, organisation: str, model: str, service: str) -> bool:
+    def can_use(self, organisation: str, model: str, service: str) -> bool:
         """Return whether the contract names the model or service."""
         entry = self._entries[organisation]
         if model:
@@ -86,19 +86,19 @@
         return service in entry.services
 
     def is_usable(self, endpoint: str) -> bool:
-        """Return whether the endpoint may get new work.
+        """Return whether the endpoint can get new work.
 
-        It may not if an operator drains it or the platform's list says that
-        it leaves; what it says itself is known to the ejector.
+        It cannot if an operator drains it or the platform's list reports it as
+        leaving.  The ejector handles what the endpoint reports itself.
         """
         document = self.endpoints.get(endpoint)
-        if document is None or document['state'] != ACTIVE:
+        if document is None or document['state'] != ACTIVE_STATE:
             return False
-        return endpoint not in self._listed
+        return endpoint not in self._leaving_names
 
-    def note_listing(self, leaving: frozenset[str]) -> None:
-        """Remember who leaves according to the platform's list."""
-        self._listed = leaving
+    def set_leaving(self, leaving: frozenset[str]) -> None:
+        """Set the names that the platform's list reports as leaving."""
+        self._leaving_names = leaving
 
     def _add_organisation(self, organisation: str, document: ContractDocument) -> None:
         limits = derive_limits(document)
@@ -113,7 +113,7 @@
         for token_hash in hashes:
             self._organisations[token_hash] = organisation
 
-    def _drop_organisation(self, organisation: str) -> None:
+    def _remove_organisation(self, organisation: str) -> None:
         self.limits.pop(organisation, None)
         entry = self._entries.pop(organisation, None)
         if entry is None:
--- a/savorychute/instance/dispatcher.py
+++ b/savorychute/instance/dispatcher.py
@@ -18,63 +18,67 @@
 if TYPE_CHECKING:
     from savorychute.actions import Action
     from savorychute.admission import QueuedRequest
-    from savorychute.instance.key_desk import KeyDesk
-    from savorychute.instance.parts import Parts
-    from savorychute.instance.queue_desk import QueueDesk
+    from savorychute.instance.key_handler import KeyHandler
+    from savorychute.instance.parts import InstanceParts
+    from savorychute.instance.queue_handler import QueueHandler
     from savorychute.instance.tracked_request import TrackedRequest
 
-#: A bound on the starts of one pump, so that one call never takes long.
-MAX_STARTS_PER_PUMP = 64
-MAX_PREEMPTIONS_PER_PUMP = 8
-NO_RESUME = -1
+#: Limits the starts of one dispatch, so that one call never takes long.
+MAX_STARTS_PER_DISPATCH = 64
+MAX_PREEMPTIONS_PER_DISPATCH = 8
+NO_RESUME_OFFSET = -1
 SERVICE_POOL_PREFIX = 'service:'
 
 
 class Dispatcher:
-    """Match what waits with what is free, by tier, fairness and deadline.
+    """Matches queued requests with free endpoints by tier, fairness and deadline.
 
     :param parts: the parts of the instance.
+    :param key_handler: asks for the start of requests that have a key.
+    :param queue_handler: requeues requests that are preempted.
     """
 
-    def __init__(self, parts: Parts, key_desk: KeyDesk, queue_desk: QueueDesk) -> None:
+    def __init__(
+        self, parts: InstanceParts, key_handler: KeyHandler, queue_handler: QueueHandler
+    ) -> None:
         self._parts = parts
-        self._key_desk = key_desk
-        self._queue_desk = queue_desk
+        self._key_handler = key_handler
+        self._queue_handler = queue_handler
 
-    def pump(self, pool: str, now_ms: int) -> list[Action]:
-        """Start as much of a pool's queue as limits and credits permit.
+    def dispatch_pool(self, pool: str, now_ms: int) -> list[Action]:
+        """Start as many queued requests of a pool as limits and credits permit.
 
-        :param pool: a model's name, or ``service:`` and a service's name.
+        :param pool: the name of a model, or ``service:`` and the name of a service.
         """
-        actions = self._start_waiting(pool, now_ms)
-        for _ in range(MAX_PREEMPTIONS_PER_PUMP):
-            freed = self._preempt(pool, now_ms)
-            if not freed:
+        actions = self._start_queued(pool, now_ms)
+        for _ in range(MAX_PREEMPTIONS_PER_DISPATCH):
+            preemption_actions = self._preempt(pool, now_ms)
+            if not preemption_actions:
                 break
-            actions += freed
-            actions += self._start_waiting(pool, now_ms)
+            actions += preemption_actions
+            actions += self._start_queued(pool, now_ms)
         return actions
 
-    def _start_waiting(self, pool: str, now_ms: int) -> list[Action]:
+    def _start_queued(self, pool: str, now_ms: int) -> list[Action]:
         actions: list[Action] = []
-        usable = self._list_usable(pool, now_ms)
+        usable_endpoints = self._list_usable_endpoints(pool, now_ms)
 
-        def may_start(queued: QueuedRequest) -> bool:
-            return self._may_start(queued, usable, now_ms)
+        def can_start(queued: QueuedRequest) -> bool:
+            return self._can_start(queued, usable_endpoints, now_ms)
 
-        for _ in range(MAX_STARTS_PER_PUMP):
-            queued = self._parts.admission.next_start(pool, now_ms, may_start)
+        for _ in range(MAX_STARTS_PER_DISPATCH):
+            queued = self._parts.admission.next_start(pool, now_ms, can_start)
             if queued is None:
                 break
-            tracked = self._parts.table.find(queued.request_id)
+            tracked = self._parts.request_table.find(queued.request_id)
             if tracked is not None:
-                actions += self._grant(tracked, queued, usable, now_ms)
+                actions += self._grant(tracked, queued, usable_endpoints, now_ms)
         return actions
 
     def send(self, tracked: TrackedRequest, now_ms: int) -> list[Action]:
-        """Start the attempt of a request that holds all it needs.
+        """Start the attempt of a request that is ready to be sent.
 
-        :param tracked: granted, and permitted by its key if it has one.
+        :param tracked: a granted request; its key, if any, permits the start.
         """
         attempt = tracked.attempt
         if attempt is None or attempt.sent:
@@ -83,8 +87,10 @@
         if document is None:
             return []
         request = tracked.request
-        attempt.progress_ms = now_ms
-        resume_offset = tracked.delivered_tokens if attempt.resumed else NO_RESUME
+        attempt.last_progress_ms = now_ms
+        resume_offset = (
+            tracked.delivered_tokens if attempt.resumed else NO_RESUME_OFFSET
+        )
         return [
             StartAttempt(
                 attempt_id=attempt.attempt_id,
@@ -105,7 +111,7 @@
             )
         ]
 
-    def _list_usable(self, pool: str, now_ms: int) -> list[str]:
+    def _list_usable_endpoints(self, pool: str, now_ms: int) -> list[str]:
         parts = self._parts
         is_service = pool.startswith(SERVICE_POOL_PREFIX)
         return [
@@ -113,56 +119,64 @@
             for endpoint in parts.credits.candidates(pool)
             if parts.directory.is_usable(endpoint)
             and parts.ejector.admits(endpoint, now_ms)
-            and (is_service or parts.book.is_loaded(endpoint, pool))
+            and (is_service or parts.endpoint_table.is_loaded(endpoint, pool))
         ]
 
-    def _may_start(self, queued: QueuedRequest, usable: list[str], now_ms: int) -> bool:
+    def _can_start(
+        self, queued: QueuedRequest, usable_endpoints: list[str], now_ms: int
+    ) -> bool:
         parts = self._parts
-        tracked = parts.table.find(queued.request_id)
+        tracked = parts.request_table.find(queued.request_id)
         if tracked is None:
             return True
-        if now_ms < tracked.held_until_ms:
+        if now_ms < tracked.start_after_ms:
             return False
         if not self._is_permitted(queued, now_ms):
             return False
         tier = queued.tier
-        eligible = self._list_eligible(tracked, usable, now_ms)
-        free = [name for name in eligible if parts.credits.available(name, tier) > 0]
+        eligible = self._list_eligible(tracked, usable_endpoints, now_ms)
+        free_endpoints = [
+            name for name in eligible if parts.credits.available(name, tier) > 0
+        ]
         verdict = parts.quarantine.verdict(tracked.fingerprint, now_ms)
         if verdict is PoisonVerdict.CLEAR:
-            return bool(free)
+            return bool(free_endpoints)
         if verdict is not PoisonVerdict.SUSPECT:
             return False
         preferred = parts.quarantine.preferred_endpoint(
-            tracked.fingerprint, free, now_ms
+            tracked.fingerprint, free_endpoints, now_ms
         )
         return preferred is not None
 
     def _list_eligible(
-        self, tracked: TrackedRequest, usable: list[str], now_ms: int
+        self, tracked: TrackedRequest, usable_endpoints: list[str], now_ms: int
     ) -> list[str]:
-        """Return where a request may go, given where it failed before.
+        """Return the endpoints for a request, without those where it failed.
 
-        If this instance holds credit only at the endpoint that just refused
-        or failed the request, going back there at once uses up all its tries
-        within milliseconds.  So it waits a while for credit elsewhere.
+        If this instance holds credit only at the endpoint that just refused or
+        failed the request, retrying there at once would use up all attempts
+        within milliseconds.  So the request waits for a while for credit at
+        another endpoint.
         """
-        if not tracked.failed_endpoints or tracked.resume_at is not None:
-            return usable
-        fresh = [name for name in usable if name not in tracked.failed_endpoints]
-        waited_ms = now_ms - tracked.failed_ms
-        if fresh and waited_ms < self._parts.settings.avoid_failed_ms:
-            return fresh
-        return usable
-
-    def _could_start(self, queued: QueuedRequest, now_ms: int) -> bool:
-        """Return whether a request would start if an endpoint had room for it.
-
-        Nothing is paused for a suspect of crashes, which waits for its turn:
-        the place would go straight back to what was paused.
+        if not tracked.failed_endpoints or tracked.resume_handle is not None:
+            return usable_endpoints
+        not_failed = [
+            name for name in usable_endpoints if name not in tracked.failed_endpoints
+        ]
+        elapsed_ms = now_ms - tracked.last_failure_ms
+        if not_failed and elapsed_ms < self._parts.settings.avoid_failed_ms:
+            return not_failed
+        return usable_endpoints
+
+    def _can_start_after_preemption(self, queued: QueuedRequest, now_ms: int) -> bool:
+        """Return whether a request would start if an endpoint had a free slot.
+
+        No stream is paused for a request that is suspected of crashes, because
+        it waits for its own turn and the freed slot would go straight back to
+        the paused stream.
         """
-        tracked = self._parts.table.find(queued.request_id)
-        if tracked is None or now_ms < tracked.held_until_ms:
+        tracked = self._parts.request_table.find(queued.request_id)
+        if tracked is None or now_ms < tracked.start_after_ms:
             return False
         verdict = self._parts.quarantine.verdict(tracked.fingerprint, now_ms)
         if verdict is not PoisonVerdict.CLEAR:
@@ -178,17 +192,17 @@
         self,
         tracked: TrackedRequest,
         queued: QueuedRequest,
-        usable: list[str],
+        usable_endpoints: list[str],
         now_ms: int,
     ) -> list[Action]:
-        """Reserve an endpoint and the organisation's limit for a request."""
+        """Reserve an endpoint and a part of the organisation's limit."""
         parts = self._parts
-        free = [
+        free_endpoints = [
             endpoint
-            for endpoint in self._list_eligible(tracked, usable, now_ms)
+            for endpoint in self._list_eligible(tracked, usable_endpoints, now_ms)
             if parts.credits.available(endpoint, queued.tier) > 0
         ]
-        endpoint = self._choose(tracked, queued, free, now_ms)
+        endpoint = self._choose(tracked, queued, free_endpoints, now_ms)
         tracked.attempt_count += 1
         attempt_id = f'{tracked.request_id}-{tracked.attempt_count}'
         if endpoint is None or not parts.credits.take(
@@ -199,11 +213,11 @@
             return []
         attempt = self._make_attempt(tracked, attempt_id, endpoint, now_ms)
         tracked.attempt = attempt
-        parts.table.attach(tracked)
+        parts.request_table.attach_attempt(tracked)
         parts.limiter.start(
             queued.organisation, tracked.request_id, queued.expected_tokens, now_ms
         )
-        parts.book.record_start(
+        parts.endpoint_table.record_start(
             attempt_id,
             endpoint,
             tracked.request.prompt_tokens,
@@ -212,30 +226,32 @@
             now_ms,
         )
         parts.quarantine.record_start(tracked.fingerprint, attempt_id, endpoint, now_ms)
-        tracked.life.move(RequestState.GRANTED, now_ms, f'granted {endpoint}')
+        tracked.lifecycle.move(RequestState.GRANTED, now_ms, f'granted {endpoint}')
         if tracked.limits.idempotent:
             return self.send(tracked, now_ms)
-        return self._key_desk.announce(tracked, now_ms)
+        return self._key_handler.notify_witness(tracked, now_ms)
 
     def _choose(
         self,
         tracked: TrackedRequest,
         queued: QueuedRequest,
-        free: list[str],
+        free_endpoints: list[str],
         now_ms: int,
     ) -> str | None:
         """Return the endpoint for a request's next attempt.
 
-        A stream that was paused goes back to where its cache is.  A request
-        under suspicion of crashing endpoints is kept to an endpoint that is
-        under suspicion too, so that it takes down no third one.
+        A paused stream is resumed at the endpoint that has its cache.  A
+        request that is suspected of crashing endpoints only goes to the
+        endpoint that the quarantine prefers, so that it can't crash a third one.
         """
-        resume_at = tracked.resume_at
-        if resume_at is not None and resume_at.endpoint in free:
-            return resume_at.endpoint
+        resume_handle = tracked.resume_handle
+        if resume_handle is not None and resume_handle.endpoint in free_endpoints:
+            return resume_handle.endpoint
         quarantine = self._parts.quarantine
         if quarantine.verdict(tracked.fingerprint, now_ms) is not PoisonVerdict.CLEAR:
-            return quarantine.preferred_endpoint(tracked.fingerprint, free, now_ms)
+            return quarantine.preferred_endpoint(
+                tracked.fingerprint, free_endpoints, now_ms
+            )
         choice = self._parts.router.choose(
             RoutingRequest(
                 request_id=tracked.request_id,
@@ -245,7 +261,7 @@
                 prefix_hashes=tracked.request.prefix_hashes,
                 tier=queued.tier,
             ),
-            free,
+            free_endpoints,
             now_ms,
         )
         return None if choice is None else choice.endpoint
@@ -253,22 +269,22 @@
     def _make_attempt(
         self, tracked: TrackedRequest, attempt_id: str, endpoint: str, now_ms: int
     ) -> Attempt:
-        resume_at = tracked.resume_at
-        tracked.resume_at = None
-        resumed = resume_at is not None and resume_at.endpoint == endpoint
-        if resume_at is not None and resumed:
-            stream_id = resume_at.stream_id
+        resume_handle = tracked.resume_handle
+        tracked.resume_handle = None
+        resumed = resume_handle is not None and resume_handle.endpoint == endpoint
+        if resume_handle is not None and resumed:
+            stream_id = resume_handle.stream_id
         else:
-            owner = digest_organisation(tracked.limits.organisation)
-            stream_id = f'{owner}.{attempt_id}'
+            organisation_digest = digest_organisation(tracked.limits.organisation)
+            stream_id = f'{organisation_digest}.{attempt_id}'
         return Attempt(
             attempt_id, endpoint, stream_id, tracked.delivered_tokens, resumed, now_ms
         )
 
     def _make_body(self, tracked: TrackedRequest, attempt: Attempt) -> bytes:
-        """Return the body, with the text to continue from if there is some."""
+        """Return the body, with the text to continue from if there is any."""
         body = tracked.request.body
-        if attempt.resumed or not tracked.delivered_text or not tracked.knows_text:
+        if attempt.resumed or not tracked.delivered_text or not tracked.has_whole_text:
             return body
         document = msgspec.json.decode(body)
         document['continue_from'] = {
@@ -278,7 +294,7 @@
         return msgspec.json.encode(document)
 
     def _preempt(self, pool: str, now_ms: int) -> list[Action]:
-        """Pause one lower stream if higher work waits for its place."""
+        """Pause one stream of a lower tier if a request of a higher tier waits."""
         parts = self._parts
         if not parts.admission.waiting(pool):
             return []
@@ -287,18 +303,18 @@
                 request_id=tracked.request_id,
                 tier=tracked.limits.tier,
                 resumable=tracked.is_pausable,
-                started_ms=tracked.life.received_ms,
+                started_ms=tracked.lifecycle.received_ms,
             )
-            for tracked in parts.table.running(pool)
+            for tracked in parts.request_table.running(pool)
         ]
 
-        def may_start(queued: QueuedRequest) -> bool:
-            return self._could_start(queued, now_ms)
+        def can_start(queued: QueuedRequest) -> bool:
+            return self._can_start_after_preemption(queued, now_ms)
 
-        request_id = parts.admission.preemption(pool, running, now_ms, may_start)
+        request_id = parts.admission.preemption(pool, running, now_ms, can_start)
         if request_id is None:
             return []
-        tracked = parts.table.find(request_id)
+        tracked = parts.request_table.find(request_id)
         if tracked is None or tracked.attempt is None:
             return []
         return self._pause(tracked, tracked.attempt, now_ms)
@@ -307,12 +323,12 @@
         self, tracked: TrackedRequest, attempt: Attempt, now_ms: int
     ) -> list[Action]:
         parts = self._parts
-        tracked.resume_at = ContinuationHandle(
+        tracked.resume_handle = ContinuationHandle(
             attempt.endpoint, attempt.stream_id, tracked.delivered_tokens
         )
         parts.credits.give_back(attempt.attempt_id, now_ms)
-        parts.book.record_finish(attempt.attempt_id, True, now_ms)
+        parts.endpoint_table.record_finish(attempt.attempt_id, True, now_ms)
         parts.limiter.finish(tracked.request_id, 0, now_ms)
-        parts.table.detach(tracked)
+        parts.request_table.detach_attempt(tracked)
         cancel = CancelAttempt(attempt.attempt_id, keep_stream=True)
-        return [cancel, *self._queue_desk.put_back(tracked, now_ms)]
+        return [cancel, *self._queue_handler.requeue(tracked, now_ms)]
--- a/savorychute/instance/explanations.py
+++ b/savorychute/instance/explanations.py
@@ -1,4 +1,4 @@
-"""Why requests went where they went, for a while after their end."""
+"""The histories of recently ended requests, for the command ``explain``."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 
 
 class Explanation(NamedTuple):
-    """One ended request: its outcome and the moves that led there."""
+    """The outcome of an ended request and its state transitions."""
 
     outcome: RequestOutcome
     history: tuple[RequestEvent, ...]
 
 
 class Explanations:
-    """The last requests that ended here.
+    """The requests that ended last at this instance.
 
-    :param capacity_requests: how many are kept; older ones are forgotten.
+    :param capacity_requests: how many are kept; older ones are discarded.
     """
 
     def __init__(self, capacity_requests: int) -> None:
         self._capacity_requests = capacity_requests
-        self._kept: OrderedDict[str, Explanation] = OrderedDict()
+        self._explanations: OrderedDict[str, Explanation] = OrderedDict()
 
-    def keep(self, tracked: TrackedRequest, outcome: RequestOutcome) -> None:
-        """Keep what is known of a request that has just ended."""
-        history = tuple(tracked.life.history)
-        self._kept[tracked.request_id] = Explanation(outcome, history)
-        if len(self._kept) > self._capacity_requests:
-            self._kept.popitem(last=False)
+    def store(self, tracked: TrackedRequest, outcome: RequestOutcome) -> None:
+        """Store the outcome and the history of a request that has just ended."""
+        history = tuple(tracked.lifecycle.history)
+        self._explanations[tracked.request_id] = Explanation(outcome, history)
+        if len(self._explanations) > self._capacity_requests:
+            self._explanations.popitem(last=False)
 
     def find(self, request_id: str) -> Explanation | None:
-        """Return what is known of an ended request, if it is still kept."""
-        return self._kept.get(request_id)
+        """Return the explanation of an ended request, if it is still stored."""
+        return self._explanations.get(request_id)
--- a/savorychute/instance/instance_settings.py
+++ b/savorychute/instance/instance_settings.py
@@ -1,4 +1,4 @@
-"""The settings of every part of an instance."""
+"""The settings of all parts of an instance."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
 
 
 class InstanceSettings(NamedTuple):
-    """What an instance is made from.
+    """The settings of an instance.
 
-    ``operator_token_hashes`` maps an operator's name to the hex SHA-256 digest
-    of its token.  An attempt without any sign of life is given up after a
+    ``operator_token_hashes`` maps the name of an operator to the hex SHA-256
+    digest of its token.  An attempt without progress is abandoned after a
     multiple of its class's targets, at most ``first_progress_timeout_ms``, or
-    ``gap_timeout_ms`` once its answer has begun.  While work waits, a start or a
-    preemption is tried every ``pump_period_ms``.  A leaving instance starts
-    what waits for ``handover_ms`` and then sends it elsewhere.  ``epoch_offset_ms`` added to ``now_ms`` gives Unix time; it is
-    shown to people and bounds the age of keys that callers bring.
+    ``gap_timeout_ms`` once its response has started.  While requests are
+    queued, a start or a preemption is attempted every ``pump_period_ms``.  An
+    instance that shuts down starts queued requests for ``handover_ms`` and then
+    sends them elsewhere.  ``epoch_offset_ms`` added to ``now_ms`` gives Unix
+    time; it is shown to people and limits the age of keys that callers send.
     """
 
     operator_token_hashes: dict[str, str] = {}
--- a/savorychute/instance/key_desk.py
+++ b/savorychute/instance/key_handler.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests: what their keys permit."""
+"""Non-idempotent requests and what their keys permit."""
 
 from __future__ import annotations
 
@@ -21,38 +21,39 @@
     from collections.abc import Callable, Sequence
 
     from savorychute.actions import Action
-    from savorychute.instance.parts import Parts
+    from savorychute.instance.parts import InstanceParts
     from savorychute.instance.responder import Responder
     from savorychute.instance.tracked_request import TrackedRequest
 
 
-class KeyDesk:
-    """Turn what the key keeper decides into the request's next step.
+class KeyHandler:
+    """Turns the decisions of the key manager into a request's next step.
 
     :param parts: the parts of the instance.
+    :param responder: ends requests whose key does not permit a run.
     """
 
-    def __init__(self, parts: Parts, responder: Responder) -> None:
+    def __init__(self, parts: InstanceParts, responder: Responder) -> None:
         self._parts = parts
         self._responder = responder
         self._enqueue: Callable[[TrackedRequest, int], list[Action]] | None = None
         self._send: Callable[[TrackedRequest, int], list[Action]] | None = None
 
-    def connect(
+    def set_next_steps(
         self,
         enqueue: Callable[[TrackedRequest, int], list[Action]],
         send: Callable[[TrackedRequest, int], list[Action]],
     ) -> None:
-        """Say what follows a permission.
+        """Set the functions that are called after a permission.
 
-        :param enqueue: puts a request whose key may run into the queue.
+        :param enqueue: puts a request whose key permits a run into the queue.
         :param send: starts the attempt of a request whose start is permitted.
         """
         self._enqueue = enqueue
         self._send = send
 
     def admit(self, tracked: TrackedRequest, now_ms: int) -> list[Action]:
-        """Ask whether the request's key permits a run."""
+        """Ask the key manager whether the request's key permits a run."""
         view = self._parts.membership.view()
         try:
             outcomes = self._parts.keys.admit(
@@ -64,10 +65,10 @@
             )
         except RequestError as error:
             return self._responder.give_up(tracked, error.code, error.message, now_ms)
-        return self.follow(outcomes, now_ms)
+        return self.handle_outcomes(outcomes, now_ms)
 
-    def announce(self, tracked: TrackedRequest, now_ms: int) -> list[Action]:
-        """Tell the key's witness that the request is about to start."""
+    def notify_witness(self, tracked: TrackedRequest, now_ms: int) -> list[Action]:
+        """Notify the key's witness that the request is about to start."""
         attempt = tracked.attempt
         if attempt is None:
             return []
@@ -78,23 +79,23 @@
             self._parts.membership.view(),
             now_ms,
         )
-        return self.follow(outcomes, now_ms)
+        return self.handle_outcomes(outcomes, now_ms)
 
-    def follow(self, outcomes: Sequence[object], now_ms: int) -> list[Action]:
-        """Carry out what the key keeper returned.
+    def handle_outcomes(self, outcomes: Sequence[object], now_ms: int) -> list[Action]:
+        """Carry out the outcomes that the key manager returned.
 
-        :param outcomes: its outcomes, mixed with actions for the host.
+        :param outcomes: outcomes of the key manager, mixed with actions for the host.
         """
         actions: list[Action] = []
         for outcome in outcomes:
-            actions += self._follow_one(outcome, now_ms)
+            actions += self._handle_outcome(outcome, now_ms)
         return actions
 
-    def _follow_one(self, outcome: object, now_ms: int) -> list[Action]:
+    def _handle_outcome(self, outcome: object, now_ms: int) -> list[Action]:
         if isinstance(outcome, KeyMayRun):
-            return self._permit(outcome, now_ms)
+            return self._handle_may_run(outcome, now_ms)
         if isinstance(outcome, StartPermitted):
-            return self._run(outcome.request_id, now_ms, self._send)
+            return self._run_next_step(outcome.request_id, now_ms, self._send)
         if isinstance(outcome, KeyElsewhere):
             return self._redirect(outcome, now_ms)
         if isinstance(outcome, KeyReplay):
@@ -103,30 +104,32 @@
             return self._refuse(outcome, now_ms)
         return [outcome]  # type: ignore[list-item]
 
-    def _permit(self, outcome: KeyMayRun, now_ms: int) -> list[Action]:
-        tracked = self._parts.table.find(outcome.request_id)
+    def _handle_may_run(self, outcome: KeyMayRun, now_ms: int) -> list[Action]:
+        tracked = self._parts.request_table.find(outcome.request_id)
         if tracked is None:
-            # The caller left while the witness or the log was asked.
+            # The caller left while the witness or the log was queried.
             code = ResultCode.CALLER_LEFT
-            settled = self._parts.keys.not_run(outcome.request_id, now_ms, code)
-            return self.follow(settled, now_ms)
+            settlement_outcomes = self._parts.keys.not_run(
+                outcome.request_id, now_ms, code
+            )
+            return self.handle_outcomes(settlement_outcomes, now_ms)
         tracked.holds_key = True
-        tracked.life.decide_key()
-        return self._run(outcome.request_id, now_ms, self._enqueue)
+        tracked.lifecycle.decide_key()
+        return self._run_next_step(outcome.request_id, now_ms, self._enqueue)
 
-    def _run(
+    def _run_next_step(
         self,
         request_id: str,
         now_ms: int,
         step: Callable[[TrackedRequest, int], list[Action]] | None,
     ) -> list[Action]:
-        tracked = self._parts.table.find(request_id)
+        tracked = self._parts.request_table.find(request_id)
         if tracked is None or step is None:
             return []
         return step(tracked, now_ms)
 
     def _redirect(self, outcome: KeyElsewhere, now_ms: int) -> list[Action]:
-        tracked = self._parts.table.find(outcome.request_id)
+        tracked = self._parts.request_table.find(outcome.request_id)
         if tracked is None:
             return []
         address = outcome.address
@@ -140,21 +143,21 @@
         )
 
     def _refuse(self, outcome: KeyRefused | StartDenied, now_ms: int) -> list[Action]:
-        tracked = self._parts.table.find(outcome.request_id)
+        tracked = self._parts.request_table.find(outcome.request_id)
         if tracked is None:
             return []
         if outcome.ran is Ran.NOT_RUN:
-            tracked.life.decide_key()
+            tracked.lifecycle.decide_key()
         return self._responder.give_up(
             tracked, outcome.code, outcome.message, now_ms, ran=outcome.ran
         )
 
     def _replay(self, outcome: KeyReplay, now_ms: int) -> list[Action]:
-        """Give a further caller of the same key the answer of its one run."""
-        tracked = self._parts.table.find(outcome.request_id)
+        """Send the response of a key's single run to a further caller."""
+        tracked = self._parts.request_table.find(outcome.request_id)
         if tracked is None:
             return []
-        # A stream that is kept goes out again as one event.
+        # A stored stream is sent again as one event.
         token_count = 1 if tracked.request.stream else 0
         head = StartResponse(
             request_id=tracked.request_id,
--- a/savorychute/instance/lease_name.py
+++ b/savorychute/instance/lease_name.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-PLACEMENT = 'placement'
+PLACEMENT_PREFIX = 'placement'
 
 
 def name_lease(region: str) -> str:
-    """Return the name of the lease under which a region's engines are ordered."""
-    return f'{PLACEMENT}:{region}'
+    """Return the name of the lease that permits orders to a region's engines."""
+    return f'{PLACEMENT_PREFIX}:{region}'
--- a/savorychute/instance/operator_call.py
+++ b/savorychute/instance/operator_call.py
@@ -1,4 +1,4 @@
-"""One operator's command on its way through an instance."""
+"""One operator command while an instance handles it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 if TYPE_CHECKING:
     from savorychute.instance.explanations import Explanations
-    from savorychute.instance.parts import Parts
+    from savorychute.instance.parts import InstanceParts
 
 
 class OperatorCall(NamedTuple):
     """An authenticated command with decoded arguments."""
 
-    parts: Parts
+    parts: InstanceParts
     explanations: Explanations
     command_id: str
     operator: str
@@ -28,16 +28,16 @@
     def reply(
         self, document: object, code: ResultCode = ResultCode.OK
     ) -> OperatorReply:
-        """Return the answer to the command.
+        """Return the reply to the command.
 
-        :param document: anything that JSON can carry.
+        :param document: any object that can be encoded as JSON.
         """
         return OperatorReply(self.command_id, msgspec.json.encode(document), code)
 
     def require_text(self, name: str) -> str:
         """Return a text argument.
 
-        :raises RequestError: ``BAD_FIELD`` if it is missing or not a text.
+        :raises RequestError: ``BAD_FIELD`` if it is missing, empty or not a string.
         """
         value = self.arguments.get(name)
         if isinstance(value, str) and value:
--- a/savorychute/instance/operator_desk.py
+++ b/savorychute/instance/operator_command_handler.py
@@ -1,4 +1,4 @@
-"""Carry out operators' commands."""
+"""Carry out commands of operators."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
     from savorychute.actions import Action
     from savorychute.inputs import OperatorCommand
     from savorychute.instance.explanations import Explanations
-    from savorychute.instance.parts import Parts
+    from savorychute.instance.parts import InstanceParts
 
 
-class OperatorDesk:
-    """Authenticate operators and dispatch their commands.
+class OperatorCommandHandler:
+    """Authenticates operators and dispatches their commands.
 
     :param parts: the parts of the instance.
+    :param explanations: the histories of requests that have ended.
     """
 
-    def __init__(self, parts: Parts, explanations: Explanations) -> None:
+    def __init__(self, parts: InstanceParts, explanations: Explanations) -> None:
         self._parts = parts
         self._explanations = explanations
 
     def receive(self, command: OperatorCommand, now_ms: int) -> list[Action]:
-        """Carry out a command, or say why not."""
+        """Carry out a command, or reply with an error."""
         operator = self._find_operator(command.token)
         if operator is None:
             return [self._refuse(command, ResultCode.UNAUTHENTICATED, '')]
@@ -61,10 +62,10 @@
         )
 
     def _find_operator(self, token: str) -> str | None:
-        """Return whose token it is; every known hash is compared.
+        """Return the operator that owns the token, or ``None``.
 
-        Stopping at the first match would tell by its time how many operators
-        come before it.
+        Every known hash is compared: stopping at the first match would reveal
+        through the time taken how many operators come before it.
         """
         token_hash = hash_token(token)
         found = None
--- a/savorychute/instance/operator_commands/__init__.py
+++ b/savorychute/instance/operator_commands/__init__.py
@@ -1,4 +1,4 @@
-"""Operators' commands, one family a module; importing them registers them."""
+"""Operator commands, grouped by module; importing them registers them."""
 
 from __future__ import annotations
 
--- a/savorychute/instance/operator_commands/amendment.py
+++ b/savorychute/instance/operator_commands/amendment.py
@@ -1,4 +1,4 @@
-"""Arguments that amendments share."""
+"""Arguments that amendment commands share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read_base_version(call: OperatorCall) -> int:
-    """Return the version that an amendment starts from; 0 for a new item.
+    """Return the version that an amendment is based on; 0 for a new item.
 
     :raises RequestError: ``BAD_FIELD`` if it is not a whole number.
     """
--- a/savorychute/instance/operator_commands/contracts.py
+++ b/savorychute/instance/operator_commands/contracts.py
@@ -1,4 +1,4 @@
-"""Commands on contracts."""
+"""Commands for contracts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @OPERATOR_VERBS.register('contract-show')
 def show_contract(call: OperatorCall) -> list[Action]:
-    """Return a contract, its version and the limits that follow from it."""
+    """Return a contract, its version and the limits derived from it."""
     organisation = call.require_text('organisation')
     item = f'contract:{organisation}'
     state = call.parts.configuration.state
@@ -25,18 +25,18 @@
     if document is None or limits is None:
         raise RequestError(ResultCode.NOT_FOUND, f'no contract of {organisation!r}')
     classes = {name: limits._asdict() for name, limits in limits.classes.items()}
-    answer = {
+    reply_document = {
         'organisation': organisation,
         'version': state.versions[item],
         'document': document,
         'limits': {**limits._asdict(), 'classes': classes},
     }
-    return [call.reply(answer)]
+    return [call.reply(reply_document)]
 
 
 @OPERATOR_VERBS.register('contract-amend')
 def amend_contract(call: OperatorCall) -> list[Action]:
-    """Propose a contract's next version; the reply follows the read-back."""
+    """Propose a contract's next version; the reply is sent after the read-back."""
     organisation = call.require_text('organisation')
     document = call.arguments.get('document')
     if not isinstance(document, dict):
--- a/savorychute/instance/operator_commands/endpoints.py
+++ b/savorychute/instance/operator_commands/endpoints.py
@@ -1,4 +1,4 @@
-"""Commands on endpoints."""
+"""Commands for endpoints."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @OPERATOR_VERBS.register('endpoint-add')
 def add_endpoint(call: OperatorCall) -> list[Action]:
-    """Propose a new endpoint, or a new document for one."""
+    """Propose a new endpoint or a new document of an endpoint."""
     document = call.arguments.get('document')
     if not isinstance(document, dict) or not document.get('endpoint'):
         raise RequestError(
@@ -42,7 +42,7 @@
 
 @OPERATOR_VERBS.register('endpoint-retire')
 def retire_endpoint(call: OperatorCall) -> list[Action]:
-    """Propose that an endpoint leaves for good."""
+    """Propose that an endpoint is retired permanently."""
     return _propose_state(call, 'retired')
 
 
@@ -66,8 +66,8 @@
 def _propose_state(call: OperatorCall, state: str) -> list[Action]:
     """Propose the endpoint's current document with another state.
 
-    Without a base version the one in force is taken: a drain is meant
-    whatever else was changed meanwhile.
+    Without a base version the one in force is used, because a drain is intended
+    whatever else has changed in the meantime.
     """
     endpoint = call.require_text('endpoint')
     item = f'endpoint:{endpoint}'
--- a/savorychute/instance/operator_commands/instances.py
+++ b/savorychute/instance/operator_commands/instances.py
@@ -1,4 +1,4 @@
-"""Commands on instances."""
+"""Commands for instances."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @OPERATOR_VERBS.register('instance-list')
 def list_instances(call: OperatorCall) -> list[Action]:
-    """Return the members as this instance sees them."""
+    """Return the members that this instance knows."""
     view = call.parts.membership.view()
     own = call.parts.address.instance
     offsets = {
@@ -35,5 +35,5 @@
 
 @OPERATOR_VERBS.register('status')
 def show_status(call: OperatorCall) -> list[Action]:
-    """Return this instance's own state in figures."""
+    """Return the status figures of this instance."""
     return [call.reply(describe_status(call.parts, call.now_ms))]
--- a/savorychute/instance/operator_commands/records.py
+++ b/savorychute/instance/operator_commands/records.py
@@ -1,4 +1,4 @@
-"""Commands that read what has happened."""
+"""Commands that read the audit trail and the histories of requests."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 @OPERATOR_VERBS.register('explain')
 def explain_request(call: OperatorCall) -> list[Action]:
-    """Return why a request went where it went, or was refused."""
+    """Return the history of a request and, if it has ended, its outcome."""
     request_id = call.require_text('request_id')
     explanation = call.explanations.find(request_id)
     if explanation is not None:
         outcome = explanation.outcome
-        answer = {
+        reply_document = {
             'request_id': request_id,
             'outcome': {**outcome._asdict(), 'code': outcome.code.name},
             'history': [event._asdict() for event in explanation.history],
         }
-        return [call.reply(answer)]
-    tracked = call.parts.table.find(request_id)
+        return [call.reply(reply_document)]
+    tracked = call.parts.request_table.find(request_id)
     if tracked is None:
         raise RequestError(
             ResultCode.NOT_FOUND,
             f'request {request_id!r} did not end here, or too long ago',
         )
-    history = [event._asdict() for event in tracked.life.history]
+    history = [event._asdict() for event in tracked.lifecycle.history]
     return [call.reply({'request_id': request_id, 'history': history})]
--- a/savorychute/instance/operator_verbs.py
+++ b/savorychute/instance/operator_verbs.py
@@ -1,4 +1,4 @@
-"""The registry of operators' commands."""
+"""The registry of operator commands."""
 
 from __future__ import annotations
 
--- a/savorychute/instance/organisation_entry.py
+++ b/savorychute/instance/organisation_entry.py
@@ -1,4 +1,4 @@
-"""What an instance looks up of one organisation."""
+"""The directory entry of one organisation."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class OrganisationEntry(NamedTuple):
-    """An organisation's limits, tokens and what it may use."""
+    """The limits, tokens, models and services of an organisation."""
 
     limits: OrganisationLimits
     token_hashes: tuple[str, ...]
--- a/savorychute/instance/parts.py
+++ b/savorychute/instance/parts.py
@@ -1,4 +1,4 @@
-"""The parts of an instance, assembled."""
+"""The parts of an instance and their assembly."""
 
 from __future__ import annotations
 
@@ -26,24 +26,24 @@
     from savorychute.member_address import MemberAddress
 
 
-class Parts(NamedTuple):
-    """Everything that the desks of an instance share."""
+class InstanceParts(NamedTuple):
+    """The parts that the handlers of an instance share."""
 
     settings: InstanceSettings
     address: MemberAddress
     events: EventManager
     directory: Directory
-    table: RequestTable
+    request_table: RequestTable
     membership: Membership
     configuration: ConfigurationKeeper
     audit: AuditTrail
     admission: Admission
     credits: CreditLedger
     limiter: OrganisationLimiter
-    book: EndpointTable
+    endpoint_table: EndpointTable
     router: Router
     lengths: OutputLengths
-    budget: RetryBudget
+    retry_budget: RetryBudget
     ejector: Ejector
     leaving: LeavingBroadcaster
     quarantine: Quarantine
@@ -54,16 +54,16 @@
 
 def assemble_parts(
     settings: InstanceSettings, address: MemberAddress, rng: random.Random
-) -> Parts:
-    """Make the parts of one instance.
+) -> InstanceParts:
+    """Create the parts of one instance.
 
-    :param settings: the settings of every part.
-    :param address: who and where the instance is.
-    :param rng: seeds a generator of its own for each part, so that one
-        part's draws do not shift another's.
+    :param settings: the settings of all parts.
+    :param address: the name and address of the instance.
+    :param rng: seeds a separate generator for each part, so that the random
+        numbers of one part do not depend on the draws of another.
     """
 
-    def fork() -> random.Random:
+    def make_rng() -> random.Random:
         return random.Random(rng.getrandbits(64))
 
     name = address.instance
@@ -71,31 +71,37 @@
     epoch_offset_ms = settings.epoch_offset_ms
     configuration = settings.configuration._replace(epoch_offset_ms=epoch_offset_ms)
     audit = settings.audit._replace(epoch_offset_ms=epoch_offset_ms)
-    keys = KeyKeeper(settings.keys, address, fork())
+    keys = KeyKeeper(settings.keys, address, make_rng())
     keys.set_wall_clock(epoch_offset_ms, 0)
-    leases = LeaseKeeper(settings.leases, name, fork(), log_budget)
-    book = EndpointTable(
-        settings.routing, fork(), address.failure_domain, address.region
+    leases = LeaseKeeper(settings.leases, name, make_rng(), log_budget)
+    endpoint_table = EndpointTable(
+        settings.routing, make_rng(), address.failure_domain, address.region
     )
-    return Parts(
+    return InstanceParts(
         settings=settings,
         address=address,
         events=EventManager(),
         directory=Directory(),
-        table=RequestTable(),
-        membership=Membership(settings.membership, address, fork()),
-        configuration=ConfigurationKeeper(configuration, address, fork(), log_budget),
+        request_table=RequestTable(),
+        membership=Membership(settings.membership, address, make_rng()),
+        configuration=ConfigurationKeeper(
+            configuration, address, make_rng(), log_budget
+        ),
         audit=AuditTrail(audit, f'{name}.{address.incarnation}', log_budget),
-        admission=ADMISSIONS.get(settings.admission_name)(settings.admission, fork()),
-        credits=CreditLedger(settings.credits, name, fork()),
-        limiter=OrganisationLimiter(settings.limiter, name, fork()),
-        book=book,
-        router=ROUTERS.get(settings.router_name)(settings.routing, book, fork()),
+        admission=ADMISSIONS.get(settings.admission_name)(
+            settings.admission, make_rng()
+        ),
+        credits=CreditLedger(settings.credits, name, make_rng()),
+        limiter=OrganisationLimiter(settings.limiter, name, make_rng()),
+        endpoint_table=endpoint_table,
+        router=ROUTERS.get(settings.router_name)(
+            settings.routing, endpoint_table, make_rng()
+        ),
         lengths=OutputLengths(settings.lengths),
-        budget=RetryBudget(settings.retries),
-        ejector=Ejector(settings.ejection, fork()),
-        leaving=LeavingBroadcaster(name, fork()),
-        quarantine=Quarantine(settings.quarantine, name, fork()),
+        retry_budget=RetryBudget(settings.retries),
+        ejector=Ejector(settings.ejection, make_rng()),
+        leaving=LeavingBroadcaster(name, make_rng()),
+        quarantine=Quarantine(settings.quarantine, name, make_rng()),
         keys=keys,
         leases=leases,
         orders=OrderDesk(settings.leases, leases),
--- a/savorychute/instance/peer_desk.py
+++ b/savorychute/instance/peer_message_handler.py
@@ -1,4 +1,4 @@
-"""Hand peer messages to the parts they belong to."""
+"""Pass peer messages to the parts that handle them."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 if TYPE_CHECKING:
     from savorychute.actions import Action
     from savorychute.inputs import PeerReceived
-    from savorychute.instance.key_desk import KeyDesk
-    from savorychute.instance.parts import Parts
+    from savorychute.instance.key_handler import KeyHandler
+    from savorychute.instance.parts import InstanceParts
 
-PACKAGE_PLACE = 1
+PACKAGE_INDEX = 1
 
 
-class PeerDesk:
-    """Dispatch by the package that defines the message's type.
+class PeerMessageHandler:
+    """Dispatches by the package that defines the message's type.
 
     :param parts: the parts of the instance.
+    :param key_handler: handles the outcomes of the key manager.
     """
 
-    def __init__(self, parts: Parts, key_desk: KeyDesk) -> None:
+    def __init__(self, parts: InstanceParts, key_handler: KeyHandler) -> None:
         self._parts = parts
-        self._key_desk = key_desk
+        self._key_handler = key_handler
         self._receivers = {
             'membership': self._receive_membership,
             'configuration': self._receive_configuration,
@@ -34,8 +35,8 @@
         }
 
     def receive(self, received: PeerReceived, now_ms: int) -> list[Action]:
-        """Give a message to its part; one of an unknown kind is dropped."""
-        package = type(received.message).__module__.split('.')[PACKAGE_PLACE]
+        """Pass a message to its part; drop one of an unknown kind."""
+        package = type(received.message).__module__.split('.')[PACKAGE_INDEX]
         receiver = self._receivers.get(package)
         if receiver is None:
             return []
@@ -80,4 +81,4 @@
         outcomes = parts.keys.receive(
             received.sender, received.message, parts.membership.view(), now_ms
         )
-        return self._key_desk.follow(outcomes, now_ms)
+        return self._key_handler.handle_outcomes(outcomes, now_ms)
--- a/savorychute/instance/placement_demand.py
+++ b/savorychute/instance/placement_demand.py
@@ -1,4 +1,4 @@
-"""The demand for models, as the holder of a region's lease sees it."""
+"""The demand for models, estimated by the holder of a region's lease."""
 
 from __future__ import annotations
 
@@ -11,55 +11,60 @@
     from collections.abc import Iterable, Mapping
 
     from savorychute.inputs import LoadReported
-    from savorychute.instance.parts import Parts
+    from savorychute.instance.parts import InstanceParts
 
-SERVICE_PREFIX = 'service:'
+SERVICE_POOL_PREFIX = 'service:'
 
 
-class DemandGatherer:
-    """Estimates how many requests for each model wait or run in the region.
+class DemandEstimator:
+    """Estimates the number of queued and running requests per model in the region.
 
-    What runs comes from the engines' reports, which count all instances'
-    requests.  An engine that holds several models does not say which of them
-    its requests are for; they are divided like this instance's own requests
-    there.  What waits at other instances is taken to be like what waits here:
-    callers choose among instances at random.
+    Running requests are taken from the engines' reports, which count the
+    requests of all instances.  An engine with several models does not report
+    the model of each request, so its load is divided in proportion to this
+    instance's own requests at that engine.  The queues of other instances are
+    assumed to equal the one of this instance, because callers choose an
+    instance at random.
 
     :param parts: the parts of the instance.
     """
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: InstanceParts) -> None:
         self._parts = parts
-        self._named: frozenset[str] = frozenset()
-        self._named_offset = -1
+        self._contract_models: frozenset[str] = frozenset()
+        self._contract_models_offset = -1
 
-    def gather(self, reports: Iterable[LoadReported]) -> list[ModelDemand]:
-        """Return the demand of this moment.
+    def estimate(self, reports: Iterable[LoadReported]) -> list[ModelDemand]:
+        """Return the current demand.
 
-        :param reports: the newest of each model engine of the region.
+        :param reports: the newest report of each model engine of the region.
         """
-        own = self._count_own()
+        own_requests = self._count_own_requests()
         running: Counter[str] = Counter()
         for report in reports:
-            here = own.get(report.endpoint, Counter())
-            for model, share in divide(report.models, here).items():
+            local_counts = own_requests.get(report.endpoint, Counter())
+            for model, share in divide_load(report.models, local_counts).items():
                 running[model] += share * (report.running + report.waiting)  # type: ignore[assignment]
         waiting = self._count_waiting()
-        named = self._list_named()
+        contract_models = self._list_contract_models()
         return [
-            ModelDemand(model, running[model] + waiting[model], model in named)
-            for model in sorted(running.keys() | waiting.keys() | named)
+            ModelDemand(
+                model, running[model] + waiting[model], model in contract_models
+            )
+            for model in sorted(running.keys() | waiting.keys() | contract_models)
         ]
 
-    def _count_own(self) -> dict[str, Counter[str]]:
-        """Return this instance's running requests by engine and model."""
-        table = self._parts.table
-        own: dict[str, Counter[str]] = {}
+    def _count_own_requests(self) -> dict[str, Counter[str]]:
+        """Count this instance's running requests by engine and model."""
+        table = self._parts.request_table
+        own_requests: dict[str, Counter[str]] = {}
         for pool in table.running_pools():
             for tracked in table.running(pool):
                 if tracked.attempt is not None:
-                    own.setdefault(tracked.attempt.endpoint, Counter())[pool] += 1
-        return own
+                    own_requests.setdefault(tracked.attempt.endpoint, Counter())[
+                        pool
+                    ] += 1
+        return own_requests
 
     def _count_waiting(self) -> Counter[str]:
         parts = self._parts
@@ -68,31 +73,35 @@
         instances = max(1, sum(member.region == region for member in alive))
         waiting: Counter[str] = Counter()
         for pool in parts.admission.pools():
-            if not pool.startswith(SERVICE_PREFIX):
+            if not pool.startswith(SERVICE_POOL_PREFIX):
                 waiting[pool] = instances * sum(parts.admission.waiting(pool).values())
         return waiting
 
-    def _list_named(self) -> frozenset[str]:
-        """Return the models that contracts name."""
+    def _list_contract_models(self) -> frozenset[str]:
+        """Return the models that the contracts name."""
         state = self._parts.configuration.state
-        if state.offset != self._named_offset:
-            self._named_offset = state.offset
+        if state.offset != self._contract_models_offset:
+            self._contract_models_offset = state.offset
             documents = state.contracts.values()
-            self._named = frozenset(
+            self._contract_models = frozenset(
                 model for document in documents for model in document['models']
             )
-        return self._named
+        return self._contract_models
 
 
-def divide(models: Iterable[str], own: Mapping[str, int]) -> dict[str, float]:
-    """Return what part of an engine's load each of its models is taken to have.
+def divide_load(
+    models: Iterable[str], own_requests: Mapping[str, int]
+) -> dict[str, float]:
+    """Return the estimated share of each model in an engine's load.
 
-    :param models: loaded there.
-    :param own: this instance's requests there by model.
+    :param models: the models that the engine has loaded.
+    :param own_requests: this instance's requests at the engine by model.
     """
     loaded = list(models)
-    known = {model: own[model] for model in loaded if own.get(model)}
-    total = sum(known.values())
+    known_counts = {
+        model: own_requests[model] for model in loaded if own_requests.get(model)
+    }
+    total = sum(known_counts.values())
     if total:
-        return {model: count / total for model, count in known.items()}
+        return {model: count / total for model, count in known_counts.items()}
     return {model: 1 / len(loaded) for model in loaded}
--- a/savorychute/instance/request_audit.py
+++ b/savorychute/instance/request_audit.py
@@ -1,4 +1,4 @@
-"""Audit entries that requests give rise to."""
+"""Audit entries about requests."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 from savorychute.audit.audit_kind import AuditKind
 
 if TYPE_CHECKING:
-    from savorychute.instance.parts import Parts
+    from savorychute.instance.parts import InstanceParts
     from savorychute.instance.tracked_request import TrackedRequest
 
 
-def note_quarantine(parts: Parts, tracked: TrackedRequest, now_ms: int) -> None:
-    """Record that a request was quarantined, and tell extensions.
+def record_quarantine(
+    parts: InstanceParts, tracked: TrackedRequest, now_ms: int
+) -> None:
+    """Record that a request was quarantined, and emit an event for extensions.
 
-    The fingerprint stands for the request; its text is never recorded.
+    The entry contains the fingerprint of the request, never its text.
     """
     entry = AuditEntry(
         kind=AuditKind.QUARANTINE,
--- a/savorychute/instance/request_outcome.py
+++ b/savorychute/instance/request_outcome.py
@@ -1,4 +1,4 @@
-"""How a request ended."""
+"""The outcome of a request."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 class RequestOutcome(NamedTuple):
     """The payload of the event ``request-finished``.
 
-    ``first_token_ms`` counts from arrival and is -1 if there was none.
-    ``target_met`` compares it, and the mean gap between tokens, with the
-    class's targets.
+    ``first_token_ms`` counts from the arrival of the request and is -1 if there
+    was no token.  ``target_met`` says whether it and the mean gap between tokens
+    are within the targets of the class.
     """
 
     request_id: str
--- a/savorychute/instance/request_table.py
+++ b/savorychute/instance/request_table.py
@@ -1,4 +1,4 @@
-"""The requests that an instance is responsible for."""
+"""The requests in progress at an instance."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RequestTable:
-    """Requests in progress by id, by attempt and by pool."""
+    """Requests in progress by id, attempt and pool."""
 
     def __init__(self) -> None:
         self._requests: dict[str, TrackedRequest] = {}
@@ -25,7 +25,7 @@
         return iter(tuple(self._requests.values()))
 
     def add(self, tracked: TrackedRequest) -> None:
-        """Take responsibility for a request."""
+        """Add a request."""
         self._requests[tracked.request_id] = tracked
 
     def find(self, request_id: str) -> TrackedRequest | None:
@@ -35,21 +35,21 @@
     def find_attempt(self, attempt_id: str) -> TrackedRequest | None:
         """Return the request whose current attempt has this id.
 
-        News of an earlier attempt of the same request finds nothing here, so
-        a late or crossed chunk can never reach a caller.
+        An earlier attempt of the same request is not found, so a late chunk
+        can never reach a caller.
         """
         return self._by_attempt.get(attempt_id)
 
-    def attach(self, tracked: TrackedRequest) -> None:
-        """Note the request's current attempt."""
+    def attach_attempt(self, tracked: TrackedRequest) -> None:
+        """Index the current attempt of the request."""
         attempt = tracked.attempt
         if attempt is None:
             return
         self._by_attempt[attempt.attempt_id] = tracked
         self._running.setdefault(tracked.pool, {})[tracked.request_id] = tracked
 
-    def detach(self, tracked: TrackedRequest) -> None:
-        """Forget the request's current attempt."""
+    def detach_attempt(self, tracked: TrackedRequest) -> None:
+        """Remove the current attempt of the request."""
         attempt = tracked.attempt
         if attempt is None:
             return
@@ -58,14 +58,14 @@
         tracked.attempt = None
 
     def running(self, pool: str) -> list[TrackedRequest]:
-        """Return the pool's requests that have an attempt."""
+        """Return the requests of the pool that have an attempt."""
         return list(self._running.get(pool, {}).values())
 
     def running_pools(self) -> list[str]:
-        """Return the pools in which an attempt is in progress."""
+        """Return the pools that have attempts in progress."""
         return [pool for pool, requests in self._running.items() if requests]
 
     def remove(self, tracked: TrackedRequest) -> None:
-        """End the responsibility for a request."""
-        self.detach(tracked)
+        """Remove a request and its attempt."""
+        self.detach_attempt(tracked)
         self._requests.pop(tracked.request_id, None)
--- a/savorychute/instance/responder.py
+++ b/savorychute/instance/responder.py
@@ -1,4 +1,4 @@
-"""Answer callers, and give back what their requests held."""
+"""Respond to callers and release what their requests hold."""
 
 from __future__ import annotations
 
@@ -16,45 +16,45 @@
 
     from savorychute.actions import Action
     from savorychute.instance.explanations import Explanations
-    from savorychute.instance.parts import Parts
+    from savorychute.instance.parts import InstanceParts
     from savorychute.instance.tracked_request import TrackedRequest
 
-    FollowKeys = Callable[[Sequence[object], int], list[Action]]
+    HandleKeyOutcomes = Callable[[Sequence[object], int], list[Action]]
 
-#: A non-streamed answer is held back up to this size, so that it can still be
-#: fetched anew from elsewhere if its endpoint fails half-way.
-HELD_BYTES = 256 * 1024
+#: A response that is not streamed is buffered up to this size, so that it can
+#: still be fetched from another endpoint if its endpoint fails half-way.
+MAX_BUFFERED_BYTES = 256 * 1024
 STREAM_CONTENT_TYPE = 'text/event-stream'
 
 
 class Responder:
-    """The only place that ends a request.
+    """Sends responses; the only class that ends requests.
 
     :param parts: the parts of the instance.
-    :param explanations: where the request's history is kept afterwards.
+    :param explanations: stores the histories of requests that have ended.
     """
 
-    def __init__(self, parts: Parts, explanations: Explanations) -> None:
+    def __init__(self, parts: InstanceParts, explanations: Explanations) -> None:
         self._parts = parts
         self._explanations = explanations
-        self._follow_keys: FollowKeys | None = None
+        self._handle_key_outcomes: HandleKeyOutcomes | None = None
 
-    def connect(self, follow_keys: FollowKeys) -> None:
-        """Say who carries out what the key keeper returns.
+    def set_key_outcome_handler(self, handle_key_outcomes: HandleKeyOutcomes) -> None:
+        """Set the function that handles the outcomes of the key manager.
 
-        :param follow_keys: takes the keeper's outcomes and the time.
+        :param handle_key_outcomes: called with the outcomes and the time.
         """
-        self._follow_keys = follow_keys
+        self._handle_key_outcomes = handle_key_outcomes
 
-    def begin(self, tracked: TrackedRequest) -> list[Action]:
-        """Send the head of an answer, once.
+    def start_response(self, tracked: TrackedRequest) -> list[Action]:
+        """Send the head of a response, once.
 
         :param tracked: a request with a started attempt.
         """
         attempt = tracked.attempt
-        if attempt is None or tracked.responding:
+        if attempt is None or tracked.response_started:
             return []
-        tracked.responding = True
+        tracked.response_started = True
         content_type = attempt.content_type
         if tracked.request.stream:
             content_type = STREAM_CONTENT_TYPE
@@ -69,49 +69,49 @@
             )
         ]
 
-    def pass_stream(
+    def send_stream_chunk(
         self, tracked: TrackedRequest, offset: int, token_count: int, data: bytes
     ) -> list[Action]:
-        """Pass tokens of a stream to the caller.
+        """Send tokens of a stream to the caller.
 
-        :param offset: the first token's place in the whole answer.
+        :param offset: the first token's offset in the whole response.
         """
-        actions = self.begin(tracked)
+        actions = self.start_response(tracked)
         actions.append(SendChunk(tracked.request_id, offset, data, token_count))
         tracked.delivered_tokens = offset + token_count
         if tracked.resumable or tracked.holds_key:
             tracked.delivered_text += data
         return actions
 
-    def hold(self, tracked: TrackedRequest, data: bytes) -> list[Action]:
-        """Keep a part of an answer that is not streamed, or pass it on.
+    def buffer_or_send(self, tracked: TrackedRequest, data: bytes) -> list[Action]:
+        """Buffer a part of a response that is not streamed, or send it.
 
         :param data: the next bytes of the body.
         """
-        if tracked.responding:
+        if tracked.response_started:
             return [SendChunk(tracked.request_id, 0, data)]
         tracked.buffer += data
-        if len(tracked.buffer) <= HELD_BYTES:
+        if len(tracked.buffer) <= MAX_BUFFERED_BYTES:
             return []
-        return self._release_held(tracked)
+        return self._flush_buffer(tracked)
 
     def finish(self, tracked: TrackedRequest, now_ms: int) -> list[Action]:
-        """End a whole answer."""
+        """End a request whose response is complete."""
         attempt = tracked.attempt
-        body = self._copy_answer(tracked)
+        body = self._copy_response_body(tracked)
         actions: list[Action] = []
         if not tracked.request.stream:
-            actions += self._release_held(tracked)
-        actions += self.begin(tracked)
+            actions += self._flush_buffer(tracked)
+        actions += self.start_response(tracked)
         actions.append(FinishResponse(tracked.request_id))
         if tracked.caller_left:
             actions = []
-        tracked.life.move(RequestState.ANSWERED, now_ms, 'whole answer')
+        tracked.lifecycle.move(RequestState.ANSWERED, now_ms, 'whole answer')
         if tracked.holds_key and attempt is not None:
-            settled = self._parts.keys.finish(
+            settlement_outcomes = self._parts.keys.finish(
                 tracked.request_id, attempt.status, attempt.content_type, body, now_ms
             )
-            actions += self._follow(settled, now_ms)
+            actions += self._handle_outcomes(settlement_outcomes, now_ms)
         self._close(tracked, ResultCode.OK, Ran.RAN, now_ms)
         return actions
 
@@ -125,27 +125,28 @@
         location: str = '',
         ran: Ran = Ran.NOT_RUN,
     ) -> list[Action]:
-        """End a request without a whole answer, at once.
+        """End a request at once without a complete response.
 
-        'Not run' is said only if the request's life permits it, whatever the
-        one who gives up believes, so it is never said falsely.
+        The caller gets 'not run' only if the request's state machine permits
+        this claim, whatever *ran* says, so that the claim is never false.
 
-        :param code: why.
-        :param message: what the caller is told.
-        :param ran: the best that may be said; the life may weaken it.
+        :param code: the reason.
+        :param message: the error message for the caller.
+        :param ran: whether the request ran; ``NOT_RUN`` becomes ``UNKNOWN`` if
+            the state machine does not permit the claim.
         """
-        if ran is Ran.NOT_RUN and not tracked.life.may_claim_not_run:
+        if ran is Ran.NOT_RUN and not tracked.lifecycle.may_claim_not_run:
             ran = Ran.UNKNOWN
         attempt = tracked.attempt
         handle = self._make_handle(tracked)
-        settled = self._settle_key(tracked, ran, code, now_ms)
+        settlement_actions = self._settle_key(tracked, ran, code, now_ms)
         state = RequestState.NOT_RUN if ran is Ran.NOT_RUN else RequestState.UNKNOWN
-        tracked.life.move(state, now_ms, f'{code.name}: {message}')
-        answer: Action
-        if tracked.responding:
-            answer = FinishResponse(tracked.request_id, code, ran, message, handle)
+        tracked.lifecycle.move(state, now_ms, f'{code.name}: {message}')
+        end_action: Action
+        if tracked.response_started:
+            end_action = FinishResponse(tracked.request_id, code, ran, message, handle)
         else:
-            answer = RefuseRequest(
+            end_action = RefuseRequest(
                 request_id=tracked.request_id,
                 code=code,
                 ran=ran,
@@ -158,36 +159,36 @@
             )
         self._close(tracked, code, ran, now_ms)
         if tracked.caller_left:
-            return settled
-        return [answer, *settled]
+            return settlement_actions
+        return [end_action, *settlement_actions]
 
     def drop(self, tracked: TrackedRequest, reason: str, now_ms: int) -> list[Action]:
-        """End a request whose caller is gone."""
-        ran = Ran.NOT_RUN if tracked.life.may_claim_not_run else Ran.UNKNOWN
+        """End a request whose caller has left."""
+        ran = Ran.NOT_RUN if tracked.lifecycle.may_claim_not_run else Ran.UNKNOWN
         code = ResultCode.CALLER_LEFT
-        settled = self._settle_key(tracked, ran, code, now_ms)
-        tracked.life.move(RequestState.CANCELLED, now_ms, reason)
+        settlement_actions = self._settle_key(tracked, ran, code, now_ms)
+        tracked.lifecycle.move(RequestState.CANCELLED, now_ms, reason)
         self._close(tracked, code, ran, now_ms)
-        return settled
+        return settlement_actions
 
     def close_replay(self, tracked: TrackedRequest, now_ms: int) -> None:
-        """End a request that got the kept outcome of its key's one run."""
-        tracked.life.move(RequestState.ANSWERED, now_ms, 'kept outcome of the key')
+        """End a request that got the stored outcome of its key's single run."""
+        tracked.lifecycle.move(RequestState.ANSWERED, now_ms, 'kept outcome of the key')
         self._close(tracked, ResultCode.OK, Ran.RAN, now_ms)
 
-    def _copy_answer(self, tracked: TrackedRequest) -> bytes | None:
-        """Return the whole answer for whoever asks again under the key.
+    def _copy_response_body(self, tracked: TrackedRequest) -> bytes | None:
+        """Return the whole response body for later requests with the same key.
 
-        What was passed on already is in the buffer no more; the rest of it
-        must never be kept as if it were the whole.
+        Parts that were already sent are no longer in the buffer, and the rest
+        must never be stored as if it were the whole body.
         """
         if tracked.request.stream:
             text = tracked.delivered_text
-            return bytes(text) if len(text) <= HELD_BYTES else None
-        return None if tracked.responding else bytes(tracked.buffer)
+            return bytes(text) if len(text) <= MAX_BUFFERED_BYTES else None
+        return None if tracked.response_started else bytes(tracked.buffer)
 
-    def _release_held(self, tracked: TrackedRequest) -> list[Action]:
-        actions = self.begin(tracked)
+    def _flush_buffer(self, tracked: TrackedRequest) -> list[Action]:
+        actions = self.start_response(tracked)
         if tracked.buffer:
             actions.append(SendChunk(tracked.request_id, 0, bytes(tracked.buffer)))
             tracked.buffer.clear()
@@ -205,26 +206,26 @@
     def _settle_key(
         self, tracked: TrackedRequest, ran: Ran, code: ResultCode, now_ms: int
     ) -> list[Action]:
-        """Tell the key keeper how the one run of a key ended, or that none did."""
+        """Report to the key manager how a key's single run ended, if it ran."""
         keys = self._parts.keys
         if not tracked.holds_key:
             keys.leave(tracked.request_id)
             return []
         if ran is Ran.NOT_RUN:
-            settled = keys.not_run(tracked.request_id, now_ms, code)
+            settlement_outcomes = keys.not_run(tracked.request_id, now_ms, code)
         else:
-            settled = keys.unknown(tracked.request_id, now_ms)
-        return self._follow(settled, now_ms)
+            settlement_outcomes = keys.unknown(tracked.request_id, now_ms)
+        return self._handle_outcomes(settlement_outcomes, now_ms)
 
-    def _follow(self, outcomes: Sequence[object], now_ms: int) -> list[Action]:
-        if self._follow_keys is None:
+    def _handle_outcomes(self, outcomes: Sequence[object], now_ms: int) -> list[Action]:
+        if self._handle_key_outcomes is None:
             return []
-        return self._follow_keys(outcomes, now_ms)
+        return self._handle_key_outcomes(outcomes, now_ms)
 
     def _close(
         self, tracked: TrackedRequest, code: ResultCode, ran: Ran, now_ms: int
     ) -> None:
-        """Give back all that the request holds, whichever way it ended."""
+        """Release all resources of an ended request and record its outcome."""
         parts = self._parts
         attempt = tracked.attempt
         if attempt is not None:
@@ -235,35 +236,37 @@
                 code is ResultCode.OK,
                 now_ms,
             )
-            parts.book.record_finish(attempt.attempt_id, code is ResultCode.OK, now_ms)
+            parts.endpoint_table.record_finish(
+                attempt.attempt_id, code is ResultCode.OK, now_ms
+            )
         parts.limiter.finish(tracked.request_id, tracked.delivered_tokens, now_ms)
         parts.admission.remove(tracked.request_id)
-        parts.table.remove(tracked)
+        parts.request_table.remove(tracked)
         if code is ResultCode.OK and tracked.expects_tokens:
             parts.lengths.observe(
                 tracked.limits.organisation,
                 tracked.limits.name,
                 tracked.delivered_tokens,
             )
-        outcome = self._describe(tracked, code, ran, now_ms)
-        self._explanations.keep(tracked, outcome)
+        outcome = self._make_outcome(tracked, code, ran, now_ms)
+        self._explanations.store(tracked, outcome)
         parts.events.emit('request-finished', outcome)
 
-    def _describe(
+    def _make_outcome(
         self, tracked: TrackedRequest, code: ResultCode, ran: Ran, now_ms: int
     ) -> RequestOutcome:
-        life = tracked.life
+        lifecycle = tracked.lifecycle
         limits = tracked.limits
-        duration_ms = now_ms - life.received_ms
+        duration_ms = now_ms - lifecycle.received_ms
         first_token_ms = -1
         if tracked.first_token_ms >= 0:
-            first_token_ms = tracked.first_token_ms - life.received_ms
-        gaps = max(1, tracked.delivered_tokens - 1)
-        token_gap_ms = tracked.gap_sum_ms / gaps
-        answered = code is ResultCode.OK
+            first_token_ms = tracked.first_token_ms - lifecycle.received_ms
+        gap_count = max(1, tracked.delivered_tokens - 1)
+        token_gap_ms = tracked.gap_sum_ms / gap_count
+        is_success = code is ResultCode.OK
         measured_ms = first_token_ms if first_token_ms >= 0 else duration_ms
-        in_time = measured_ms <= limits.first_token_target_ms
-        steady = token_gap_ms <= limits.token_gap_target_ms
+        is_in_time = measured_ms <= limits.first_token_target_ms
+        is_gap_in_target = token_gap_ms <= limits.token_gap_target_ms
         return RequestOutcome(
             request_id=tracked.request_id,
             organisation=limits.organisation,
@@ -278,6 +281,6 @@
             tokens=tracked.delivered_tokens,
             wasted_tokens=tracked.wasted_tokens,
             attempts=tracked.attempt_count,
-            target_met=answered and in_time and steady,
+            target_met=is_success and is_in_time and is_gap_in_target,
             weight=limits.weight,
         )
--- a/savorychute/instance/status.py
+++ b/savorychute/instance/status.py
@@ -1,4 +1,4 @@
-"""An instance's state in figures."""
+"""The status figures of an instance."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from savorychute.instance.lease_name import name_lease
 
 if TYPE_CHECKING:
-    from savorychute.instance.parts import Parts
+    from savorychute.instance.parts import InstanceParts
 
 
 class StatusDocument(TypedDict):
-    """What ``savorychute status`` shows."""
+    """The figures that ``savorychute status`` shows."""
 
     instance: str
     incarnation: int
@@ -34,12 +34,12 @@
     unexplained_models: dict[str, int]
 
 
-def describe_status(parts: Parts, now_ms: int) -> StatusDocument:
-    """Return the figures of this moment."""
+def describe_status(parts: InstanceParts, now_ms: int) -> StatusDocument:
+    """Return the current figures."""
     view = parts.membership.view()
     directory = parts.directory
-    keeper = parts.configuration.status(now_ms)
-    usable = [
+    configuration_status = parts.configuration.status(now_ms)
+    usable_names = [
         name
         for name in directory.endpoints
         if directory.is_usable(name) and parts.ejector.is_allowed(name, now_ms)
@@ -59,14 +59,14 @@
         configuration_offset=parts.configuration.state.offset,
         contracts=len(directory.limits),
         endpoints=len(directory.endpoints),
-        usable_endpoints=len(usable),
+        usable_endpoints=len(usable_names),
         members=len(view.alive),
         suspects=len(view.suspects),
-        requests_in_progress=len(parts.table),
+        requests_in_progress=len(parts.request_table),
         waiting_by_pool=waiting,
-        log_reachable=not keeper.log_is_down,
-        configuration_divergences=keeper.divergences,
-        snapshot_age_ms=keeper.snapshot_age_ms,
+        log_reachable=not configuration_status.log_is_down,
+        configuration_divergences=configuration_status.divergences,
+        snapshot_age_ms=configuration_status.snapshot_age_ms,
         lease_fencing=parts.leases.holds(name_lease(parts.address.region), now_ms),
         late_orders=dict(parts.orders.late_orders_by_endpoint),
         unexplained_models=dict(parts.orders.unexplained_by_endpoint),
--- a/savorychute/instance/tracked_request.py
+++ b/savorychute/instance/tracked_request.py
@@ -1,4 +1,4 @@
-"""A caller's request while an instance is responsible for it."""
+"""A caller's request in progress at an instance."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class TrackedRequest:
-    """The state of one request, from its arrival to its answer.
+    """The state of one request, from its arrival to its response.
 
-    :param request: as the caller sent it.
-    :param limits: what its contract says of its class.
-    :param fingerprint: organisation and body as one hash; the same request sent
-        again under a new id has the same one.
-    :param now_ms: when it arrived.
+    :param request: the request as the caller sent it.
+    :param limits: the limits of its class in the contract.
+    :param fingerprint: a hash of organisation and body; the same request with a
+        new id has the same fingerprint.
+    :param now_ms: the time of its arrival.
     """
 
     __slots__ = (
@@ -32,22 +32,22 @@
         'delivered_text',
         'delivered_tokens',
         'failed_endpoints',
-        'failed_ms',
-        'failures',
+        'failure_count',
         'fingerprint',
         'first_token_ms',
         'gap_sum_ms',
-        'held_until_ms',
+        'has_whole_text',
         'holds_key',
-        'knows_text',
-        'life',
+        'last_failure_ms',
+        'last_token_ms',
+        'lifecycle',
         'limits',
         'pool',
         'request',
-        'responding',
-        'resume_at',
-        'resume_tries',
-        'token_ms',
+        'response_started',
+        'resume_count',
+        'resume_handle',
+        'start_after_ms',
         'wasted_tokens',
     )
 
@@ -58,7 +58,7 @@
         self.limits = limits
         self.fingerprint = fingerprint
         self.pool = request.model or f'service:{request.service}'
-        self.life = RequestLife(
+        self.lifecycle = RequestLife(
             request.request_id,
             now_ms,
             resumes=bool(request.handle),
@@ -67,40 +67,40 @@
         self.deadline_ms = now_ms + limits.timeout_ms
         self.attempt: Attempt | None = None
         self.attempt_count = 0
-        self.failures = 0
-        self.failed_ms = now_ms
-        self.held_until_ms = now_ms
-        self.resume_tries = 0
+        self.failure_count = 0
+        self.last_failure_ms = now_ms
+        self.start_after_ms = now_ms
+        self.resume_count = 0
         self.failed_endpoints: set[str] = set()
-        self.resume_at: ContinuationHandle | None = None
-        self.responding = False
+        self.resume_handle: ContinuationHandle | None = None
+        self.response_started = False
         self.caller_left = False
         self.holds_key = False
         self.delivered_tokens = 0
         self.delivered_text = bytearray()
-        self.knows_text = True
+        self.has_whole_text = True
         self.buffer = bytearray()
         self.wasted_tokens = 0
         self.first_token_ms = -1
-        self.token_ms = -1
+        self.last_token_ms = -1
         self.gap_sum_ms = 0
 
     @property
     def request_id(self) -> str:
-        """The request's id."""
+        """The id of the request."""
         return self.request.request_id
 
     @property
     def resumable(self) -> bool:
-        """Whether its stream may be paused and taken up again."""
+        """Whether its stream can be paused and resumed."""
         return self.request.stream and self.limits.idempotent
 
     @property
     def is_pausable(self) -> bool:
-        """Whether it runs and can be paused without making a token twice."""
-        return self.resumable and self.responding and self.attempt is not None
+        """Whether it runs and can be paused without generating a token twice."""
+        return self.resumable and self.response_started and self.attempt is not None
 
     @property
     def expects_tokens(self) -> bool:
-        """Whether a model makes its answer."""
+        """Whether a model generates its response."""
         return bool(self.request.model)
--- a/tests/test_instance/conftest.py
+++ b/tests/test_instance/conftest.py
@@ -22,14 +22,14 @@
 
 @pytest.fixture
 def solo():
-    driven = Solo(
+    host = Solo(
         contracts=[
             make_contract(),
             make_contract(OTHER_ORGANISATION, OTHER_TOKEN, pool_share=0.2),
         ],
         endpoints=[make_engine('engine-1'), make_engine('engine-2')],
     )
-    driven.run_for(READY_MS)
-    assert driven.instance.ready
-    driven.actions.clear()
-    return driven
+    host.run_for(READY_MS)
+    assert host.instance.ready
+    host.actions.clear()
+    return host
--- a/tests/test_instance/instance_steps.py
+++ b/tests/test_instance/instance_steps.py
@@ -1,4 +1,4 @@
-"""Steps that tests of an instance share."""
+"""Steps that the instance tests share."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def start_stream(solo, request_id='r1', tokens=('Hello', ' there')):
-    """Bring a request to the point where its first tokens were passed on."""
+    """Start a streamed request and deliver its first tokens."""
     solo.deliver(make_request(request_id))
     start = solo.find(StartAttempt)[-1]
     solo.deliver(AttemptSent(start.attempt_id))
--- a/tests/test_instance/test_core.py
+++ b/tests/test_instance/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of a whole instance that is driven by hand."""
+"""Tests of a complete instance that is driven step by step."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 
-def test_streamed_answer_is_passed_on_and_ended(solo):
+def test_streamed_response_is_passed_on_and_finished(solo):
     start = start_stream(solo)
 
     solo.deliver(AttemptEnded(start.attempt_id, 2))
@@ -35,7 +35,7 @@
     assert solo.instance.idle
 
 
-def test_nothing_is_served_before_a_configuration_is_there():
+def test_request_is_refused_before_a_configuration_is_in_force():
     solo = Solo()
     actions = solo.deliver(make_request('r1'))
 
@@ -54,7 +54,7 @@
         ({'class_name': 'booking', 'key': 'x'}, ResultCode.KEY_MALFORMED),
     ],
 )
-def test_bad_request_is_refused_without_effect(solo, changes, code):
+def test_invalid_request_is_refused_without_an_attempt(solo, changes, code):
     actions = solo.deliver(make_request('r1')._replace(**changes))
 
     assert [action.code for action in actions] == [code]
@@ -64,11 +64,11 @@
     assert solo.instance.idle
 
 
-def test_request_that_was_sent_is_never_called_not_run(solo):
-    """A caller would send a booking again that was already made.
+def test_sent_request_is_never_reported_as_not_run(solo):
+    """Guards against a caller that sends a completed booking again.
 
-    The connection breaks after the request was sent; whether the endpoint
-    took it up is unknown, and saying 'not run' would be a guess.
+    The connection breaks after the request was sent.  It is unknown whether the
+    endpoint ran the request, so it must not be reported as 'not run'.
     """
     key = solo.instance.issue_key('token-acme', solo.now_ms)
     solo.deliver(make_request('r1', 'booking')._replace(key=key))
--- a/tests/test_instance/test_embedding_page.py
+++ b/tests/test_instance/test_embedding_page.py
@@ -1,4 +1,4 @@
-"""Runs the example of the page on embedding."""
+"""Tests the example on the documentation page about embedding."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 MARKER = '.. code-block:: python\n'
 
 
-def test_example_prints_what_the_page_says(capsys):
+def test_example_prints_the_documented_output(capsys):
     page = PAGE.read_text()
     rest = page.split(MARKER, 1)[1]
     block = rest.split('\nIt prints', 1)[0]
--- a/tests/test_instance/test_lease_desk.py
+++ b/tests/test_instance/test_lease_handler.py
@@ -1,4 +1,4 @@
-"""Tests of the lease under which an instance orders engines about."""
+"""Tests of the lease that permits an instance to order its engines."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 from savorychute.actions import OperatorReply, SendOrder
 from savorychute.inputs import LoadReported, OperatorCommand, ShutdownRequested
-from savorychute.instance.lease_desk import LeaseDesk
+from savorychute.instance.lease_handler import LeaseHandler
 from savorychute.leases.order_request import LOAD, OrderRequest
 from savorychute.testing.solo import OPERATOR_TOKEN, Solo, make_contract, make_engine
 
 LEASE = 'placement:north'
-CLAIMED_MS = 40_000
+LEASE_ACQUIRED_MS = 40_000
 
 
 @pytest.fixture
 def solo():
-    driven = Solo(contracts=[make_contract()], endpoints=[make_engine('engine-1')])
-    driven.run_for(CLAIMED_MS)
-    return driven
+    host = Solo(contracts=[make_contract()], endpoints=[make_engine('engine-1')])
+    host.run_for(LEASE_ACQUIRED_MS)
+    return host
 
 
 def read_audit(solo, item):
@@ -30,27 +30,27 @@
     return msgspec.json.decode(reply.document)['entries']
 
 
-def test_lone_instance_holds_its_regions_lease(solo):
+def test_single_instance_holds_the_lease_of_its_region(solo):
     entries = read_audit(solo, f'lease:{LEASE}')
 
     assert entries[0]['to_version'].startswith('acquired')
 
 
-def test_order_carries_the_offset_of_the_claim(solo):
-    desk = LeaseDesk(solo.instance._parts)
+def test_order_has_the_offset_of_the_claim_as_fencing_number(solo):
+    handler = LeaseHandler(solo.instance._parts)
     request = OrderRequest('o1', LEASE, 'engine-1', LOAD, 'small', 'test')
 
-    actions = desk.request_order(request, solo.now_ms)
+    actions = handler.request_order(request, solo.now_ms)
 
     assert isinstance(actions[0], SendOrder)
     assert actions[0].fencing == solo.instance._parts.leases.holds(LEASE, solo.now_ms)
 
 
-def test_leaving_instance_gives_its_lease_up(solo):
-    """No engine could be ordered about until the lease has run out.
+def test_instance_releases_its_lease_on_shutdown(solo):
+    """Guards against a period without orders until the lease expires.
 
-    The holder shuts down gracefully; it must release the lease, so that the
-    next holder does not wait for its whole duration.
+    The holder shuts down gracefully.  It must release the lease, so that the
+    next holder does not wait for the whole duration of the lease.
     """
     solo.deliver(ShutdownRequested())
     solo.run_for(1_000)
--- a/tests/test_instance/test_departures.py
+++ b/tests/test_instance/test_leaving.py
@@ -1,4 +1,4 @@
-"""Tests of instances and endpoints that leave."""
+"""Tests of instances that shut down and endpoints that leave or drain."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 READY_MS = 5_000
 
 
-def test_request_refused_by_a_leaving_endpoint_moves(solo):
-    """A caller would be turned away although another endpoint has room.
+def test_request_refused_by_a_leaving_endpoint_is_retried_elsewhere(solo):
+    """Guards against a refusal although another endpoint has capacity.
 
-    An engine that is going away refuses the request before it starts; no
-    later request may go to that engine either.
+    A leaving engine refuses the request before it starts.  Later requests must
+    not go to that engine either.
     """
     solo.deliver(make_request('r1'))
     start = solo.find(StartAttempt)[-1]
@@ -43,11 +43,11 @@
     assert later == {'engine-1', 'engine-2'} - {start.endpoint}
 
 
-def test_leaving_instance_finishes_what_runs_and_takes_nothing_new(solo):
-    """A graceful restart would cut off answers in progress.
+def test_shutdown_finishes_running_requests_and_refuses_new_ones(solo):
+    """Guards against a graceful restart that cuts off running responses.
 
-    The instance is told to leave while a stream runs; a new request comes
-    after that, and then the stream's last token.
+    The instance is shut down while a stream runs.  Then a new request arrives,
+    and after that the end of the stream.
     """
     start = start_stream(solo)
     solo.deliver(ShutdownRequested())
@@ -60,12 +60,12 @@
     assert solo.find(FinishResponse) == [FinishResponse('r1')]
 
 
-def test_leaving_issuer_settles_its_own_keys(solo):
-    """A caller would be redirected in a circle until it gives up.
+def test_issuer_settles_its_own_keys_during_shutdown(solo):
+    """Guards against redirecting a caller in a circle.
 
-    The caller has a key of an instance that is told to leave before the
-    request comes.  Sent elsewhere, the request would be sent back here,
-    because only the issuer decides the key.
+    The caller has a key of an instance that starts to shut down before the
+    request arrives.  Other instances would redirect the request back, because
+    only the issuer decides the key.
     """
     key = solo.instance.issue_key('token-acme', solo.now_ms)
     solo.deliver(ShutdownRequested())
@@ -78,7 +78,7 @@
     assert not refusal.location
 
 
-def test_drained_endpoint_gets_nothing_new(solo):
+def test_drained_endpoint_gets_no_new_requests(solo):
     code, _ = call_operator(solo, 'endpoint-drain', endpoint='engine-1', why='repair')
     assert code is ResultCode.OK
 
@@ -89,10 +89,10 @@
 
 
 def test_refused_request_waits_for_credit_elsewhere():
-    """A caller would be refused although another endpoint is about to be free.
+    """Guards against a refusal although another endpoint is soon free.
 
-    One endpoint is full of other requests, the other one refuses.  Going back
-    to it at once would use up all tries within milliseconds.
+    One endpoint is fully used by other requests, the other one refuses.
+    Retrying there at once would use up all attempts within milliseconds.
     """
     solo = Solo(
         contracts=[make_contract()],
@@ -114,9 +114,9 @@
 
 
 def test_request_that_no_endpoint_serves_is_refused_at_once(solo):
-    """A caller waits until its deadline for what nobody will give it.
+    """Guards against a caller that waits until its deadline without need.
 
-    Every engine of the model was drained by an operator.
+    An operator has drained every engine of the model.
     """
     for name in ('engine-1', 'engine-2'):
         call_operator(solo, 'endpoint-drain', endpoint=name, why='repair')
@@ -129,10 +129,10 @@
 
 
 def test_engine_without_the_model_gets_no_request_for_it(solo):
-    """Callers wait while their requests are refused by one engine after another.
+    """Guards against requests that one engine after another refuses.
 
-    The configuration permits an engine more models than it has loaded, and the
-    engine says so in its load reports.
+    The configuration permits more models than the engine has loaded; its load
+    reports contain only the loaded ones.
     """
     report = LoadReported(
         'engine-1', 0, 0, 0, 1.0, 5.0, ('other',), 'active', 0, (), (), False
--- a/tests/test_instance/test_operator_desk.py
+++ b/tests/test_instance/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Tests of operators' commands at an instance."""
+"""Tests of operator commands at an instance."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 )
 
 
-def test_explain_tells_where_a_request_went(solo):
+def test_explain_returns_the_states_of_a_request(solo):
     start = start_stream(solo)
     solo.deliver(AttemptEnded(start.attempt_id, 2))
 
-    code, answer = call_operator(solo, 'explain', request_id='r1')
+    code, end_actions = call_operator(solo, 'explain', request_id='r1')
 
     assert code is ResultCode.OK
-    states = [event['after'] for event in answer['history']]
+    states = [event['after'] for event in end_actions['history']]
     assert states == [
         'queued',
         'granted',
--- a/tests/test_instance/test_placement_demand.py
+++ b/tests/test_instance/test_placement_demand.py
@@ -1,11 +1,11 @@
-"""Tests of the estimate of the demand for models."""
+"""Tests of the estimated demand for models."""
 
 from __future__ import annotations
 
 import pytest
 
 from savorychute.inputs import LoadReported
-from savorychute.instance.placement_demand import DemandGatherer, divide
+from savorychute.instance.placement_demand import DemandEstimator, divide_load
 from savorychute.placement import ModelDemand
 from savorychute.testing.solo import Solo, make_contract, make_engine, make_request
 
@@ -14,9 +14,9 @@
 
 @pytest.fixture
 def solo():
-    driven = Solo(contracts=[make_contract()], endpoints=[make_engine('engine-1')])
-    driven.run_for(SETTLED_MS)
-    return driven
+    host = Solo(contracts=[make_contract()], endpoints=[make_engine('engine-1')])
+    host.run_for(SETTLED_MS)
+    return host
 
 
 def make_report(running, waiting, models):
@@ -25,34 +25,34 @@
     )
 
 
-def test_engine_with_one_model_counts_wholly():
-    assert divide(['small'], {}) == {'small': 1.0}
+def test_single_model_gets_the_whole_load():
+    assert divide_load(['small'], {}) == {'small': 1.0}
 
 
-def test_load_is_divided_like_own_requests():
-    assert divide(['small', 'large'], {'small': 3, 'large': 1}) == {
+def test_load_is_divided_in_proportion_to_own_requests():
+    assert divide_load(['small', 'large'], {'small': 3, 'large': 1}) == {
         'small': 0.75,
         'large': 0.25,
     }
 
 
-def test_load_is_divided_equally_where_nothing_is_known():
-    assert divide(['small', 'large'], {'other': 3}) == {'small': 0.5, 'large': 0.5}
+def test_load_is_divided_equally_without_own_requests():
+    assert divide_load(['small', 'large'], {'other': 3}) == {'small': 0.5, 'large': 0.5}
 
 
-def test_model_that_a_contract_names_is_there_without_demand(solo):
-    gathered = DemandGatherer(solo.instance._parts).gather([])
-    assert gathered == [ModelDemand('small', 0, is_named=True)]
+def test_model_in_a_contract_is_listed_without_demand(solo):
+    estimated = DemandEstimator(solo.instance._parts).estimate([])
+    assert estimated == [ModelDemand('small', 0, is_named=True)]
 
 
 def test_running_and_waiting_requests_are_added(solo):
-    """Six requests want four places; two of them wait here, four run."""
+    """Six requests compete for four slots: two are queued here, four run."""
     for number in range(6):
         solo.deliver(make_request(f'r{number}'))
     solo.run_for(100)
 
     report = make_report(4, 1, ('small',))
-    (demand,) = DemandGatherer(solo.instance._parts).gather([report])
+    (demand,) = DemandEstimator(solo.instance._parts).estimate([report])
     waiting = sum(solo.instance._parts.admission.waiting('small').values())
     assert waiting > 0
     assert demand == ModelDemand('small', 5 + waiting, is_named=True)
--- a/tests/test_instance/test_poison_requests.py
+++ b/tests/test_instance/test_poison_requests.py
@@ -1,4 +1,4 @@
-"""Tests of requests that crash endpoints, at a whole instance."""
+"""Tests of requests that crash endpoints, at a complete instance."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 @pytest.fixture
 def solo():
     names = ('engine-1', 'engine-2', 'engine-3')
-    driven = Solo([make_contract()], [make_engine(name) for name in names])
-    driven.run_for(5_000)
-    return driven
+    host = Solo([make_contract()], [make_engine(name) for name in names])
+    host.run_for(5_000)
+    return host
 
 
 def crash_last(solo):
@@ -27,11 +27,11 @@
     solo.run_for(3_000)
 
 
-def test_copy_that_brings_its_text_is_still_quarantined(solo):
-    """Endpoint after endpoint would crash.
+def test_retry_with_the_received_text_is_still_quarantined(solo):
+    """Guards against a request that crashes one endpoint after another.
 
-    A request crashes two endpoints after a token each time.  Its caller sends
-    it again with the text that it has, so the body is another one.
+    A request crashes two endpoints, each after one token.  Its caller retries
+    with the text that it has received, so the body differs.
     """
     solo.deliver(make_request('r1'))
     crash_last(solo)
--- a/tests/test_instance/test_answers.py
+++ b/tests/test_instance/test_response_streams.py
@@ -1,4 +1,4 @@
-"""Tests of answers: splices, crashes, late and lost chunks."""
+"""Tests of streamed responses: resumes, crashes, late and lost chunks."""
 
 from __future__ import annotations
 
@@ -27,28 +27,28 @@
     assert [chunk.data for chunk in solo.find(SendChunk)] == [b'a', b'b']
 
 
-def test_lost_chunk_is_fetched_again_from_the_stream(solo):
-    """The caller would see a sentence with a hole in it.
+def test_stream_is_resumed_after_a_lost_chunk(solo):
+    """Guards against a response in which a token is missing.
 
-    Tokens 0 and 1 arrive, token 2 is lost on the way, token 3 arrives.  The
-    attempt has to be given up and the stream resumed at token 2.
+    Tokens 0 and 1 arrive, token 2 is lost in transit, token 3 arrives.  The
+    attempt must be abandoned and the stream resumed at token 2.
     """
     start = start_stream(solo, tokens=('a', 'b'))
 
     actions = solo.deliver(AttemptChunk(start.attempt_id, 3, 1, b'd'))
 
     assert CancelAttempt(start.attempt_id) in actions
-    again = next(action for action in actions if isinstance(action, StartAttempt))
-    assert again.stream_id == start.stream_id
-    assert again.resume_offset == 2
+    new_attempt = next(action for action in actions if isinstance(action, StartAttempt))
+    assert new_attempt.stream_id == start.stream_id
+    assert new_attempt.resume_offset == 2
     assert [chunk.data for chunk in solo.find(SendChunk)] == [b'a', b'b']
 
 
-def test_late_chunk_of_an_earlier_attempt_reaches_nobody(solo):
-    """The caller would get tokens of two attempts mixed into one answer.
+def test_late_chunk_of_an_earlier_attempt_is_dropped(solo):
+    """Guards against a response that mixes tokens of two attempts.
 
-    The connection to the engine breaks, the request goes on in a second
-    attempt, and then the first attempt's last chunk arrives after all.
+    The connection to the engine breaks and the request is retried.  Then the
+    last chunk of the first attempt arrives late.
     """
     start = start_stream(solo, tokens=('a',))
     solo.deliver(make_failure(start.attempt_id, crashed=True))
@@ -58,24 +58,24 @@
     assert b'late' not in [chunk.data for chunk in solo.find(SendChunk)]
 
 
-def test_answer_goes_on_elsewhere_after_an_engine_crash(solo):
-    """The caller would see its answer break off, or start again from the top.
+def test_response_continues_elsewhere_after_an_engine_crash(solo):
+    """Guards against a response that breaks off or starts from the beginning.
 
-    The engine crashes after two tokens.  Another engine has to go on from the
-    text that the caller already has, and make none of it twice.
+    The engine crashes after two tokens.  Another engine must continue from the
+    text that the caller already has and must not generate any of it again.
     """
     start = start_stream(solo, tokens=('Hello', ' there'))
     solo.deliver(make_failure(start.attempt_id, crashed=True))
     solo.run_for(3_000)
 
-    again = solo.find(StartAttempt)[-1]
-    going_on = msgspec.json.decode(again.body)['continue_from']
-    assert again.endpoint != start.endpoint
-    assert again.resume_offset == -1
-    assert going_on == {'offset': 2, 'text': 'Hello there'}
+    new_attempt = solo.find(StartAttempt)[-1]
+    continuation = msgspec.json.decode(new_attempt.body)['continue_from']
+    assert new_attempt.endpoint != start.endpoint
+    assert new_attempt.resume_offset == -1
+    assert continuation == {'offset': 2, 'text': 'Hello there'}
 
 
-def test_caller_that_leaves_frees_the_engine(solo):
+def test_attempt_is_cancelled_when_the_caller_leaves(solo):
     start = start_stream(solo)
 
     actions = solo.deliver(CallerLeft('r1'))
@@ -84,11 +84,11 @@
     assert solo.instance.idle
 
 
-def test_answer_short_of_its_count_is_not_passed_off_as_whole(solo):
-    """The caller would take half an answer for the whole one.
+def test_response_with_too_few_tokens_is_not_finished(solo):
+    """Guards against a partial response that looks complete.
 
-    The engine ends its stream and says that it made five tokens, but only two
-    arrived; the end marker alone must not finish the answer.
+    The engine ends its stream and reports five tokens, but only two arrived.
+    The end marker alone must not finish the response.
     """
     start = start_stream(solo, tokens=('a', 'b'))
 
@@ -98,7 +98,7 @@
     assert solo.find(StartAttempt)[-1].resume_offset == 2
 
 
-def test_deadline_is_answered_at_once_and_frees_the_engine(solo):
+def test_expired_request_ends_at_once_and_its_attempt_is_cancelled(solo):
     start = start_stream(solo)
     for offset in range(2, 104):
         solo.run_for(100)
--- a/tests/test_instance/test_resumes.py
+++ b/tests/test_instance/test_stream_resumption.py
@@ -1,4 +1,4 @@
-"""Tests of streams that are taken up by a handle."""
+"""Tests of streams that are resumed by a handle."""
 
 from __future__ import annotations
 
@@ -22,10 +22,9 @@
 
 
 def test_stream_of_another_organisation_cannot_be_resumed(solo):
-    """An organisation would read another one's answer.
+    """Guards against an organisation that reads the response of another one.
 
-    It sends a continuation handle that names a stream which belongs to
-    somebody else.
+    It sends a continuation handle with a stream of the other organisation.
     """
     start = start_stream(solo)
     handle = ContinuationHandle(start.endpoint, start.stream_id, 0).encode()
@@ -47,7 +46,7 @@
 
 
 def resume_elsewhere(solo, offset, body=None):
-    """Take a stream up by its handle, pass one token, and crash the engine."""
+    """Resume a stream by its handle, pass on one token and crash the engine."""
     start = start_stream(solo)
     handle = ContinuationHandle(start.endpoint, start.stream_id, offset).encode()
     request = make_request('r2')._replace(handle=handle)
@@ -65,23 +64,23 @@
     )
 
 
-def test_answer_does_not_go_on_from_a_part_of_its_text(solo):
-    """The caller would get an answer whose end does not follow its beginning.
+def test_response_is_not_continued_from_a_part_of_its_text(solo):
+    """Guards against a response whose end does not match its beginning.
 
-    A stream is resumed here by its handle after its instance died, then its
-    engine crashes.  This instance knows only the text since the resume; an
-    engine that went on from that alone would answer something else.
+    A stream is resumed here by its handle after its instance crashed, then its
+    engine crashes too.  This instance has only the text since the resume; an
+    engine that continued from that alone would generate something else.
     """
-    again = resume_elsewhere(solo, offset=2)
+    new_attempt = resume_elsewhere(solo, offset=2)
 
-    assert b'continue_from' not in again.body
+    assert b'continue_from' not in new_attempt.body
 
 
-def test_answer_goes_on_from_the_text_that_the_caller_sent(solo):
+def test_response_continues_from_the_text_that_the_caller_sent(solo):
     document = msgspec.json.decode(make_request('r2').body)
     document['continue_from'] = {'offset': 2, 'text': 'Hello there'}
 
-    again = resume_elsewhere(solo, offset=2, body=msgspec.json.encode(document))
+    new_attempt = resume_elsewhere(solo, offset=2, body=msgspec.json.encode(document))
 
-    going_on = msgspec.json.decode(again.body)['continue_from']
-    assert going_on == {'offset': 3, 'text': 'Hello there end'}
+    continuation = msgspec.json.decode(new_attempt.body)['continue_from']
+    assert continuation == {'offset': 3, 'text': 'Hello there end'}
