--- a/savorychute/actions/__init__.py
+++ b/savorychute/actions/__init__.py
@@ -1,4 +1,4 @@
-"""What an instance asks its host to do."""
+"""The actions that an instance requests from its host."""
 
 from __future__ import annotations
 
--- a/savorychute/actions/append_record.py
+++ b/savorychute/actions/append_record.py
@@ -1,4 +1,4 @@
-"""Ask for an append to the platform's log."""
+"""Append a record to the platform's log."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AppendRecord(NamedTuple):
-    """Append *payload*; answered by ``AppendFinished`` with the same id."""
+    """Append *payload*; the host delivers ``AppendFinished`` with the same id."""
 
     append_id: str
     stream: str
--- a/savorychute/actions/cancel_attempt.py
+++ b/savorychute/actions/cancel_attempt.py
@@ -1,4 +1,4 @@
-"""Give up a request at an endpoint."""
+"""Cancel an attempt at an endpoint."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Close the attempt and tell the endpoint to stop, if it still runs.
+    """Close the attempt and stop it at the endpoint if it still runs.
 
     With ``keep_stream`` the engine pauses the stream for a later resume
     instead of discarding it.
--- a/savorychute/actions/fetch_listing.py
+++ b/savorychute/actions/fetch_listing.py
@@ -1,4 +1,4 @@
-"""Ask for the platform's list of instances."""
+"""Fetch the platform's list of instances."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class FetchListing(NamedTuple):
-    """Fetch the list; answered by ``ListingFetched``."""
+    """Fetch the list; the host delivers ``ListingFetched``."""
--- a/savorychute/actions/finish_response.py
+++ b/savorychute/actions/finish_response.py
@@ -1,4 +1,4 @@
-"""End the answer to a caller."""
+"""End the response to a caller."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class FinishResponse(NamedTuple):
-    """End an answer that was begun.
+    """End a response that was started.
 
-    Any code but ``OK`` ends it with an error event, so that a cut answer is
-    never taken for a whole one.
+    Any code but ``OK`` ends it with an error event, so that a truncated
+    response is never taken for a complete one.
     """
 
     request_id: str
--- a/savorychute/actions/operator_reply.py
+++ b/savorychute/actions/operator_reply.py
@@ -1,4 +1,4 @@
-"""Answer an operator's command."""
+"""Reply to an operator's command."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class OperatorReply(NamedTuple):
-    """Send *document*, JSON bytes, for the command with this id."""
+    """Send *document*, encoded as JSON, as the reply to a command."""
 
     command_id: str
     document: bytes
--- a/savorychute/actions/poll_endpoint.py
+++ b/savorychute/actions/poll_endpoint.py
@@ -1,4 +1,4 @@
-"""Ask an endpoint for its load and cache events."""
+"""Poll an endpoint for its load and cache events."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PollEndpoint(NamedTuple):
-    """Fetch a load report; answered by ``LoadReported`` or not at all."""
+    """Fetch a load report; the host delivers ``LoadReported`` on success."""
 
     endpoint: str
     dialect: str
--- a/savorychute/actions/read_records.py
+++ b/savorychute/actions/read_records.py
@@ -1,4 +1,4 @@
-"""Ask for records of the platform's log."""
+"""Read records of the platform's log."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ReadRecords(NamedTuple):
-    """Read from *from_offset* on; answered by ``RecordsRead``."""
+    """Read from *from_offset* on; the host delivers ``RecordsRead``."""
 
     stream: str
     from_offset: int
--- a/savorychute/actions/refuse_request.py
+++ b/savorychute/actions/refuse_request.py
@@ -1,4 +1,4 @@
-"""Answer a request without a body of its own."""
+"""Refuse a request."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class RefuseRequest(NamedTuple):
-    """Tell a caller why there is no answer, and whether the request ran.
+    """Send a caller the reason of a refusal and whether the request ran.
 
-    ``location`` is the address of the instance to ask instead, or empty.
-    ``handle`` resumes a stream that exists, or is empty.
+    ``location`` is the address of the instance to use instead, or empty.
+    ``handle`` resumes an existing stream, or is empty.
     """
 
     request_id: str
--- a/savorychute/actions/send_chunk.py
+++ b/savorychute/actions/send_chunk.py
@@ -1,4 +1,4 @@
-"""Pass a part of an answer to a caller."""
+"""Send a part of a response to a caller."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class SendChunk(NamedTuple):
-    """Send *data*, the answer's tokens from *offset* on.
+    """Send *data*, the tokens of the response from *offset* on.
 
-    ``token_count`` is how many there are.  The host frames the text of a
-    model's stream; any other data goes out as it is.
+    ``token_count`` is the number of tokens.  The host adds framing to the text
+    of a model's stream and sends any other data unchanged.
     """
 
     request_id: str
--- a/savorychute/actions/send_order.py
+++ b/savorychute/actions/send_order.py
@@ -1,4 +1,4 @@
-"""Order an engine to change."""
+"""Send an order to an engine."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class SendOrder(NamedTuple):
-    """Send an order with its fencing number; answered by ``OrderFinished``.
+    """Send an order with its fencing number; the host delivers ``OrderFinished``.
 
     ``verb`` is ``load``, ``unload`` or ``role``; ``target`` is the model,
-    adapter, version or role.  ``expected_state`` is the state that was read
-    back before, as sorted models joined by commas.  A host that is not about
-    to write the first byte before ``send_before_ms`` of the instance's clock
-    drops the order and answers ``refused``: the lease behind it has lapsed.
+    adapter, version or role.  ``expected_state`` is the engine's state when it
+    was read last, as sorted models joined by commas.  A host that can't write
+    the first byte before ``send_before_ms`` of the instance's clock drops the
+    order and delivers the outcome ``refused``, because the lease has expired.
     """
 
     order_id: str
--- a/savorychute/actions/send_peer.py
+++ b/savorychute/actions/send_peer.py
@@ -8,8 +8,8 @@
 class SendPeer(NamedTuple):
     """Send *message*, a registered peer message, without any guarantee.
 
-    ``host`` and ``peer_port`` say where to, because a receiver met through the
-    platform's list may not be a member yet.
+    ``host`` and ``peer_port`` are the address, because a receiver that was found
+    through the platform's list may not be a member yet.
     """
 
     instance: str
--- a/savorychute/actions/start_attempt.py
+++ b/savorychute/actions/start_attempt.py
@@ -8,14 +8,14 @@
 class StartAttempt(NamedTuple):
     """Open a connection to an endpoint and send it a request.
 
-    The host answers with ``AttemptSent`` before the first byte leaves, then
-    with ``AttemptStarted``, ``AttemptChunk`` and ``AttemptEnded`` or
-    ``AttemptFailed``.  With ``resume_offset`` of zero or more the stream
-    called ``stream_id`` is resumed at that token and nothing is run anew;
-    otherwise it is -1.  To continue an answer on another engine the body
-    carries ``continue_from``, an object with ``offset`` and ``text``: the
+    The host delivers ``AttemptSent`` before the first byte is sent, then
+    ``AttemptStarted``, ``AttemptChunk`` and ``AttemptEnded`` or
+    ``AttemptFailed``.  With a ``resume_offset`` of zero or more the stream
+    ``stream_id`` is resumed at that token and not generated again; otherwise
+    the offset is -1.  To continue a response on another engine the body
+    contains ``continue_from``, an object with ``offset`` and ``text``: the
     engine prefills that text after the prompt and its first chunk has that
-    offset.  Chunks of a model's stream carry plain UTF-8 text, no framing.
+    offset.  Chunks of a model's stream contain plain UTF-8 text, no framing.
     """
 
     attempt_id: str
--- a/savorychute/actions/start_response.py
+++ b/savorychute/actions/start_response.py
@@ -1,4 +1,4 @@
-"""Begin the answer to a caller."""
+"""Start the response to a caller."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class StartResponse(NamedTuple):
-    """Send the head of an answer."""
+    """Send the head of a response."""
 
     request_id: str
     status: int
--- a/savorychute/inputs/__init__.py
+++ b/savorychute/inputs/__init__.py
@@ -1,4 +1,4 @@
-"""What a host delivers to an instance."""
+"""The inputs that a host delivers to an instance."""
 
 from __future__ import annotations
 
--- a/savorychute/inputs/append_finished.py
+++ b/savorychute/inputs/append_finished.py
@@ -1,4 +1,4 @@
-"""The outcome of an append."""
+"""The outcome of an append to the platform's log."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class AppendFinished(NamedTuple):
-    """An append ended.
+    """An append has ended.
 
-    ``outcome`` is ``appended``, ``refused`` (certainly not in the log) or
+    ``outcome`` is ``appended``, ``refused`` (the record is not in the log) or
     ``unknown`` (the reply was lost; the record may be in the log).
     """
 
--- a/savorychute/inputs/attempt_chunk.py
+++ b/savorychute/inputs/attempt_chunk.py
@@ -1,4 +1,4 @@
-"""A part of an endpoint's answer."""
+"""A part of an endpoint's response."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     """Tokens ``offset`` to ``offset + token_count`` of a stream.
 
     For a model's stream ``data`` is the text of these tokens in UTF-8, without
-    framing; for an answer that is not streamed it is the body as received.
+    framing; for a response that is not streamed it is the body as received.
     For a plain service ``offset`` and ``token_count`` count bytes.
     """
 
--- a/savorychute/inputs/attempt_ended.py
+++ b/savorychute/inputs/attempt_ended.py
@@ -1,4 +1,4 @@
-"""An attempt whose answer is whole."""
+"""An attempt whose response is complete."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The endpoint ended its answer explicitly."""
+    """The endpoint has ended its response explicitly."""
 
     attempt_id: str
     total_tokens: int
--- a/savorychute/inputs/attempt_failed.py
+++ b/savorychute/inputs/attempt_failed.py
@@ -6,13 +6,13 @@
 
 
 class AttemptFailed(NamedTuple):
-    """The attempt is over without a whole answer.
+    """The attempt has ended without a complete response.
 
     ``sent`` is false only if no byte of the request left this host.
-    ``refused`` is true if the endpoint proved that it did not start: status
-    429 or 503 with the header ``x-not-started``.  ``leaving`` is true if the
-    refusal says that the endpoint is going away.  ``crashed`` is true if the
-    connection broke after the request was sent.
+    ``refused`` is true if the endpoint proved that it did not start the
+    request: status 429 or 503 with the header ``x-not-started``.  ``leaving``
+    is true if the refusal says that the endpoint is leaving.  ``crashed`` is
+    true if the connection broke after the request was sent.
     """
 
     attempt_id: str
--- a/savorychute/inputs/attempt_paused.py
+++ b/savorychute/inputs/attempt_paused.py
@@ -1,4 +1,4 @@
-"""An attempt whose answer is not being read."""
+"""An attempt whose response is not being read."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class AttemptPaused(NamedTuple):
-    """The host reads no more for now, because the caller reads too slowly.
+    """The host has paused reading because the caller reads too slowly.
 
-    Delivered every now and then while that lasts: the endpoint's silence is
-    the caller's doing.
+    Delivered repeatedly during the pause, so that the missing progress is not
+    taken for an unresponsive endpoint.
     """
 
     attempt_id: str
--- a/savorychute/inputs/attempt_started.py
+++ b/savorychute/inputs/attempt_started.py
@@ -1,4 +1,4 @@
-"""An attempt that its endpoint took up."""
+"""An attempt that its endpoint has started."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class AttemptStarted(NamedTuple):
-    """The endpoint answered with a head."""
+    """The endpoint has sent the head of its response."""
 
     attempt_id: str
     status: int
--- a/savorychute/inputs/caller_left.py
+++ b/savorychute/inputs/caller_left.py
@@ -1,4 +1,4 @@
-"""A caller that left."""
+"""A caller that has left."""
 
 from __future__ import annotations
 
--- a/savorychute/inputs/caller_request.py
+++ b/savorychute/inputs/caller_request.py
@@ -6,12 +6,12 @@
 
 
 class CallerRequest(NamedTuple):
-    """One request, read completely.
+    """A complete request.
 
     Exactly one of ``model`` and ``service`` is set.  ``prefix_hashes`` is a
-    chain over the prompt's blocks, each covering all blocks before it.
-    ``key`` is the request key and ``handle`` the continuation handle, both as
-    the caller sent them, or empty.
+    chain of hashes over the blocks of the prompt; each covers its block and all
+    blocks before it.  ``key`` is the request key and ``handle`` the
+    continuation handle, both as the caller sent them, or empty.
     """
 
     request_id: str
--- a/savorychute/inputs/listing_fetched.py
+++ b/savorychute/inputs/listing_fetched.py
@@ -9,9 +9,9 @@
 
 
 class ListingFetched(NamedTuple):
-    """Who is live and who is leaving, as of some time ago.
+    """The live instances and the leaving ones; the list may be stale.
 
-    ``leaving`` holds names of instances and of endpoints.
+    ``leaving`` contains names of instances and endpoints.
     """
 
     ok: bool
--- a/savorychute/inputs/load_reported.py
+++ b/savorychute/inputs/load_reported.py
@@ -6,12 +6,12 @@
 
 
 class LoadReported(NamedTuple):
-    """What an endpoint said of itself, true some time ago.
+    """The load that an endpoint reports of itself; it may be stale.
 
-    ``age_ms`` is how old the endpoint says the figures are.
-    ``cache_sequence`` numbers cache events; ``cached`` and ``evicted`` hold
-    prefix hashes since the cursor that was asked for; ``cache_gap`` says that
-    events in between are lost.
+    ``age_ms`` is the age of the figures as the endpoint states it.
+    ``cache_sequence`` numbers cache events; ``cached`` and ``evicted`` contain
+    prefix hashes since the requested cursor; ``cache_gap`` says that events
+    since then were lost.
     """
 
     endpoint: str
--- a/savorychute/inputs/log_record.py
+++ b/savorychute/inputs/log_record.py
@@ -6,7 +6,7 @@
 
 
 class LogRecord(NamedTuple):
-    """A payload at its offset."""
+    """A payload and its offset in the log."""
 
     offset: int
     payload: bytes
--- a/savorychute/inputs/operator_command.py
+++ b/savorychute/inputs/operator_command.py
@@ -8,7 +8,7 @@
 class OperatorCommand(NamedTuple):
     """A command with its JSON arguments.
 
-    ``token`` is checked against the operators' token hashes of the settings.
+    ``token`` is checked against the operators' token hashes in the settings.
     """
 
     command_id: str
--- a/savorychute/inputs/order_finished.py
+++ b/savorychute/inputs/order_finished.py
@@ -6,7 +6,7 @@
 
 
 class OrderFinished(NamedTuple):
-    """An order ended: ``done``, ``fenced``, ``refused`` or ``unknown``."""
+    """An order has ended: ``done``, ``fenced``, ``refused`` or ``unknown``."""
 
     order_id: str
     endpoint: str
--- a/savorychute/inputs/records_read.py
+++ b/savorychute/inputs/records_read.py
@@ -9,10 +9,10 @@
 
 
 class RecordsRead(NamedTuple):
-    """The answer to a read; ``ok`` is false when the log did not answer.
+    """The result of a read; ``ok`` is false if the log did not respond.
 
-    ``first_offset`` is the oldest offset still kept, ``end_offset`` the one
-    that the next append will get.
+    ``first_offset`` is the oldest retained offset, ``end_offset`` the offset of
+    the next append.
     """
 
     stream: str
--- a/savorychute/inputs/shutdown_requested.py
+++ b/savorychute/inputs/shutdown_requested.py
@@ -1,4 +1,4 @@
-"""A request to leave."""
+"""A request to shut down."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class ShutdownRequested(NamedTuple):
-    """Leave gracefully: finish what is in progress, take nothing new."""
+    """Shut down gracefully: finish requests in progress, refuse new ones."""
