--- /dev/null
+++ b/savorychute/gateway/daemon/peer_message_router.py
@@ -0,0 +1,179 @@
+"""Messages between instances, other than those of the membership."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from savorychute.actions.send_peer import SendPeer
+from savorychute.gateway.discovery.advertisement import read_advertisement
+from savorychute.gateway.duties.usage_told import UsageTold
+from savorychute.gateway.permits.permit_answer import PermitAnswer
+from savorychute.gateway.permits.permit_question import PermitQuestion
+from savorychute.gateway.recovery.crash_broadcaster import CrashBroadcaster
+from savorychute.gateway.recovery.crash_history_fetcher import CrashHistoryFetcher
+from savorychute.gateway.recovery.crash_news import CrashNews
+from savorychute.gateway.recovery.crash_question import CrashQuestion
+from savorychute.gateway.store.store_answer import StoreAnswer
+from savorychute.gateway.store.store_question import StoreQuestion
+from savorychute.membership.ack import Ack
+from savorychute.membership.member_news import MemberNews
+from savorychute.membership.ping import Ping
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable
+
+    from savorychute.gateway.discovery.instance_directory import InstanceDirectory
+    from savorychute.gateway.dispatch.lane_demand import LaneDemand
+    from savorychute.gateway.dispatch.shortages import Shortages
+    from savorychute.gateway.duties.duty_candidates import DutyCandidates
+    from savorychute.gateway.duties.true_time import TrueTime
+    from savorychute.gateway.duties.usage_broadcaster import UsageBroadcaster
+    from savorychute.gateway.endpoints.statement_book import StatementBook
+    from savorychute.gateway.permits.permit_desk import PermitDesk
+    from savorychute.gateway.recovery.crash_table import CrashTable
+    from savorychute.gateway.store.read_plan import ReadPlan
+    from savorychute.gateway.store.shared_reader import SharedReader
+    from savorychute.membership.member_view import MemberView
+
+
+class PeerParts(NamedTuple):
+    """The parts of an instance that exchange messages, or that need the members.
+
+    ``count_streams`` returns how many steady streams of this instance run.  ``usage``
+    is None if usage is not reported.
+    """
+
+    directory: InstanceDirectory
+    crashes: CrashTable
+    demand: LaneDemand
+    shortages: Shortages
+    statements: StatementBook
+    permits: PermitDesk
+    count_streams: Callable[[], int]
+    plan: ReadPlan
+    reading: SharedReader
+    candidates: DutyCandidates
+    usage: UsageBroadcaster | None
+    time: TrueTime
+
+
+class PeerMessageRouter:
+    """Routes messages to the parts that handle them, and collects messages to send.
+
+    :param parts: parts of this instance.
+    :param rng: random number generator, which chooses the instances to query.
+    """
+
+    def __init__(self, parts: PeerParts, rng: random.Random) -> None:
+        self.parts = parts
+        self._crash_broadcaster = CrashBroadcaster(parts.crashes)
+        self._crash_inquiry = CrashHistoryFetcher(rng)
+
+    def make_update(self, now_ms: int) -> MemberNews:
+        """Return the update that each probe carries to other instances.
+
+        :param now_ms: the current time.
+        """
+        parts = self.parts
+        return MemberNews(
+            parts.demand.advertised(now_ms),
+            parts.shortages.advertised(now_ms),
+            parts.time.own_offset_ms() if parts.usage is not None else None,
+            parts.statements.limits.told(now_ms),
+            parts.statements.leaving.told(now_ms),
+        )
+
+    def tick(self, view: MemberView, now_ms: int) -> list[SendPeer]:
+        """Pass the current members to the parts; return the messages that are due.
+
+        :param view: the current members.
+        :param now_ms: the current time.
+        """
+        parts = self.parts
+        parts.plan.set_view(view)
+        parts.permits.follow(view)
+        parts.demand.observe(parts.count_streams(), len(view.alive), now_ms)
+        parts.shortages.instances = max(1, len(view.alive))
+        parts.candidates.set_view(view)
+        messages = self._crash_broadcaster.tick(view, now_ms)
+        messages += self._crash_inquiry.tick(view, now_ms)
+        messages += parts.reading.tick(now_ms)
+        if parts.usage is not None:
+            messages += parts.usage.tick(now_ms)
+        return messages
+
+    def handle(
+        self, sender: str, message: tuple[Any, ...], view: MemberView, now_ms: int
+    ) -> list[SendPeer]:
+        """Handle a message; return the responses to it.
+
+        :param sender: the instance that sent the message.
+        :param message: any message; one that no part handles is ignored.
+        :param view: the current members.
+        :param now_ms: the current time.
+        """
+        parts = self.parts
+        match message:
+            case CrashNews():
+                parts.crashes.record_reported(
+                    message.sightings, now_ms - message.age_ms
+                )
+            case CrashQuestion():
+                requester = view.address_of(sender)
+                return (
+                    []
+                    if requester is None
+                    else self._crash_broadcaster.respond(requester, now_ms)
+                )
+            case StoreAnswer():
+                parts.reading.handle_response(message, now_ms)
+            case StoreQuestion():
+                response = parts.reading.respond(message, now_ms)
+                return _reply(view, sender, response)
+            case PermitAnswer():
+                parts.permits.take_answer(message)
+            case PermitQuestion():
+                return _reply(view, sender, parts.permits.answer(message))
+            case UsageTold():
+                if parts.usage is not None:
+                    parts.usage.handle(sender, message)
+            case Ping() | Ack():
+                self._record_reported_state(sender, message, now_ms)
+        return []
+
+    def _record_reported_state(
+        self, sender: str, probe: Ping | Ack, now_ms: int
+    ) -> None:
+        parts = self.parts
+        parts.demand.hear(probe.load, now_ms)
+        parts.shortages.hear(probe.shortages, now_ms)
+        parts.statements.limits.hear(probe.limits, now_ms)
+        parts.statements.leaving.hear(probe.leaving, now_ms)
+        parts.time.record_wall_time(sender, probe.wall_ms, now_ms)
+
+    def record_readiness(
+        self, sender: str, message: tuple[Any, ...], view: MemberView, now_ms: int
+    ) -> None:
+        """Record whether callers may be sent to another instance.
+
+        :param sender: the instance that sent a message.
+        :param message: the message.
+        :param view: the current members, after the message was applied.
+        :param now_ms: the current time.
+        """
+        advertisement = read_advertisement(message)
+        if advertisement is not None:
+            ready = advertisement.ready and sender not in view.leaving
+            self.parts.directory.record_reported_instance(
+                advertisement.address, ready, now_ms
+            )
+
+
+def _reply(
+    view: MemberView, requester: str, response: tuple[Any, ...]
+) -> list[SendPeer]:
+    member = view.address_of(requester)
+    if member is None:
+        return []  # The requester is not known here yet; it queries another one.
+    return [SendPeer(member.instance, member.host, member.peer_port, response)]
