--- a/savorychute/instance/responder.py
+++ b/savorychute/instance/responder.py
@@ -206,7 +206,7 @@
     def _settle_key(
         self, tracked: TrackedRequest, ran: Ran, code: ResultCode, now_ms: int
     ) -> list[Action]:
-        """Report to the key manager how a key's single run ended, if it ran."""
+        """Report to the key manager how a key's run ended, or that it did not run."""
         keys = self._parts.keys
         if not tracked.holds_key:
             keys.leave(tracked.request_id)
