--- a/benches/limiter_rig.py
+++ b/benches/limiter_rig.py
@@ -130,12 +130,12 @@
 
     def units(self, name):
         """Return how many units an instance may use."""
-        return self.limiters[name]._desk.units(ORGANISATION, self.now_ms)
+        return self.limiters[name]._handler.units(ORGANISATION, self.now_ms)
 
     def home(self):
         """Return the instance that the first one takes for the home."""
         first = next(iter(self.limiters.values()))
-        return first._desk._book.holdings[ORGANISATION].home
+        return first._handler._shares.holdings[ORGANISATION].home
 
     def _true_alive(self, viewer):
         return {
--- a/savorychute/limits/__init__.py
+++ b/savorychute/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits of organisations over all instances."""
+"""Limits of organisations, enforced across all instances."""
 
 from __future__ import annotations
 
--- a/savorychute/limits/limit_ask.py
+++ b/savorychute/limits/limit_ask.py
@@ -1,4 +1,4 @@
-"""A home's question to members that have not reported."""
+"""Message in which a home instance requests missing reports."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @peer_message(42)
 class LimitAsk(NamedTuple):
-    """Ask for a report on these organisations, also if there is nothing to say.
+    """Request for a report on these organisations, even if it is empty.
 
-    A home divides freely only when it knows what every member holds.
+    A home divides the full limits only when it knows what every member holds.
     """
 
     organisations: tuple[str, ...]
--- a/savorychute/limits/limit_grant.py
+++ b/savorychute/limits/limit_grant.py
@@ -1,4 +1,4 @@
-"""The message from an organisation's home to an instance."""
+"""Message from an organisation's home to another instance."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 @peer_message(41)
 class LimitGrant(NamedTuple):
-    """Shares that last from the report they answer.
+    """Granted shares, whose validity starts at the report they answer.
 
-    ``epoch`` and ``report_number`` name that report, ``home_epoch`` differs
-    at each start of the home.  ``vetoers`` are members that see no majority of
-    the members; a home that is one of them grants nothing.
+    ``epoch`` and ``report_number`` identify that report; ``home_epoch`` changes each
+    time the home starts.  ``vetoers`` are members that do not see a majority of the
+    members; a home that is one of them grants nothing.
     """
 
     home_epoch: int
--- a/savorychute/limits/limit_report.py
+++ b/savorychute/limits/limit_report.py
@@ -1,4 +1,4 @@
-"""The message from an instance to an organisation's home."""
+"""Message from an instance to an organisation's home."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @peer_message(40)
 class LimitReport(NamedTuple):
-    """Organisations for whom the receiver is the home, as the sender sees it.
+    """Reports on the organisations whose home is the receiver, in the sender's view.
 
-    ``epoch`` differs at each start of the sender, ``number`` counts its
-    reports.  ``vetoers`` are members that see no majority of the members,
-    ``lost`` members that the sender has lost lately, the last one
-    ``loss_age_ms`` ago (-1: never).
+    ``epoch`` changes each time the sender starts; ``number`` counts its reports.
+    ``vetoers`` are members that do not see a majority of the members.  ``lost`` are
+    members that the sender recently lost, the last of them ``loss_age_ms`` ago (-1:
+    never).
     """
 
     epoch: int
--- a/savorychute/limits/limiter.py
+++ b/savorychute/limits/limiter.py
@@ -1,11 +1,11 @@
-"""An organisation's limits on one instance."""
+"""Enforcement of the organisations' limits on one instance."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
 from savorychute.limits.organisation_meter import OrganisationMeter
-from savorychute.limits.share_desk import ShareDesk
+from savorychute.limits.share_handler import ShareHandler
 
 if TYPE_CHECKING:
     import random
@@ -19,17 +19,17 @@
 EPOCH_BITS = 31
 
 
-class _Use(NamedTuple):
+class _RequestUse(NamedTuple):
     organisation: str
     tokens: int
 
 
 class OrganisationLimiter:
-    """Holds each organisation to its share of the contract on this instance.
+    """Limits each organisation on this instance to its share of the contract.
 
     :param settings: durations and sizes.
     :param instance: this instance's name.
-    :param rng: the source of this run's epoch.
+    :param rng: random source for the epoch of this process run.
     """
 
     def __init__(
@@ -37,15 +37,17 @@
     ) -> None:
         self.settings = settings
         self.instance = instance
-        self._desk = ShareDesk(settings, instance, rng.getrandbits(EPOCH_BITS) | 1)
+        self._handler = ShareHandler(
+            settings, instance, rng.getrandbits(EPOCH_BITS) | 1
+        )
         self._meters: dict[str, OrganisationMeter] = {}
-        self._uses: dict[str, _Use] = {}
+        self._uses: dict[str, _RequestUse] = {}
         self._now_ms = 0
 
     def set_limits(self, limits: dict[str, OrganisationLimits]) -> None:
-        """Replace the limits of all organisations; what runs stays counted.
+        """Replace the limits of all organisations; running requests stay counted.
 
-        :param limits: by organisation.
+        :param limits: limits by organisation.
         """
         for organisation, entry in limits.items():
             meter = self._meters.get(organisation)
@@ -54,20 +56,20 @@
                 self._meters[organisation] = meter
             meter.set_limits(entry, self._now_ms)
         self._meters = {c: m for c, m in self._meters.items() if c in limits}
-        self._desk.set_meters(self._meters, self._now_ms)
+        self._handler.set_meters(self._meters, self._now_ms)
 
     def check(self, organisation: str, tokens: int, now_ms: int) -> int:
-        """Return 0 if a request may start, else when to ask again, in ms.
+        """Return 0 if a request may start, else the delay before a retry, in ms.
 
-        :param organisation: whose request it is.
-        :param tokens: how many it is expected to use.
-        :param now_ms: the time.
+        :param organisation: organisation that sent the request.
+        :param tokens: expected number of tokens.
+        :param now_ms: the current time.
         """
         self._now_ms = max(self._now_ms, now_ms)
         meter = self._meters.get(organisation)
         if meter is None:
             return self.settings.max_retry_after_ms
-        meter.set_units(self._desk.units(organisation, now_ms), now_ms)
+        meter.set_units(self._handler.units(organisation, now_ms), now_ms)
         return meter.wait_ms(tokens, now_ms)
 
     def start(
@@ -75,22 +77,22 @@
     ) -> None:
         """Count a request that starts.
 
-        :param organisation: whose request it is.
-        :param request_id: the request.
-        :param tokens: how many it is expected to use.
-        :param now_ms: the time.
+        :param organisation: organisation that sent the request.
+        :param request_id: identifier of the request.
+        :param tokens: expected number of tokens.
+        :param now_ms: the current time.
         """
-        self._uses[request_id] = _Use(organisation, tokens)
+        self._uses[request_id] = _RequestUse(organisation, tokens)
         meter = self._meters.get(organisation)
         if meter is not None:
             meter.start(tokens, now_ms)
 
     def finish(self, request_id: str, tokens_used: int, now_ms: int) -> None:
-        """Settle a request that has ended.
+        """Settle the token usage of a request that has ended.
 
-        :param request_id: the request; an unknown one is ignored.
-        :param tokens_used: what it has used in fact.
-        :param now_ms: the time.
+        :param request_id: identifier of the request; an unknown one is ignored.
+        :param tokens_used: number of tokens that it used.
+        :param now_ms: the current time.
         """
         use = self._uses.pop(request_id, None)
         meter = None if use is None else self._meters.get(use.organisation)
@@ -98,22 +100,22 @@
             meter.finish(use.tokens, tokens_used, now_ms)
 
     def apply_listing(self, listing: ListingFetched, now_ms: int) -> None:
-        """Follow the platform's list, if it can be right.
+        """Apply the platform's list of instances, unless it is invalid.
 
-        A list without this instance is wrong or too old to conclude from.
+        A list that does not contain this instance is wrong or obsolete and is ignored.
 
-        :param listing: the list.
-        :param now_ms: the time.
+        :param listing: the fetched list.
+        :param now_ms: the current time.
         """
         listed = listing.leaving | {member.instance for member in listing.live}
         if listing.ok and self.instance in listed:
-            self._desk.follow_list(listed, now_ms)
+            self._handler.apply_listed(listed, now_ms)
 
     def set_demand(self, organisation: str, waiting: int) -> None:
-        """Note how many requests of an organisation wait here.
+        """Set how many requests of an organisation wait on this instance.
 
-        :param organisation: whose requests they are.
-        :param waiting: their number.
+        :param organisation: name of the organisation.
+        :param waiting: number of waiting requests.
         """
         meter = self._meters.get(organisation)
         if meter is not None:
@@ -126,32 +128,32 @@
         view: MemberView,
         now_ms: int,
     ) -> list[Action]:
-        """Take in a peer message.
+        """Handle a peer message.
 
         :param sender: the instance that sent it.
         :param message: the message.
-        :param view: who is alive.
-        :param now_ms: the time.
+        :param view: the current membership view.
+        :param now_ms: the current time.
         """
         self._now_ms = max(self._now_ms, now_ms)
-        self._desk.set_view(view, now_ms)
-        return self._desk.receive(sender, message, view, now_ms)
+        self._handler.set_view(view, now_ms)
+        return self._handler.receive(sender, message, view, now_ms)
 
     def tick(self, view: MemberView, now_ms: int) -> list[Action]:
-        """Do what is due.
+        """Run the periodic work that is due.
 
-        :param view: who is alive.
-        :param now_ms: the time.
+        :param view: the current membership view.
+        :param now_ms: the current time.
         """
         self._now_ms = max(self._now_ms, now_ms)
-        self._desk.set_view(view, now_ms)
-        return self._desk.tick(view, now_ms)
+        self._handler.set_view(view, now_ms)
+        return self._handler.tick(view, now_ms)
 
     def leave(self, view: MemberView, now_ms: int) -> list[Action]:
-        """Return what is unused, before this instance goes.
+        """Return unused units before this instance leaves.
 
-        :param view: who is alive, without this instance.
-        :param now_ms: the time.
+        :param view: the current membership view, without this instance.
+        :param now_ms: the current time.
         """
         self._now_ms = max(self._now_ms, now_ms)
-        return self._desk.leave(view, now_ms)
+        return self._handler.leave(view, now_ms)
--- a/savorychute/limits/organisation_meter.py
+++ b/savorychute/limits/organisation_meter.py
@@ -1,4 +1,4 @@
-"""What one organisation uses on one instance."""
+"""One organisation's usage of its limits on one instance."""
 
 from __future__ import annotations
 
@@ -13,27 +13,29 @@
     from savorychute.limits.settings import LimitSettings
 
 NEVER_MS = -1
-#: How fast the measured rates follow.
-RATE_MEMORY_MS = 2_000
-#: Demand is asked for with this margin, and grows by it while it is refused.
+#: Time constant of the exponential decay of the measured rates.
+RATE_TIME_CONSTANT_MS = 2_000
+#: Margin on the units that the measured rates need.
 DEMAND_MARGIN = 1.25
+#: While requests are refused, the requested units are the current ones times this
+#: factor, plus one of FIRST_REQUEST_DIVISOR equal parts of the contract.
 GROWTH_FACTOR = 3
-#: A first demand asks for one of this many parts of the contract.
-FIRST_ASK_PARTS = 8
-#: How long to wait for a request in progress to end, when nothing is known.
+FIRST_REQUEST_DIVISOR = 8
+#: Delay before a retry while all units are in use; it is unknown when one becomes free.
 BUSY_RETRY_MS = 250
-#: A shorter wait is the spacing of requests by their rate, not a lack of units.
-REFUSAL_MS = 50
-#: How long to wait for a first share.
+#: A shorter wait is caused by the spacing of requests by their rate, not by a lack of
+#: units.
+MIN_REFUSAL_WAIT_MS = 50
+#: Delay before a retry while the instance has no share yet.
 SHARE_RETRY_MS = 100
 
 
 class OrganisationMeter:
-    """Concurrency, rate and tokens of an organisation against its units here.
+    """Checks concurrency, rate and tokens of an organisation against its local units.
 
-    :param limits: of the organisation.
-    :param settings: burst and longest wait.
-    :param now_ms: the time.
+    :param limits: limits of the organisation.
+    :param settings: burst duration and longest delay before a retry.
+    :param now_ms: the current time.
     """
 
     def __init__(
@@ -42,7 +44,7 @@
         self.limits = limits
         self.settings = settings
         self.in_use = 0
-        self.used_ms = NEVER_MS
+        self.last_use_ms = NEVER_MS
         self.waiting = 0
         self.was_refused = False
         self._units = 0
@@ -50,18 +52,18 @@
         self._tokens = TokenBucket(0.0, now_ms)
         self._request_rate = 0.0
         self._token_rate = 0.0
-        self._rated_ms = now_ms
+        self._decayed_ms = now_ms
 
     @property
     def total(self) -> int:
-        """The units that the organisation's limits are divided into."""
+        """The number of units into which the organisation's limits are divided."""
         return max(1, self.limits.concurrent_requests)
 
     def set_limits(self, limits: OrganisationLimits, now_ms: int) -> None:
-        """Follow an amended contract.
+        """Apply an amended contract.
 
-        :param limits: of the organisation.
-        :param now_ms: the time.
+        :param limits: new limits of the organisation.
+        :param now_ms: the current time.
         """
         if limits != self.limits:
             self.limits = limits
@@ -69,13 +71,14 @@
             self.set_units(units, now_ms)
 
     def set_units(self, units: int, now_ms: int) -> None:
-        """Follow a change of the share.
+        """Apply a change of the share.
 
-        A first share comes with one request, or else the first request would
-        wait for a slow rate to accrue.
+        A first share starts with a permit for one request; otherwise the first request
+        would wait until a slow rate has accrued one.
 
-        :param units: of concurrency, and as many parts of rate and tokens.
-        :param now_ms: the time.
+        :param units: concurrent requests; the rate and the tokens are granted in
+            proportion.
+        :param now_ms: the current time.
         """
         if units == self._units:
             return
@@ -95,10 +98,10 @@
                 bucket.level = max(bucket.level, 1.0)
 
     def wait_ms(self, tokens: int, now_ms: int) -> int:
-        """Return 0 if a request may start, else when to ask again, in ms.
+        """Return 0 if a request may start, else the delay before a retry, in ms.
 
-        :param tokens: how many it is expected to use.
-        :param now_ms: the time.
+        :param tokens: expected number of tokens.
+        :param now_ms: the current time.
         """
         if self._units == 0:
             wait = SHARE_RETRY_MS
@@ -109,29 +112,29 @@
                 self._requests.wait_ms(1, now_ms), self._tokens.wait_ms(tokens, now_ms)
             )
             wait = math.ceil(min(accrual_ms, self.settings.max_retry_after_ms))
-        self.was_refused = self.was_refused or wait >= REFUSAL_MS
+        self.was_refused = self.was_refused or wait >= MIN_REFUSAL_WAIT_MS
         return wait
 
     def start(self, tokens: int, now_ms: int) -> None:
         """Count a request that starts.
 
-        :param tokens: how many it is expected to use.
-        :param now_ms: the time.
+        :param tokens: expected number of tokens.
+        :param now_ms: the current time.
         """
-        self._decay(now_ms)
+        self._decay_rates(now_ms)
         self.in_use += 1
-        self.used_ms = now_ms
-        self._request_rate += MS_PER_S / RATE_MEMORY_MS
-        self._token_rate += tokens * MS_PER_S / RATE_MEMORY_MS
+        self.last_use_ms = now_ms
+        self._request_rate += MS_PER_S / RATE_TIME_CONSTANT_MS
+        self._token_rate += tokens * MS_PER_S / RATE_TIME_CONSTANT_MS
         self._requests.spend(1, now_ms)
         self._tokens.spend(tokens, now_ms)
 
     def finish(self, tokens: int, tokens_used: int, now_ms: int) -> None:
-        """Settle a request that has ended.
+        """Settle the token usage of a request that has ended.
 
-        :param tokens: how many it was expected to use.
-        :param tokens_used: how many it has used.
-        :param now_ms: the time.
+        :param tokens: expected number of tokens.
+        :param tokens_used: number of tokens that it used.
+        :param now_ms: the current time.
         """
         self.in_use -= 1
         self._tokens.spend(tokens_used - tokens, now_ms)
@@ -139,27 +142,27 @@
     def wanted(self, now_ms: int) -> int:
         """Return how many units the demand needs.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        self._decay(now_ms)
+        self._decay_rates(now_ms)
         by_requests = self._request_rate / max(self.limits.requests_per_s, 1e-9)
         by_tokens = self._token_rate / max(self.limits.tokens_per_s, 1e-9)
         by_rate = DEMAND_MARGIN * max(by_requests, by_tokens) * self.total
         needed = max(self.in_use + self.waiting, math.ceil(by_rate - 0.1))
         if self.was_refused:
-            step = max(1, self.total // FIRST_ASK_PARTS)
-            guess = GROWTH_FACTOR * self._units + step
+            step = max(1, self.total // FIRST_REQUEST_DIVISOR)
+            estimate = GROWTH_FACTOR * self._units + step
             if self.in_use < self._units:
-                # What is guessed and not in use takes no more than half: it is
-                # lost to all others for a while if this instance dies.
-                guess = min(guess, self.total // 2)
-            needed = max(needed, guess)
+                # Limit an estimated demand to half of the total: if this instance dies,
+                # these units are unavailable to all others for a while.
+                estimate = min(estimate, self.total // 2)
+            needed = max(needed, estimate)
         return min(needed, self.total)
 
-    def _decay(self, now_ms: int) -> None:
-        elapsed_ms = now_ms - self._rated_ms
+    def _decay_rates(self, now_ms: int) -> None:
+        elapsed_ms = now_ms - self._decayed_ms
         if elapsed_ms > 0:
-            factor = math.exp(-elapsed_ms / RATE_MEMORY_MS)
+            factor = math.exp(-elapsed_ms / RATE_TIME_CONSTANT_MS)
             self._request_rate *= factor
             self._token_rate *= factor
-            self._rated_ms = now_ms
+            self._decayed_ms = now_ms
--- a/savorychute/limits/settings.py
+++ b/savorychute/limits/settings.py
@@ -8,15 +8,15 @@
 class LimitSettings(NamedTuple):
     """Durations and sizes of shares.
 
-    ``burst_ms`` is how long an unused rate is saved up.  A share lasts
-    ``grant_ms`` from the report that it answers, its floor ``floor_ms``; the
-    floor is ``floor_share`` of it.  Shares outlast the time in which a dead home
-    is noticed, or its successor would not know them.  ``detection_ms`` bounds how long members
-    that can talk to each other disagree on who is alive, and
-    ``in_progress_ms`` how long work under an ended share is counted.
-    ``left_ms`` is how long a home waits for a member that left gracefully.  A lost
-    member is forgotten after ``forget_ms`` by a majority, and after
-    ``minority_forget_ms`` by a minority.
+    ``burst_ms`` is how long an unused rate accumulates.  A share is valid for
+    ``grant_ms`` from the report that it answers, and its floor for ``floor_ms``; the
+    floor is ``floor_share`` of the share.  Shares are valid for longer than it takes to
+    detect the death of a home; otherwise its successor would not learn of them.
+    ``detection_ms`` bounds how long members that can reach each other disagree on who
+    is alive, and ``in_progress_ms`` how long work that started under an expired share
+    is counted.  ``left_ms`` is how long a home waits for the report of a member that
+    left gracefully.  A majority forgets a lost member after ``forget_ms``, a minority
+    after ``minority_forget_ms``.
     """
 
     burst_ms: int = 1_000
@@ -38,19 +38,20 @@
     spare_memory_ms: int = 60_000
 
     @property
-    def floor_tail_ms(self) -> int:
-        """How long a floor may be in use after its end in a home's books.
+    def floor_overrun_ms(self) -> int:
+        """How long a floor may be in use after it has expired in a home's records.
 
-        Another home may have renewed it until all knew better, and work that
-        started under it goes on.
+        Another home may have renewed it until all members agree on the home, and work
+        that started under it continues.
         """
         return self.detection_ms + self.in_progress_ms
 
     @property
-    def unknown_ms(self) -> int:
-        """How long a share may be in use after its holder reported last.
+    def unreported_use_ms(self) -> int:
+        """How long a share may be in use after the last report of its holder.
 
-        Its home may be replaced unknown to others for the detection time, and
-        be renewing until the end of it; then the share lasts, then the work.
+        The old home may keep renewing the share for up to the detection time after it
+        has been replaced.  The share then lasts for its full duration, and work that
+        started under it continues.
         """
         return self.detection_ms + self.grant_ms + self.in_progress_ms
--- a/savorychute/limits/share_grant.py
+++ b/savorychute/limits/share_grant.py
@@ -8,9 +8,9 @@
 class ShareGrant(NamedTuple):
     """The units of an organisation's limits that the receiver may use.
 
-    ``floor`` of them stay when the rest has ended without a renewal.
-    ``must_acknowledge`` asks for a report at once, because others wait for
-    what this grant takes back.
+    ``floor`` of them remain valid when the others expire without a renewal.
+    ``must_acknowledge`` requests a report at once, because other instances wait for the
+    units that this grant reclaims.
     """
 
     organisation: str
--- a/savorychute/limits/share_holding.py
+++ b/savorychute/limits/share_holding.py
@@ -11,9 +11,9 @@
 
 
 class ShareHolding:
-    """Units that a home has granted, and until when.
+    """The units granted by the home, with their expiry times.
 
-    :param organisation: whose limits these are.
+    :param organisation: name of the organisation.
     """
 
     def __init__(self, organisation: str) -> None:
@@ -31,9 +31,9 @@
         self._floor_ends_ms = 0
 
     def set_home(self, home: str) -> None:
-        """Follow a change of the home; the share stays until it ends.
+        """Change the home; the current share stays valid until it expires.
 
-        :param home: an instance, or empty if there is none.
+        :param home: name of the new home, or empty if there is none.
         """
         if home != self.home:
             self.home = home
@@ -44,24 +44,24 @@
     def units(self, now_ms: int) -> int:
         """Return how many units may be used.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         if now_ms < self._expires_ms:
             return self._units
         return self._floor if now_ms < self._floor_ends_ms else 0
 
     def floor(self, now_ms: int) -> int:
-        """Return how many units stay without a renewal.
+        """Return how many units remain valid without a renewal.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         return self._floor if now_ms < self._floor_ends_ms else 0
 
-    def owes(self, in_use: int, now_ms: int) -> bool:
-        """Return whether units that were taken back have come free since.
+    def has_freed_units(self, in_use: int, now_ms: int) -> bool:
+        """Return whether reclaimed units have become free since the last report.
 
-        :param in_use: requests in progress.
-        :param now_ms: the time.
+        :param in_use: number of requests in progress.
+        :param now_ms: the current time.
         """
         return in_use < self.reported_in_use > self.units(now_ms)
 
@@ -70,10 +70,10 @@
     ) -> None:
         """Put a grant in force, unless it is older than the last one.
 
-        :param home_epoch: of the home's run.
-        :param grant: from this organisation's home.
-        :param expires_ms: when the units end.
-        :param floor_ends_ms: when the floor ends.
+        :param home_epoch: epoch of the home's process run.
+        :param grant: grant by the home of this organisation.
+        :param expires_ms: when the units expire.
+        :param floor_ends_ms: when the floor expires.
         """
         if home_epoch == self.home_epoch and grant.sequence <= self.sequence:
             return
@@ -85,34 +85,34 @@
         self._floor = grant.floor
         self._floor_ends_ms = floor_ends_ms
 
-    def keep_floor(self, floor: int, ends_ms: int) -> None:
-        """Keep a floor of what this instance held as the home.
+    def retain_floor(self, floor: int, ends_ms: int) -> None:
+        """Retain a floor of the units that this instance held as the home.
 
-        :param floor: how many units.
-        :param ends_ms: until when.
+        :param floor: number of units.
+        :param ends_ms: when the floor expires.
         """
         self._units = floor
         self._expires_ms = 0
         self._floor = floor
         self._floor_ends_ms = ends_ms
 
-    def give_up(self, keep: int) -> None:
-        """Return all units but some.
+    def shrink_to(self, in_use: int) -> None:
+        """Give up all units but those in use.
 
-        :param keep: how many are still in use.
+        :param in_use: number of units that are still in use.
         """
-        self._units = min(self._units, keep)
-        self._floor = min(self._floor, keep)
+        self._units = min(self._units, in_use)
+        self._floor = min(self._floor, in_use)
 
     def build_report(
         self, in_use: int, wanted: int, now_ms: int, *, wants_spare: bool
     ) -> ShareReport:
-        """Return what the home has to know.
+        """Return the report to the home.
 
-        :param in_use: requests in progress.
-        :param wanted: units that the demand needs.
-        :param now_ms: the time.
-        :param wants_spare: whether more than that is welcome.
+        :param in_use: number of requests in progress.
+        :param wanted: number of units that the demand needs.
+        :param now_ms: the current time.
+        :param wants_spare: whether spare units beyond that are wanted.
         """
         self.must_report = False
         self.reported_ms = now_ms
--- a/savorychute/limits/share_record.py
+++ b/savorychute/limits/share_record.py
@@ -1,4 +1,4 @@
-"""What a home must assume of one holder of a share."""
+"""A home's conservative record of one holder of a share."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
     from savorychute.limits.share_report import ShareReport
 
 
-class ShareOffer(NamedTuple):
-    """A grant that may or may not have arrived."""
+class ShareCommitment(NamedTuple):
+    """Units that a holder may have: a reported share, or a grant sent since."""
 
     sequence: int
     units: int
@@ -22,7 +22,7 @@
 class ShareRecord:
     """One holder's share of one organisation's limits.
 
-    :param epoch: of the holder's run.
+    :param epoch: epoch of the holder's process run.
     """
 
     def __init__(self, epoch: int) -> None:
@@ -32,76 +32,84 @@
         self.in_use = 0
         self.wanted = 0
         self.wants_spare = False
-        self._applied = ShareOffer(0, 0, 0, 0, 0)
-        self._offers: list[ShareOffer] = []
+        self._applied = ShareCommitment(0, 0, 0, 0, 0)
+        self._sent_commitments: list[ShareCommitment] = []
 
-    def take_report(
+    def apply_report(
         self, number: int, report: ShareReport, settings: LimitSettings, now_ms: int
     ) -> None:
-        """Take in what the holder says.
+        """Apply a report of the holder.
 
-        :param number: of the report.
-        :param report: the part on this organisation.
-        :param settings: how long what it holds may be in use.
-        :param now_ms: the time.
+        :param number: number of the report.
+        :param report: its part for this organisation.
+        :param settings: durations for which the reported share may be in use.
+        :param now_ms: the current time.
         """
         self.number = number
         self.received_ms = now_ms
         self.in_use = report.in_use
         self.wanted = report.wanted
         self.wants_spare = report.wants_spare
-        self._applied = ShareOffer(
+        self._applied = ShareCommitment(
             sequence=report.sequence,
             units=max(report.held, report.in_use),
-            ends_ms=now_ms + settings.unknown_ms,
+            ends_ms=now_ms + settings.unreported_use_ms,
             floor=report.floor,
-            floor_ends_ms=now_ms + report.floor_left_ms + settings.floor_tail_ms,
+            floor_ends_ms=now_ms + report.floor_left_ms + settings.floor_overrun_ms,
         )
-        self._offers = [o for o in self._offers if o.sequence > report.sequence]
+        self._sent_commitments = [
+            o for o in self._sent_commitments if o.sequence > report.sequence
+        ]
 
-    def add_offer(self, offer: ShareOffer) -> None:
-        """Note a grant that is sent.
+    def add_commitment(self, commitment: ShareCommitment) -> None:
+        """Record a grant that is being sent.
 
-        :param offer: the grant.
+        :param commitment: the units that it grants.
         """
-        self._offers.append(offer)
+        self._sent_commitments.append(commitment)
 
     def committed(self, now_ms: int) -> int:
-        """Return the most that the holder may use, or have in progress.
+        """Return the most that the holder may use or have in progress.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         most = 0
-        for offer in (self._applied, *self._offers):
-            if now_ms < offer.ends_ms:
-                most = max(most, offer.units)
-            elif now_ms < offer.floor_ends_ms:
-                most = max(most, offer.floor)
+        for commitment in (self._applied, *self._sent_commitments):
+            if now_ms < commitment.ends_ms:
+                most = max(most, commitment.units)
+            elif now_ms < commitment.floor_ends_ms:
+                most = max(most, commitment.floor)
         return most
 
     def floor(self, now_ms: int) -> int:
         """Return the largest floor that may be in force.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         return max(
             (
                 o.floor
-                for o in (self._applied, *self._offers)
+                for o in (self._applied, *self._sent_commitments)
                 if now_ms < o.floor_ends_ms
             ),
             default=0,
         )
 
     def last_units(self) -> int:
-        """Return the units of the newest grant, or what the report said."""
-        return self._offers[-1].units if self._offers else self._applied.units
+        """Return the units of the newest grant, or else the reported units."""
+        return (
+            self._sent_commitments[-1].units
+            if self._sent_commitments
+            else self._applied.units
+        )
 
-    def drop_ended(self, now_ms: int) -> None:
-        """Forget grants of which nothing is in force.
+    def drop_expired(self, now_ms: int) -> None:
+        """Discard grants that have expired together with their floors.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        self._offers = [
-            o for o in self._offers if now_ms < max(o.ends_ms, o.floor_ends_ms)
+        self._sent_commitments = [
+            o
+            for o in self._sent_commitments
+            if now_ms < max(o.ends_ms, o.floor_ends_ms)
         ]
--- a/savorychute/limits/share_report.py
+++ b/savorychute/limits/share_report.py
@@ -8,9 +8,9 @@
 class ShareReport(NamedTuple):
     """What an instance holds, uses and wants of an organisation's limits.
 
-    All amounts are in units of one concurrent request, which stand for equal
-    parts of the rate and of the tokens too.  ``home_epoch`` and ``sequence``
-    name the last grant that was applied; ``floor`` lasts ``floor_left_ms``.
+    All amounts are in units of one concurrent request; a unit also stands for an equal
+    part of the rate and of the tokens.  ``home_epoch`` and ``sequence`` identify the
+    last grant that was applied; ``floor`` expires in ``floor_left_ms``.
     """
 
     organisation: str
--- a/savorychute/limits/token_bucket.py
+++ b/savorychute/limits/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket whose rate changes."""
+"""A token bucket with a variable rate."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class TokenBucket:
-    """Permits that accrue at a rate and are saved up to a capacity.
+    """Permits that accrue at a rate, up to a capacity.
 
-    The level may fall below zero, when something cost more than was expected;
-    nothing more is permitted until it has recovered.
+    The level may fall below zero when a request costs more than was expected; no more
+    permits are issued until the level has recovered.
 
-    :param level: permits at the start.
+    :param level: initial number of permits.
     """
 
     def __init__(self, level: float, now_ms: int) -> None:
@@ -21,11 +21,11 @@
         self._updated_ms = now_ms
 
     def set_rate(self, rate_per_s: float, capacity: float, now_ms: int) -> None:
-        """Change the rate; what is saved above the capacity is lost.
+        """Change the rate; permits above the new capacity are lost.
 
-        :param rate_per_s: permits a second.
-        :param capacity: the most that is saved up.
-        :param now_ms: the time.
+        :param rate_per_s: permits per second.
+        :param capacity: largest number of permits that can accumulate.
+        :param now_ms: the current time.
         """
         self._accrue(now_ms)
         self.rate_per_s = rate_per_s
@@ -33,22 +33,22 @@
         self.level = min(self.level, capacity)
 
     def spend(self, amount: float, now_ms: int) -> None:
-        """Take permits, or put them back if negative.
+        """Consume permits, or return them if the amount is negative.
 
-        :param amount: how many.
-        :param now_ms: the time.
+        :param amount: number of permits.
+        :param now_ms: the current time.
         """
         self._accrue(now_ms)
         self.level = min(self.level - amount, self.capacity)
 
     def wait_ms(self, amount: float, now_ms: int) -> float:
-        """Return how long it takes until *amount* may be spent.
+        """Return how long it takes until *amount* can be consumed.
 
-        More than the capacity never accrues, so a full bucket permits
-        anything and goes into debt.
+        An amount above the capacity never accrues, so a full bucket permits any amount
+        and its level becomes negative.
 
-        :param amount: how many.
-        :param now_ms: the time.
+        :param amount: number of permits.
+        :param now_ms: the current time.
         """
         self._accrue(now_ms)
         missing = min(amount, self.capacity) - self.level
--- a/tests/test_limits/conftest.py
+++ b/tests/test_limits/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of limit tests."""
+"""Fixtures of the limit tests."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 @pytest.fixture
-def make_rig():
-    """Return a function that builds a rig whose instances know each other."""
+def make_cluster():
+    """Return a function that builds a cluster of instances that know each other."""
 
     def make(names='abcdefgh', *, greed=0, settle_ms=20_000, limits=None):
-        rig = LimiterRig(LimitSettings(), limits or build_limits())
-        rig.hold_ms = 400
+        cluster = LimiterRig(LimitSettings(), limits or build_limits())
+        cluster.hold_ms = 400
         for name in names:
-            rig.start(name, greed=greed)
-        rig.run(settle_ms)
-        return rig
+            cluster.start(name, greed=greed)
+        cluster.run(settle_ms)
+        return cluster
 
     return make
--- a/tests/test_limits/test_token_bucket.py
+++ b/tests/test_limits/test_token_bucket.py
@@ -31,7 +31,7 @@
     assert bucket.wait_ms(1, 0) == 2_100
 
 
-def test_lower_rate_forfeits_what_was_saved(bucket):
+def test_lower_rate_forfeits_accrued_permits(bucket):
     bucket.set_rate(1.0, 1.0, 0)
     bucket.spend(1, 0)
 
