--- a/benches/capacity_roles/credits_role.py
+++ b/benches/capacity_roles/credits_role.py
@@ -84,7 +84,7 @@
         """End, start and queue requests."""
         while self._running and self._running[0].end_ms <= now_ms:
             ended = heapq.heappop(self._running)
-            self.ledger.give_back(ended.attempt_id, now_ms)
+            self.ledger.release(ended.attempt_id, now_ms)
             self._counts[ended.pool][ended.tier] -= 1
         for pool, queue in self._waiting.items():
             while queue and self._start(pool, queue[0], now_ms):
@@ -122,7 +122,7 @@
         pair.sort(key=lambda name: -self.ledger.available(name, tier))
         attempt_id = f'attempt-{self.started}'
         for endpoint in (*pair, *candidates):
-            if self.ledger.take(endpoint, attempt_id, tier, EXPECTED_TOKENS, now_ms):
+            if self.ledger.acquire(endpoint, attempt_id, tier, EXPECTED_TOKENS, now_ms):
                 self.started += 1
                 self._counts[pool][tier] += 1
                 service_ms = int(self._rng.expovariate(1 / MEAN_SERVICE_MS))
--- a/benches/ledger_rig.py
+++ b/benches/ledger_rig.py
@@ -105,12 +105,12 @@
     def home(self):
         """Return the instance that the first one takes for the home."""
         first = next(iter(self.ledgers.values()))
-        return next(iter(first._book.holdings.values())).home
+        return next(iter(first._groups.holdings.values())).home
 
     def level(self, name):
         """Return what an instance may start now and what it runs, together."""
         ledger = self.ledgers[name]
-        return self.available(name) + len(ledger._book._uses)
+        return self.available(name) + len(ledger._groups._uses)
 
     def available(self, name, tier=0):
         """Return how many requests an instance may start now."""
@@ -125,7 +125,7 @@
                 attempt = f'{name}-{self._count}'
                 self._count += 1
                 ledger = self.ledgers[name]
-                if not ledger.take(endpoint, attempt, tier, 1, self.now_ms):
+                if not ledger.acquire(endpoint, attempt, tier, 1, self.now_ms):
                     break
                 attempts.append(attempt)
         return attempts
@@ -135,7 +135,7 @@
         totals = {}
         for ledger in self.ledgers.values():
             for endpoint in self.endpoints:
-                holding = ledger._book.holdings[ledger._book.group_of(endpoint).key]
+                holding = ledger._groups.holdings[ledger._groups.group_of(endpoint).key]
                 in_use = holding.in_use.get(hash_name(endpoint), 0)
                 level = in_use + ledger.available(endpoint, 0)
                 totals[endpoint] = totals.get(endpoint, 0) + level
@@ -144,7 +144,7 @@
     def end(self, name, attempts):
         """End attempts of an instance."""
         for attempt in attempts:
-            self.ledgers[name].give_back(attempt, self.now_ms)
+            self.ledgers[name].release(attempt, self.now_ms)
 
     def overcommit(self):
         """Return by how much the promises exceed the capacity, as a share."""
--- a/savorychute/credits/credit_ask.py
+++ b/savorychute/credits/credit_ask.py
@@ -1,4 +1,4 @@
-"""A home's question to members that have not reported."""
+"""Message in which a home instance requests missing reports."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 @peer_message(32)
 class CreditAsk(NamedTuple):
-    """Ask for a report on these groups, also if there is nothing to say.
+    """Request for a report on these groups, even if it is empty.
 
-    A home that has just started, or has taken over, divides freely only when
+    A home that has just started or has taken over divides the full capacity only when
     it knows what every member holds.
     """
 
--- a/savorychute/credits/credit_grant.py
+++ b/savorychute/credits/credit_grant.py
@@ -1,4 +1,4 @@
-"""The message from a home to an instance."""
+"""Message from the home of groups to another instance."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @peer_message(31)
 class CreditGrant(NamedTuple):
-    """Levels that last ``duration_ms`` from the report they answer.
+    """Granted levels, valid for ``duration_ms`` from the report they answer.
 
-    ``epoch`` and ``report_number`` name that report, ``home_epoch`` differs
-    at each start of the home.
+    ``epoch`` and ``report_number`` identify that report; ``home_epoch`` changes each
+    time the home starts.
     """
 
     home_epoch: int
--- a/savorychute/credits/credit_report.py
+++ b/savorychute/credits/credit_report.py
@@ -1,4 +1,4 @@
-"""The message from an instance to a home."""
+"""Message from an instance to the home of groups."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @peer_message(30)
 class CreditReport(NamedTuple):
-    """All groups for which the receiver is the sender's home.
+    """Reports on the groups whose home is the receiver, in the sender's view.
 
-    ``epoch`` differs at each start of the sender, ``number`` counts its
-    reports, so that old and reordered ones are told apart.
+    ``epoch`` changes each time the sender starts and ``number`` counts its reports, so
+    that the receiver can ignore old and reordered ones.
     """
 
     epoch: int
--- a/savorychute/credits/division.py
+++ b/savorychute/credits/division.py
@@ -1,4 +1,4 @@
-"""How a group's capacity is divided between instances."""
+"""Division of a group's capacity between instances."""
 
 from __future__ import annotations
 
@@ -7,56 +7,56 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-NOTHING_PRESSING = -1
+NO_PRESSING_TIER = -1
 
 
 class Division(NamedTuple):
-    """Each instance's part, what is left, and the highest unmet tier."""
+    """Part of each instance, the remaining capacity, and the highest unmet tier."""
 
     parts: dict[str, int]
-    left: int
+    remaining: int
     pressing_tier: int
 
 
 def divide_by_tier(
     capacity: int,
-    wants: Mapping[str, Sequence[int]],
+    demands: Mapping[str, Sequence[int]],
     reserve: int,
-    hungry: Sequence[str],
+    reserve_order: Sequence[str],
 ) -> Division:
-    """Divide *capacity* tier by tier, equally between equal wants.
+    """Divide *capacity* tier by tier, equally between equal demands.
 
-    :param capacity: what there is.
-    :param wants: by instance, how much of each tier.
-    :param reserve: how much is kept for instances that would get nothing.
-    :param hungry: instances in the order in which the reserve serves them.
+    :param capacity: capacity to divide.
+    :param demands: demand for each tier, by instance.
+    :param reserve: capacity reserved for instances that would get nothing.
+    :param reserve_order: instances in the order in which they receive the reserve.
     """
-    parts = dict.fromkeys(wants, 0)
-    total = sum(sum(by_tier) for by_tier in wants.values())
+    parts = dict.fromkeys(demands, 0)
+    total = sum(sum(by_tier) for by_tier in demands.values())
     if total <= capacity:
-        met = {instance: sum(by_tier) for instance, by_tier in wants.items()}
-        return Division(met, capacity - total, NOTHING_PRESSING)
+        full_parts = {instance: sum(by_tier) for instance, by_tier in demands.items()}
+        return Division(full_parts, capacity - total, NO_PRESSING_TIER)
     reserve = min(reserve, capacity)
-    left = _fill_tiers(parts, wants, capacity - reserve) + reserve
-    for instance in hungry:
-        if left > 0 and parts[instance] == 0 < sum(wants[instance]):
+    remaining = _fill_tiers(parts, demands, capacity - reserve) + reserve
+    for instance in reserve_order:
+        if remaining > 0 and parts[instance] == 0 < sum(demands[instance]):
             parts[instance] = 1
-            left -= 1
-    left = _fill_tiers(parts, wants, left)
-    return Division(parts, left, _find_unmet_tier(parts, wants))
+            remaining -= 1
+    remaining = _fill_tiers(parts, demands, remaining)
+    return Division(parts, remaining, _find_unmet_tier(parts, demands))
 
 
-def divide_equally(total: int, wants: Mapping[str, int]) -> dict[str, int]:
+def divide_equally(total: int, demands: Mapping[str, int]) -> dict[str, int]:
     """Return the max-min fair division of *total* in whole units.
 
-    :param total: what there is.
-    :param wants: the most that each takes.
+    :param total: number of units to divide.
+    :param demands: the most that each instance can use.
     """
-    given: dict[str, int] = {}
-    for position, instance in enumerate(sorted(wants, key=lambda i: wants[i])):
-        given[instance] = min(wants[instance], total // (len(wants) - position))
-        total -= given[instance]
-    return given
+    assigned: dict[str, int] = {}
+    for position, instance in enumerate(sorted(demands, key=lambda i: demands[i])):
+        assigned[instance] = min(demands[instance], total // (len(demands) - position))
+        total -= assigned[instance]
+    return assigned
 
 
 def spread_over_endpoints(
@@ -64,24 +64,24 @@
 ) -> dict[str, dict[int, int]]:
     """Return levels by instance and endpoint, in proportion to capacities.
 
-    Rounding is carried from one endpoint to the next, so that an instance's
-    levels add up to its part, and no endpoint's exceed its capacity.
+    Rounding errors are carried from one endpoint to the next, so that an instance's
+    levels add up to its part, and those of an endpoint do not exceed its capacity.
 
-    :param parts: by instance, together no more than the capacities.
-    :param capacities: by endpoint.
+    :param parts: parts by instance, which together do not exceed the capacities.
+    :param capacities: capacities by endpoint.
     """
     levels: dict[str, dict[int, int]] = {instance: {} for instance in parts}
     total = sum(capacities.values())
     carried = dict.fromkeys(parts, 0.0)
-    owed = 0.0
+    due = 0.0
     for endpoint, capacity in capacities.items():
         quotas = {
             instance: part * capacity / total + carried[instance]
             for instance, part in parts.items()
         }
-        owed += sum(parts.values()) * capacity / total
-        units = min(capacity, round(owed))
-        owed -= units
+        due += sum(parts.values()) * capacity / total
+        units = min(capacity, round(due))
+        due -= units
         for instance, amount in _round_quotas(quotas, units).items():
             levels[instance][endpoint] = amount
             carried[instance] = quotas[instance] - amount
@@ -89,49 +89,49 @@
 
 
 def _round_quotas(quotas: Mapping[str, float], units: int) -> dict[str, int]:
-    given = {instance: max(0, int(quota)) for instance, quota in quotas.items()}
-    excess = sum(given.values()) - units
-    by_remainder = sorted(quotas, key=lambda i: quotas[i] - given[i], reverse=True)
+    assigned = {instance: max(0, int(quota)) for instance, quota in quotas.items()}
+    excess = sum(assigned.values()) - units
+    by_remainder = sorted(quotas, key=lambda i: quotas[i] - assigned[i], reverse=True)
     for instance in by_remainder[: max(0, -excess)]:
-        given[instance] += 1
+        assigned[instance] += 1
     for instance in reversed(by_remainder):
         if excess <= 0:
             break
-        if given[instance] > 0:
-            given[instance] -= 1
+        if assigned[instance] > 0:
+            assigned[instance] -= 1
             excess -= 1
-    return given
+    return assigned
 
 
 def _fill_tiers(
-    parts: dict[str, int], wants: Mapping[str, Sequence[int]], left: int
+    parts: dict[str, int], demands: Mapping[str, Sequence[int]], remaining: int
 ) -> int:
-    """Give out *left* on top of *parts*, tier by tier; return the rest."""
-    met = dict(parts)
-    for tier in range(max(map(len, wants.values()))):
+    """Add *remaining* to *parts*, tier by tier; return what is not used."""
+    uncovered = dict(parts)
+    for tier in range(max(map(len, demands.values()))):
         unmet: dict[str, int] = {}
-        for instance, by_tier in wants.items():
+        for instance, by_tier in demands.items():
             wanted = by_tier[tier] if tier < len(by_tier) else 0
-            covered = min(wanted, met[instance])
-            met[instance] -= covered
+            covered = min(wanted, uncovered[instance])
+            uncovered[instance] -= covered
             if wanted > covered:
                 unmet[instance] = wanted - covered
-        for instance, amount in divide_equally(left, unmet).items():
+        for instance, amount in divide_equally(remaining, unmet).items():
             parts[instance] += amount
-            left -= amount
-    return left
+            remaining -= amount
+    return remaining
 
 
 def _find_unmet_tier(
-    parts: Mapping[str, int], wants: Mapping[str, Sequence[int]]
+    parts: Mapping[str, int], demands: Mapping[str, Sequence[int]]
 ) -> int:
-    """Return the highest tier of which somebody lacks something."""
+    """Return the highest tier in which an instance lacks capacity."""
     lacking = []
-    for instance, by_tier in wants.items():
-        left = parts[instance]
+    for instance, by_tier in demands.items():
+        remaining = parts[instance]
         for tier, wanted in enumerate(by_tier):
-            if wanted > left:
+            if wanted > remaining:
                 lacking.append(tier)
                 break
-            left -= wanted
-    return min(lacking, default=NOTHING_PRESSING)
+            remaining -= wanted
+    return min(lacking, default=NO_PRESSING_TIER)
--- a/savorychute/credits/endpoint_group.py
+++ b/savorychute/credits/endpoint_group.py
@@ -1,4 +1,4 @@
-"""Endpoints that share a home."""
+"""Groups of endpoints that share a home."""
 
 from __future__ import annotations
 
@@ -14,16 +14,18 @@
 ACTIVE = 'active'
 DRAINING = 'draining'
 
-#: A group may hold this much more than its size before there are two of it.
+#: The number of groups doubles when their average size exceeds the group size divided
+#: by this share.
 FILL_SHARE = 0.75
 
 
 class EndpointGroup(NamedTuple):
     """Endpoints of one region that serve the same pools.
 
-    ``capacities`` and ``names`` are by the endpoint's hash, which stands for
-    it in messages.  Sharing a home keeps the number of message pairs in
-    proportion to groups instead of endpoints.
+    The keys of ``capacities`` and ``names`` are hashes of the endpoint names, which
+    identify endpoints in messages.  Because the endpoints of a group share a home, the
+    number of instance pairs that exchange messages grows with the number of groups, not
+    of endpoints.
     """
 
     key: str
@@ -35,14 +37,14 @@
 
     @property
     def capacity(self) -> int:
-        """Concurrent requests at all endpoints together."""
+        """Number of concurrent requests at all endpoints together."""
         return sum(self.capacities.values())
 
 
 def pools_of(document: EndpointDocument) -> frozenset[str]:
     """Return the pools that an endpoint serves.
 
-    :param document: the endpoint.
+    :param document: document of the endpoint.
     """
     pools = set(document.get('models', ()))
     if 'service' in document:
@@ -51,9 +53,9 @@
 
 
 def hash_name(name: str) -> int:
-    """Return 32 bits that stand for a name in messages.
+    """Return the 32-bit hash that identifies a name in messages.
 
-    :param name: of a group or endpoint.
+    :param name: name of a group or endpoint.
     """
     return int(xxhash.xxh32_intdigest(name.encode()))
 
@@ -63,12 +65,12 @@
 ) -> dict[str, EndpointGroup]:
     """Return all groups by key.
 
-    An endpoint's group is its hash modulo a power of two, so that one more
-    endpoint moves none of the others except when the number of groups
-    doubles.  Retired endpoints have no group.
+    An endpoint's group is its hash modulo a power of two, so that adding an endpoint
+    moves none of the others, except when the number of groups doubles.  Retired
+    endpoints have no group.
 
-    :param endpoints: by name.
-    :param group_size: how many endpoints a group holds about.
+    :param endpoints: endpoint documents by name.
+    :param group_size: approximate number of endpoints in a group.
     """
     kinds: dict[tuple[str, frozenset[str]], list[str]] = {}
     for name, document in endpoints.items():
--- a/savorychute/credits/endpoint_level.py
+++ b/savorychute/credits/endpoint_level.py
@@ -1,4 +1,4 @@
-"""How much of an endpoint is granted."""
+"""The granted level of an endpoint."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EndpointLevel(NamedTuple):
-    """Concurrent requests at an endpoint, named by its hash in the group."""
+    """Concurrent requests at an endpoint, identified by its hash in the group."""
 
     endpoint: int
     level: int
--- a/savorychute/credits/endpoint_load.py
+++ b/savorychute/credits/endpoint_load.py
@@ -1,4 +1,4 @@
-"""An endpoint's load as its home has seen it."""
+"""An endpoint's load as observed by its home."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class EndpointLoad(NamedTuple):
-    """A load report passed on, the endpoint named by its hash in the group.
+    """A relayed load report of an endpoint, identified by its hash in the group.
 
-    ``age_ms`` includes the time that the home held it.
+    ``age_ms`` includes the time for which the home held the report.
     """
 
     endpoint: int
--- a/savorychute/credits/endpoint_use.py
+++ b/savorychute/credits/endpoint_use.py
@@ -1,4 +1,4 @@
-"""How much of an endpoint is held and used."""
+"""Levels held and used at an endpoint."""
 
 from __future__ import annotations
 
@@ -6,9 +6,10 @@
 
 
 class EndpointUse(NamedTuple):
-    """An instance's standing at an endpoint, named by its hash in the group.
+    """An instance's use of an endpoint, identified by its hash in the group.
 
-    ``held`` is its level while the grant lasts, ``in_use`` what runs.
+    ``held`` is its level while the grant is valid, ``in_use`` the number of running
+    requests.
     """
 
     endpoint: int
--- a/savorychute/credits/group_grant.py
+++ b/savorychute/credits/group_grant.py
@@ -9,13 +9,13 @@
 
 
 class GroupGrant(NamedTuple):
-    """The levels of a group's endpoints; what is not named is zero.
+    """The levels of a group's endpoints; endpoints that are not listed have level 0.
 
-    ``must_acknowledge`` asks for a report at once, because others wait for
-    what this grant takes back.  ``pressing_tier`` is the highest tier with
-    unmet demand anywhere, or -1.  ``loads`` are the endpoints' load reports that
-    the home has fetched since its last grant.  ``report_interval_ms`` is how
-    often the home wants regular reports, or 0 for the receiver's own setting.
+    ``must_acknowledge`` requests a report at once, because other instances wait for the
+    credits that this grant reclaims.  ``pressing_tier`` is the highest tier with unmet
+    demand on any instance, or -1.  ``loads`` are the endpoints' load reports that the
+    home has fetched since its last grant.  ``report_interval_ms`` is the interval at
+    which the home expects regular reports, or 0 for the receiver's own setting.
     """
 
     group: int
--- a/savorychute/credits/group_holding.py
+++ b/savorychute/credits/group_holding.py
@@ -1,4 +1,4 @@
-"""What one instance holds and uses of one group."""
+"""The credits that one instance holds and uses of one group."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     from savorychute.credits.group_grant import GroupGrant
 
 
-#: What part of its use an instance must have ended to report it at once.
-LEAST_FREED_SHARE = 0.25
+#: Share of its reported use that an instance must have freed to report this at once.
+MIN_FREED_SHARE = 0.25
 
 
-class Use(NamedTuple):
+class AttemptUse(NamedTuple):
     """One attempt's use of an endpoint."""
 
     group: str
@@ -28,10 +28,10 @@
 
 
 class GroupHolding:
-    """Levels granted by the group's home, and what runs under them.
+    """Levels granted by the group's home, and the requests that run under them.
 
-    :param group: the endpoints.
-    :param grant_ms: how long a grant lasts.
+    :param group: the group of endpoints.
+    :param grant_ms: how long a grant is valid.
     """
 
     def __init__(self, group: EndpointGroup, grant_ms: int) -> None:
@@ -51,21 +51,21 @@
         self._reported_in_use: dict[int, int] = {}
         self._levels: dict[int, int] = {}
         self._expires_ms = 0
-        self._unanswered_ms: int | None = None
+        self._unanswered_since_ms: int | None = None
 
     @property
     def is_used(self) -> bool:
-        """Whether anything runs."""
+        """Whether any request is running."""
         return any(self.in_use.values())
 
     def set_home(self, home: str) -> None:
-        """Follow a change of the home; credits in hand stay until they end.
+        """Change the home; the current credits stay valid until they expire.
 
-        :param home: an instance.
+        :param home: name of the new home.
         """
         if home != self.home:
             self.home = home
-            self._unanswered_ms = None
+            self._unanswered_since_ms = None
             self.home_epoch = 0
             self.sequence = 0
             self.must_report = True
@@ -73,42 +73,42 @@
     def level(self, endpoint: int, now_ms: int) -> int | None:
         """Return the granted level, or ``None`` if no grant is in force.
 
-        :param endpoint: its hash.
-        :param now_ms: the time.
+        :param endpoint: hash of the endpoint name.
+        :param now_ms: the current time.
         """
         if now_ms >= self._expires_ms:
             return None
         return self._levels.get(endpoint, 0)
 
-    def owes(self, now_ms: int) -> bool:
-        """Return whether much credit that was taken back has come free since.
+    def has_freed_credit(self, now_ms: int) -> bool:
+        """Return whether enough reclaimed credit has become free since the report.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         freed = 0
         for endpoint, reported in self._reported_in_use.items():
             level = self.level(endpoint, now_ms) or 0
             in_use = self.in_use.get(endpoint, 0)
             freed += max(0, reported - max(level, in_use))
-        least = LEAST_FREED_SHARE * sum(self._reported_in_use.values())
-        return freed > 0 and freed >= least
+        minimum = MIN_FREED_SHARE * sum(self._reported_in_use.values())
+        return freed > 0 and freed >= minimum
 
-    def has_ended(self, now_ms: int) -> bool:
-        """Return whether the home has not answered for the life of a grant.
+    def is_home_unresponsive(self, now_ms: int) -> bool:
+        """Return whether the home has not answered for the duration of a grant.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        if self._unanswered_ms is None or now_ms < self._expires_ms:
+        if self._unanswered_since_ms is None or now_ms < self._expires_ms:
             return False
-        return now_ms - self._unanswered_ms >= self.grant_ms
+        return now_ms - self._unanswered_since_ms >= self.grant_ms
 
     def apply(self, home_epoch: int, grant: GroupGrant, expires_ms: int) -> bool:
         """Put a grant in force; return whether it was new.
 
-        :param home_epoch: of the home's run.
-        :param grant: from this group's home.
-        :param expires_ms: counted from the report that the grant answers, so
-            that it ends here before it ends in the home's books.
+        :param home_epoch: epoch of the home's process run.
+        :param grant: grant by the home of this group.
+        :param expires_ms: expiry time, counted from the report that the grant answers,
+            so that the grant expires here before it expires in the home's records.
         """
         if home_epoch == self.home_epoch and grant.sequence <= self.sequence:
             return False
@@ -116,48 +116,48 @@
         self.sequence = grant.sequence
         self.pressing_tier = grant.pressing_tier
         self.report_interval_ms = grant.report_interval_ms
-        self._unanswered_ms = None
+        self._unanswered_since_ms = None
         self._levels = {entry.endpoint: entry.level for entry in grant.levels}
         self._expires_ms = expires_ms
         self.must_report = self.must_report or grant.must_acknowledge
         return True
 
-    def give_up_unused(self) -> None:
-        """Hold no more than what runs."""
+    def release_unused(self) -> None:
+        """Give up all credits but those in use."""
         self._levels = {
             endpoint: min(level, self.in_use.get(endpoint, 0))
             for endpoint, level in self._levels.items()
         }
 
-    def start(self, use: Use) -> None:
+    def start(self, use: AttemptUse) -> None:
         """Count an attempt.
 
         :param use: what it uses.
         """
-        self._count(use, 1)
+        self._adjust_counts(use, 1)
 
-    def end(self, use: Use) -> None:
-        """Count an attempt no longer.
+    def end(self, use: AttemptUse) -> None:
+        """Stop counting an attempt.
 
         :param use: what it used.
         """
-        self._count(use, -1)
+        self._adjust_counts(use, -1)
 
     def list_running(self) -> tuple[int, ...]:
-        """Return how many requests run, from tier 0 on."""
-        return to_tuple(self.running)
+        """Return the number of running requests by tier, starting at tier 0."""
+        return to_tier_counts(self.running)
 
     def build_report(
         self, waiting: Sequence[int], now_ms: int, *, wants_spare: bool
     ) -> GroupReport:
-        """Return what the home has to know.
+        """Return the report to the home.
 
-        :param waiting: requests that wait, by tier.
-        :param now_ms: the time.
-        :param wants_spare: whether more than the demand is welcome.
+        :param waiting: number of waiting requests by tier.
+        :param now_ms: the current time.
+        :param wants_spare: whether spare credit beyond the demand is wanted.
         """
-        if self._unanswered_ms is None:
-            self._unanswered_ms = now_ms
+        if self._unanswered_since_ms is None:
+            self._unanswered_since_ms = now_ms
         self._reported_in_use = {e: n for e, n in self.in_use.items() if n > 0}
         uses = []
         for endpoint in self.group.names:
@@ -175,15 +175,15 @@
             uses=tuple(uses),
         )
 
-    def _count(self, use: Use, step: int) -> None:
+    def _adjust_counts(self, use: AttemptUse, step: int) -> None:
         endpoint, tier = use.endpoint, use.tier
         self.in_use[endpoint] = self.in_use.get(endpoint, 0) + step
         self.running[tier] = self.running.get(tier, 0) + step
         self.tokens[endpoint] = self.tokens.get(endpoint, 0) + step * use.tokens
 
 
-def to_tuple(by_tier: dict[int, int]) -> tuple[int, ...]:
-    """Return counts from tier 0 on, without zeros at the end.
+def to_tier_counts(by_tier: dict[int, int]) -> tuple[int, ...]:
+    """Return counts starting at tier 0, without zeros at the end.
 
     :param by_tier: counts by tier.
     """
--- a/savorychute/credits/group_report.py
+++ b/savorychute/credits/group_report.py
@@ -10,8 +10,8 @@
 class GroupReport(NamedTuple):
     """What an instance uses and wants of a group of endpoints.
 
-    ``home_epoch`` and ``sequence`` name the last grant that was applied.
-    ``running`` and ``waiting`` count requests by tier, from tier 0 on.
+    ``home_epoch`` and ``sequence`` identify the last grant that was applied.
+    ``running`` and ``waiting`` count requests by tier, starting at tier 0.
     """
 
     group: int
--- a/savorychute/credits/group_book.py
+++ b/savorychute/credits/group_table.py
@@ -1,4 +1,4 @@
-"""The groups of endpoints and what this instance holds of them."""
+"""Groups of endpoints and the credits that this instance holds of them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from savorychute.credits.endpoint_group import build_groups, hash_name
-from savorychute.credits.group_holding import GroupHolding, Use, to_tuple
+from savorychute.credits.group_holding import AttemptUse, GroupHolding, to_tier_counts
 from savorychute.credits.pool_demand import PoolDemand
 from savorychute.credits.subset import Candidate, choose_subset
 
@@ -15,14 +15,14 @@
     from savorychute.credits.endpoint_group import EndpointGroup
     from savorychute.credits.settings import CreditSettings
 
-#: An instance that used a group this long ago still gets spare credit.
+#: An instance receives spare credit of a group for this long after its last use.
 SPARE_MEMORY_MS = 60_000
 
 
-class GroupBook:
+class GroupTable:
     """Groups, holdings, attempts and demand of one instance.
 
-    :param settings: sizes.
+    :param settings: sizes and durations.
     :param instance: this instance's name.
     """
 
@@ -38,13 +38,13 @@
         self._by_number: dict[int, str] = {}
         self._candidates: dict[str, tuple[Candidate, ...]] = {}
         self._shares: dict[tuple[str, str], float] = {}
-        self._uses: dict[str, Use] = {}
-        self._used_ms: dict[str, int] = {}
+        self._uses: dict[str, AttemptUse] = {}
+        self._last_use_ms: dict[str, int] = {}
 
     def set_endpoints(self, endpoints: dict[str, EndpointDocument]) -> list[str]:
-        """Replace the endpoints; return the keys of groups that are not as before.
+        """Replace the endpoints; return the keys of groups that changed or vanished.
 
-        :param endpoints: by name.
+        :param endpoints: endpoint documents by name.
         """
         groups = build_groups(endpoints, self.settings.group_size)
         self.endpoints = dict(endpoints)
@@ -58,16 +58,16 @@
         self.holdings = {
             key: before[key]
             if key in before and key not in changed
-            else self._open_holding(group)
+            else self._create_holding(group)
             for key, group in groups.items()
         }
         self._by_number = {group.number: key for key, group in groups.items()}
         return changed
 
     def set_region(self, region: str) -> None:
-        """Note where this instance is.
+        """Set the region of this instance.
 
-        :param region: its region.
+        :param region: name of the region.
         """
         if region != self.region:
             self.region = region
@@ -75,9 +75,9 @@
             self._shares.clear()
 
     def group_of(self, endpoint: str) -> EndpointGroup | None:
-        """Return the group of an endpoint that may be used.
+        """Return the group of an endpoint, or ``None`` if the endpoint is not active.
 
-        :param endpoint: its name.
+        :param endpoint: name of the endpoint.
         """
         group = self._group_of.get(endpoint)
         if group is None or self.endpoints[endpoint]['state'] != 'active':
@@ -85,16 +85,16 @@
         return group
 
     def find(self, number: int) -> GroupHolding | None:
-        """Return the holding of the group that messages give this number.
+        """Return the holding of the group that has this number in messages.
 
-        :param number: the hash of the group's key.
+        :param number: hash of the group's key.
         """
         return self.holdings.get(self._by_number.get(number, ''))
 
-    def choose(self, pool: str) -> tuple[Candidate, ...]:
+    def choose_candidates(self, pool: str) -> tuple[Candidate, ...]:
         """Return the endpoints of a pool that this instance uses.
 
-        :param pool: a model or ``service:`` and a service.
+        :param pool: a model name, or ``service:`` followed by a service name.
         """
         chosen = self._candidates.get(pool)
         if chosen is None:
@@ -108,22 +108,24 @@
             self._candidates[pool] = chosen
         return chosen
 
-    def start(self, endpoint: str, attempt_id: str, use: Use, now_ms: int) -> None:
+    def start(
+        self, endpoint: str, attempt_id: str, use: AttemptUse, now_ms: int
+    ) -> None:
         """Count an attempt.
 
-        :param endpoint: where it runs.
-        :param attempt_id: the attempt.
+        :param endpoint: endpoint that runs it.
+        :param attempt_id: identifier of the attempt.
         :param use: what it uses.
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         self._uses[attempt_id] = use
-        self._used_ms[use.group] = now_ms
+        self._last_use_ms[use.group] = now_ms
         self.holdings[self._group_of[endpoint].key].start(use)
 
     def end(self, attempt_id: str) -> None:
-        """Count an attempt no longer; an unknown one is ignored.
+        """Stop counting an attempt; an unknown one is ignored.
 
-        :param attempt_id: the attempt.
+        :param attempt_id: identifier of the attempt.
         """
         use = self._uses.pop(attempt_id, None)
         holding = None if use is None else self.holdings.get(use.group)
@@ -131,19 +133,19 @@
             holding.end(use)
 
     def wants_spare(self, holding: GroupHolding, now_ms: int) -> bool:
-        """Return whether credit beyond the demand is welcome.
+        """Return whether spare credit beyond the demand is wanted.
 
-        :param holding: of the group.
-        :param now_ms: the time.
+        :param holding: holding of the group.
+        :param now_ms: the current time.
         """
-        used_ms = self._used_ms.get(holding.group.key)
-        is_recent = used_ms is not None and now_ms - used_ms < SPARE_MEMORY_MS
+        last_use_ms = self._last_use_ms.get(holding.group.key)
+        is_recent = last_use_ms is not None and now_ms - last_use_ms < SPARE_MEMORY_MS
         return not self.is_leaving and (is_recent or holding.is_used)
 
     def waiting(self, holding: GroupHolding) -> tuple[int, ...]:
         """Return how many requests wait for a group, by tier.
 
-        :param holding: of the group.
+        :param holding: holding of the group.
         """
         wanted: dict[int, float] = {}
         for pool in sorted(holding.group.pools):
@@ -152,17 +154,17 @@
                 wanted[tier] = wanted.get(tier, 0.0) + count * share
         if not wanted:
             return ()
-        return to_tuple(
+        return to_tier_counts(
             {
                 tier: math.ceil(count) - holding.running.get(tier, 0)
                 for tier, count in wanted.items()
             }
         )
 
-    def _open_holding(self, group: EndpointGroup) -> GroupHolding:
+    def _create_holding(self, group: EndpointGroup) -> GroupHolding:
         """Return a holding that counts what runs at the group's endpoints.
 
-        An amended endpoint may have moved to another group while attempts run.
+        An amended endpoint may have moved to another group while attempts were running.
         """
         holding = GroupHolding(group, self.settings.grant_ms)
         for attempt_id, use in list(self._uses.items()):
@@ -173,16 +175,16 @@
         return holding
 
     def _share_of(self, pool: str, group: EndpointGroup) -> float:
-        """Return the part of a pool's demand that goes to a group."""
-        known = self._shares.get((pool, group.key))
-        if known is None:
-            known = self._shares[pool, group.key] = self._compute_share(pool, group)
-        return known
+        """Return the share of a pool's demand that goes to a group."""
+        share = self._shares.get((pool, group.key))
+        if share is None:
+            share = self._shares[pool, group.key] = self._compute_share(pool, group)
+        return share
 
     def _compute_share(self, pool: str, group: EndpointGroup) -> float:
         total = 0
         own = 0
-        for candidate in self.choose(pool):
+        for candidate in self.choose_candidates(pool):
             capacity = self.endpoints[candidate.endpoint]['concurrent_requests']
             total += capacity
             if candidate.group == group.key:
@@ -190,12 +192,14 @@
         return own / total if total else 0.0
 
 
-def make_use(group: EndpointGroup, endpoint: str, tier: int, tokens: int) -> Use:
+def make_attempt_use(
+    group: EndpointGroup, endpoint: str, tier: int, tokens: int
+) -> AttemptUse:
     """Return what an attempt uses.
 
-    :param group: the endpoint's.
-    :param endpoint: its name.
-    :param tier: of the request.
-    :param tokens: how many it may generate.
+    :param group: the group of the endpoint.
+    :param endpoint: name of the endpoint.
+    :param tier: tier of the request.
+    :param tokens: number of tokens that the attempt may generate.
     """
-    return Use(group.key, hash_name(endpoint), tier, tokens)
+    return AttemptUse(group.key, hash_name(endpoint), tier, tokens)
--- a/savorychute/credits/holder_record.py
+++ b/savorychute/credits/holder_record.py
@@ -1,4 +1,4 @@
-"""What a home knows of one holder of credits."""
+"""A home's conservative record of one holder of credits."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
     from savorychute.credits.group_report import GroupReport
 
 
-class Offer(NamedTuple):
-    """A grant that may or may not have arrived."""
+class SentGrant(NamedTuple):
+    """A grant that the holder may or may not have received."""
 
     sequence: int
     expires_ms: int
@@ -17,9 +17,9 @@
 
 
 class HolderRecord:
-    """One instance's credits in one group, as its home must assume them.
+    """The credits of one group that an instance may be using.
 
-    :param epoch: of the instance's run.
+    :param epoch: epoch of the instance's process run.
     """
 
     def __init__(self, epoch: int) -> None:
@@ -33,17 +33,17 @@
         self._held: dict[int, int] = {}
         self._in_use: dict[int, int] = {}
         self._held_until_ms = 0
-        self._offers: list[Offer] = []
+        self._sent_grants: list[SentGrant] = []
 
-    def take_report(
+    def apply_report(
         self, number: int, report: GroupReport, *, own_sequence: int, held_until_ms: int
     ) -> None:
-        """Take in what the instance says.
+        """Apply a report of the instance.
 
-        :param number: of the report.
-        :param report: its part on this group.
-        :param own_sequence: the last grant of this home that it applied.
-        :param held_until_ms: until when it may use what it holds.
+        :param number: number of the report.
+        :param report: its part for this group.
+        :param own_sequence: last grant of this home that the instance applied.
+        :param held_until_ms: when the reported levels expire.
         """
         self.number = number
         self.wants_spare = report.wants_spare
@@ -52,41 +52,41 @@
         self._held = {use.endpoint: use.held for use in report.uses}
         self._in_use = {use.endpoint: use.in_use for use in report.uses}
         self._held_until_ms = held_until_ms
-        self._offers = [o for o in self._offers if o.sequence > own_sequence]
+        self._sent_grants = [o for o in self._sent_grants if o.sequence > own_sequence]
 
-    def add_offer(self, offer: Offer) -> None:
-        """Note a grant that is sent.
+    def add_grant(self, grant: SentGrant) -> None:
+        """Record a grant that is being sent.
 
-        :param offer: the grant.
+        :param grant: the grant.
         """
-        self._offers.append(offer)
+        self._sent_grants.append(grant)
 
     def committed(self, now_ms: int) -> dict[int, int]:
         """Return the most that the instance may run, by endpoint.
 
-        Any grant that was sent and not yet acknowledged may be in force, or
-        the one before it; what runs goes on running whatever is granted.
+        Any grant that was sent and is not yet acknowledged may be in force, or the one
+        before it; running requests continue whatever is granted.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         most = dict(self._in_use)
         if now_ms < self._held_until_ms:
             _raise_to(most, self._held)
-        for offer in self._offers:
-            if now_ms < offer.expires_ms:
-                _raise_to(most, offer.levels)
+        for grant in self._sent_grants:
+            if now_ms < grant.expires_ms:
+                _raise_to(most, grant.levels)
         return most
 
     def last_levels(self) -> dict[int, int]:
-        """Return the levels of the newest grant, or what the report said."""
-        return self._offers[-1].levels if self._offers else self._held
+        """Return the levels of the newest grant, or else the reported levels."""
+        return self._sent_grants[-1].levels if self._sent_grants else self._held
 
     def drop_expired(self, now_ms: int) -> None:
-        """Forget grants that are no longer in force.
+        """Discard grants that have expired.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
-        self._offers = [o for o in self._offers if now_ms < o.expires_ms]
+        self._sent_grants = [o for o in self._sent_grants if now_ms < o.expires_ms]
 
 
 def _raise_to(most: dict[int, int], levels: dict[int, int]) -> None:
--- a/savorychute/credits/levels.py
+++ b/savorychute/credits/levels.py
@@ -9,18 +9,18 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-#: What part of a level has to change for a message between reports.
-LEAST_SHIFT_SHARE = 0.25
+#: Share of the levels that must change for a message between regular reports.
+MIN_SHIFT_SHARE = 0.25
 
-#: Demand that has grown by this factor needs an answer at once.
+#: Demand that has grown by this factor needs an immediate answer.
 GROWTH_FACTOR = 1.5
 
 
 def has_grown(before: tuple[int, ...], after: tuple[int, ...]) -> bool:
     """Return whether demand needs an answer before the next regular one.
 
-    :param before: requests that waited, by tier.
-    :param after: requests that wait now, by tier.
+    :param before: number of requests that waited, by tier.
+    :param after: number of requests that wait now, by tier.
     """
     higher = any(
         new > 0 and old == 0 for old, new in zip_longest(before, after, fillvalue=0)
@@ -29,26 +29,26 @@
 
 
 def sum_excess(levels: Mapping[int, int], others: Mapping[int, int]) -> int:
-    """Return by how much *levels* exceed *others*, endpoint by endpoint.
+    """Return by how much *levels* exceed *others*, summed over endpoints.
 
-    :param levels: by endpoint.
-    :param others: by endpoint.
+    :param levels: levels by endpoint.
+    :param others: levels by endpoint.
     """
     return sum(max(0, n - others.get(key, 0)) for key, n in levels.items())
 
 
-def least_shift(levels: Mapping[int, int]) -> int:
-    """Return the smallest shift that is worth a message of its own.
+def min_shift(levels: Mapping[int, int]) -> int:
+    """Return the smallest shift that justifies a separate message.
 
-    :param levels: by endpoint.
+    :param levels: levels by endpoint.
     """
-    return max(1, math.ceil(LEAST_SHIFT_SHARE * sum(levels.values())))
+    return max(1, math.ceil(MIN_SHIFT_SHARE * sum(levels.values())))
 
 
 def add_tiers(first: tuple[int, ...], second: tuple[int, ...]) -> list[int]:
     """Return the sums by tier.
 
-    :param first: by tier.
-    :param second: by tier.
+    :param first: counts by tier.
+    :param second: counts by tier.
     """
     return [a + b for a, b in zip_longest(first, second, fillvalue=0)]
--- a/savorychute/credits/load_relay.py
+++ b/savorychute/credits/load_relay.py
@@ -1,4 +1,4 @@
-"""Load reports that travel with grants."""
+"""Load reports that are sent together with grants."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     from savorychute.contracts.endpoint_document import EndpointDocument
     from savorychute.credits.endpoint_group import EndpointGroup
 
-#: What is older than this is not passed on.
-FRESH_MS = 2_000
+#: Older reports are not relayed.
+MAX_LOAD_AGE_MS = 2_000
 
 
 class _Observed(NamedTuple):
@@ -22,21 +22,20 @@
 
 
 class LoadRelay:
-    """Passes on what a home knows of endpoints that others do not poll.
+    """Relays load reports to instances that do not poll the endpoints themselves.
 
-    A report that this instance has fetched itself is not replaced by one that
-    is older.
+    A report that this instance has fetched itself is not replaced by an older one.
     """
 
     def __init__(self) -> None:
         self._observed: dict[str, _Observed] = {}
-        self._news: list[LoadReported] = []
+        self._relayed: list[LoadReported] = []
 
-    def observe(self, report: LoadReported, now_ms: int) -> None:
-        """Note a report that this instance has fetched.
+    def record_load(self, report: LoadReported, now_ms: int) -> None:
+        """Record a report that this instance has fetched.
 
-        :param report: the endpoint's report.
-        :param now_ms: the time.
+        :param report: load report of an endpoint.
+        :param now_ms: the current time.
         """
         measured_ms = now_ms - max(0, report.age_ms)
         self._observed[report.endpoint] = _Observed(report, measured_ms)
@@ -44,22 +43,24 @@
     def list_loads(
         self, group: EndpointGroup, since_ms: int, now_ms: int
     ) -> tuple[EndpointLoad, ...]:
-        """Return what was measured lately at the endpoints of a group.
+        """Return the recent load reports of a group's endpoints.
 
-        :param group: the endpoints.
-        :param since_ms: what the receiver knows already.
-        :param now_ms: the time.
+        :param group: the group of endpoints.
+        :param since_ms: older reports are already known to the receiver.
+        :param now_ms: the current time.
         """
         loads = []
         for name in group.names.values():
-            seen = self._observed.get(name)
-            if seen is None or seen.measured_ms < max(since_ms, now_ms - FRESH_MS):
+            observed = self._observed.get(name)
+            if observed is None or observed.measured_ms < max(
+                since_ms, now_ms - MAX_LOAD_AGE_MS
+            ):
                 continue
-            report = seen.report
+            report = observed.report
             loads.append(
                 EndpointLoad(
                     hash_name(name),
-                    now_ms - seen.measured_ms,
+                    now_ms - observed.measured_ms,
                     report.running,
                     report.waiting,
                     report.kv_free_share,
@@ -68,42 +69,42 @@
             )
         return tuple(loads)
 
-    def take_loads(
+    def receive_loads(
         self,
         group: EndpointGroup,
         endpoints: dict[str, EndpointDocument],
         loads: tuple[EndpointLoad, ...],
         now_ms: int,
     ) -> None:
-        """Take in what a home passed on.
+        """Receive the load reports that a home relayed.
 
-        :param group: the endpoints.
-        :param endpoints: by name.
-        :param loads: of some of them.
-        :param now_ms: the time.
+        :param group: the group of endpoints.
+        :param endpoints: endpoint documents by name.
+        :param loads: loads of some of the endpoints.
+        :param now_ms: the current time.
         """
         for load in loads:
             name = group.names.get(load.endpoint, '')
             if name not in endpoints:
                 continue
-            seen = self._observed.get(name)
-            if seen is not None and now_ms - load.age_ms <= seen.measured_ms:
+            observed = self._observed.get(name)
+            if observed is not None and now_ms - load.age_ms <= observed.measured_ms:
                 continue
-            self._news.append(_to_report(name, load, endpoints[name], seen))
+            self._relayed.append(_to_report(name, load, endpoints[name], observed))
 
-    def take_reports(self) -> list[LoadReported]:
-        """Return what was passed on since the last call."""
-        news, self._news = self._news, []
-        return news
+    def pop_reports(self) -> list[LoadReported]:
+        """Return the reports that were received since the last call."""
+        relayed, self._relayed = self._relayed, []
+        return relayed
 
 
 def _to_report(
     name: str,
     load: EndpointLoad,
     document: EndpointDocument,
-    seen: _Observed | None,
+    observed: _Observed | None,
 ) -> LoadReported:
-    """Return a report without cache events, whose cursor stays where it is."""
+    """Return a report without cache events, which keeps the cache cursor."""
     return LoadReported(
         endpoint=name,
         age_ms=load.age_ms,
@@ -113,7 +114,7 @@
         step_ms=load.step_ms,
         models=tuple(document.get('models', ())),
         state=document['state'],
-        cache_sequence=0 if seen is None else seen.report.cache_sequence,
+        cache_sequence=0 if observed is None else observed.report.cache_sequence,
         cached=(),
         evicted=(),
         cache_gap=False,
--- a/savorychute/credits/pool_demand.py
+++ b/savorychute/credits/pool_demand.py
@@ -1,4 +1,4 @@
-"""How many requests want to run, by pool."""
+"""Number of requests that run or wait, by pool."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 class _Demand(NamedTuple):
     by_tier: dict[int, int]
-    noted_ms: int
+    recorded_ms: int
 
 
 class PoolDemand:
-    """The newest demand of each pool.
+    """The latest demand of each pool.
 
-    A pool that has run empty may not be mentioned again, so what is not
+    A pool that has become empty may not be reported again, so demand that is not
     renewed is dropped.
 
-    :param memory_ms: after how long.
+    :param memory_ms: time after which demand is dropped.
     """
 
     def __init__(self, memory_ms: int) -> None:
@@ -24,29 +24,29 @@
         self._pools: dict[str, _Demand] = {}
 
     def set(self, pool: str, by_tier: dict[int, int], now_ms: int) -> None:
-        """Note the demand of a pool.
+        """Set the demand of a pool.
 
-        :param pool: a model or ``service:`` and a service.
-        :param by_tier: requests that want to run.
-        :param now_ms: the time.
+        :param pool: a model name, or ``service:`` followed by a service name.
+        :param by_tier: number of requests that run or wait, by tier.
+        :param now_ms: the current time.
         """
         self._pools[pool] = _Demand(dict(by_tier), now_ms)
 
     def of(self, pool: str) -> dict[int, int]:
         """Return the demand of a pool by tier.
 
-        :param pool: a model or ``service:`` and a service.
+        :param pool: a model name, or ``service:`` followed by a service name.
         """
         demand = self._pools.get(pool)
         return {} if demand is None else demand.by_tier
 
-    def forget_old(self, now_ms: int) -> None:
-        """Drop what was not renewed.
+    def drop_expired(self, now_ms: int) -> None:
+        """Drop demand that was not renewed.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         self._pools = {
             pool: demand
             for pool, demand in self._pools.items()
-            if now_ms - demand.noted_ms < self.memory_ms
+            if now_ms - demand.recorded_ms < self.memory_ms
         }
--- a/savorychute/credits/region_members.py
+++ b/savorychute/credits/region_members.py
@@ -1,4 +1,4 @@
-"""Members of each region, and those lately lost."""
+"""Members of each region, including those recently lost."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RegionMembers:
-    """Remembers who was alive, to tell a majority from a cut-off rest.
+    """Remembers members, to distinguish a majority from a partitioned minority.
 
     :param remember_ms: how long a lost member is remembered.
     """
@@ -18,17 +18,17 @@
         self.remember_ms = remember_ms
         self._alive: dict[str, str] = {}
         self._lost: dict[str, tuple[str, int]] = {}
-        self._seen: object = None
+        self._seen_alive: object = None
 
     def set_view(self, view: MemberView, now_ms: int) -> None:
-        """Follow the view.
+        """Set the current members.
 
-        :param view: who is alive.
-        :param now_ms: the time.
+        :param view: the current membership view.
+        :param now_ms: the current time.
         """
-        if view.alive is self._seen:
+        if view.alive is self._seen_alive:
             return
-        self._seen = view.alive
+        self._seen_alive = view.alive
         alive = {member.instance: member.region for member in view.alive}
         for instance in sorted(self._alive.keys() - alive.keys()):
             if instance not in view.leaving and instance != view.own.instance:
@@ -38,36 +38,40 @@
         self._alive = alive
 
     def list_alive(self, region: str) -> list[str]:
-        """Return the members of a region, or all if it has none.
+        """Return the members of a region, or all members if it has none.
 
-        :param region: its name.
+        :param region: name of the region.
         """
-        local = [name for name, place in self._alive.items() if place == region]
+        local = [
+            name
+            for name, member_region in self._alive.items()
+            if member_region == region
+        ]
         return local or list(self._alive)
 
     def list_lost(self, region: str, since_ms: int) -> list[str]:
-        """Return members of a region that were lost lately.
+        """Return the members of a region that were lost since a time.
 
-        :param region: its name.
-        :param since_ms: how long ago is too long.
+        :param region: name of the region.
+        :param since_ms: that time.
         """
         return [
             name
-            for name, (place, lost_ms) in self._lost.items()
-            if place == region and lost_ms >= since_ms
+            for name, (member_region, lost_ms) in self._lost.items()
+            if member_region == region and lost_ms >= since_ms
         ]
 
-    def share_alive(self, region: str, now_ms: int) -> float:
-        """Return 1 if a majority is alive, else the part that is.
+    def alive_share(self, region: str, now_ms: int) -> float:
+        """Return 1 if a majority is alive, else the share of members that are alive.
 
-        Instances that are cut off from each other would each take the whole
-        capacity for their own.  Scaled so, the minorities together take no
-        more than once the capacity beside the majority.  Of two equal halves
-        the one with the first name counts as the majority (dynamic linear
-        voting, Jajodia and Mutchler 1987).
+        Instances that are partitioned from each other would each claim the whole
+        capacity.  With this scale the minorities together claim at most once the
+        capacity, in addition to the majority.  Of two equal halves, the one that
+        contains the first name counts as the majority (dynamic linear voting, Jajodia
+        and Mutchler 1987).
 
-        :param region: its name.
-        :param now_ms: the time.
+        :param region: name of the region.
+        :param now_ms: the current time.
         """
         alive = self.list_alive(region)
         lost = self.list_lost(region, now_ms - self.remember_ms)
--- a/savorychute/credits/send_peer.py
+++ b/savorychute/credits/send_peer.py
@@ -1,4 +1,4 @@
-"""Sending to members."""
+"""Sending of messages to members."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 def send_to(
     instance: str, message: tuple[object, ...], view: MemberView
 ) -> list[Action]:
-    """Return the action that sends a message, or none if nobody is there.
+    """Return the action that sends a message, or none if the receiver is unavailable.
 
-    :param instance: the receiver.
+    :param instance: name of the receiver.
     :param message: a peer message.
-    :param view: who is alive.
+    :param view: the current membership view.
     """
     address = view.address_of(instance)
     if address is None:
--- a/savorychute/credits/sent_reports.py
+++ b/savorychute/credits/sent_reports.py
@@ -4,34 +4,34 @@
 
 
 class SentReports:
-    """Numbers reports and knows when each was sent.
+    """Numbers reports and records when each was sent.
 
-    A grant counts from the report that it answers: the home cannot have known less
-    than that report says, whenever its answer arrives.
+    The validity of a grant starts at the report that it answers: the home knew at least
+    the content of that report, whenever its answer arrives.
     """
 
     def __init__(self) -> None:
         self._number = 0
         self._sent_ms: dict[int, int] = {}
 
-    def number(self, now_ms: int) -> int:
+    def assign_number(self, now_ms: int) -> int:
         """Return the number of a report that is sent now.
 
-        :param now_ms: the time.
+        :param now_ms: the current time.
         """
         self._number += 1
         self._sent_ms[self._number] = now_ms
         return self._number
 
     def sent_ms(self, number: int) -> int | None:
-        """Return when a report was sent, or None if it is forgotten or unknown.
+        """Return when a report was sent, or None if it is discarded or unknown.
 
-        :param number: of the report.
+        :param number: number of the report.
         """
         return self._sent_ms.get(number)
 
-    def forget(self, oldest_ms: int) -> None:
-        """Forget the reports that were sent until a time.
+    def discard_until(self, oldest_ms: int) -> None:
+        """Discard the reports that were sent until a time.
 
         :param oldest_ms: that time.
         """
--- a/savorychute/credits/settings.py
+++ b/savorychute/credits/settings.py
@@ -8,21 +8,21 @@
 class CreditSettings(NamedTuple):
     """Durations and sizes of credits.
 
-    ``subset_size`` is how many endpoints of a pool an instance uses at most,
-    ``group_size`` how many endpoints share a home.  A grant lasts ``grant_ms``
-    from the report that it answers: longer than it takes to detect the death of
-    a home.  ``float_share`` of the spare capacity
-    stays with the home, to answer sudden demand without a reclaim.
-    ``guaranteed_share`` of a group goes to instances whose lower-tier work
+    ``subset_size`` is the largest number of endpoints of a pool that an instance uses,
+    ``group_size`` the number of endpoints that share a home.  A grant is valid for
+    ``grant_ms`` from the report that it answers, which is longer than it takes to
+    detect the death of a home.  ``float_share`` of the spare capacity remains with the
+    home, which can then meet sudden demand without reclaiming credit.
+    ``guaranteed_share`` of a group is reserved for instances whose lower-tier work
     would get nothing.  A home that sees a minority of the members of the last
     ``remember_ms`` scales the capacity down.
 
-    Regular reports come every ``report_interval_ms``, or seldomer if a group has so
-    many users that its home would get more than ``reports_per_s``, but at least
-    three times in the life of a grant.
+    Regular reports are sent every ``report_interval_ms``, or less often if a group has
+    so many users that its home would receive more than ``reports_per_s``, but at least
+    three times in the duration of a grant.
 
-    Demand of a new highest tier is reported after ``pressure_interval_ms``,
-    demand that has grown after ``growth_interval_ms``.
+    Demand of a new highest tier is reported after ``pressure_interval_ms``, grown
+    demand after ``growth_interval_ms``.
     """
 
     subset_size: int = 16
--- a/savorychute/credits/subset.py
+++ b/savorychute/credits/subset.py
@@ -1,4 +1,4 @@
-"""Which endpoints of a pool an instance uses."""
+"""Choice of the endpoints of a pool that an instance uses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 ACTIVE = 'active'
 
-#: With fewer than these in its own region, an instance uses other regions too.
+#: With fewer endpoints in its own region, an instance also uses other regions.
 MIN_LOCAL_ENDPOINTS = 4
 
 
@@ -34,15 +34,15 @@
 ) -> tuple[Candidate, ...]:
     """Return the endpoints of a pool that an instance uses.
 
-    Its own region goes first.  Whole groups are taken in an order of the
-    instance's own, so that it deals with few homes and that endpoints have
-    equal numbers of users; from the last group, failure domains take turns.
+    Endpoints of its own region come first.  Whole groups are chosen in an order
+    specific to the instance, so that it communicates with few homes and endpoints have
+    equal numbers of users.  Within a group, failure domains alternate.
 
-    :param instance: its name.
-    :param region: its region, or empty if it is not known yet.
-    :param groups: of the pool.
-    :param endpoints: by name.
-    :param size: how many at most.
+    :param instance: name of the instance.
+    :param region: region of the instance, or empty if it is not known yet.
+    :param groups: groups of the pool.
+    :param endpoints: endpoint documents by name.
+    :param size: largest number of endpoints.
     """
     ordered = sorted(
         groups,
@@ -50,19 +50,19 @@
     )
     chosen: list[Candidate] = []
     for group in ordered:
-        is_foreign = bool(region) and group.region != region
-        if len(chosen) >= size or (is_foreign and len(chosen) >= MIN_LOCAL_ENDPOINTS):
+        is_remote = bool(region) and group.region != region
+        if len(chosen) >= size or (is_remote and len(chosen) >= MIN_LOCAL_ENDPOINTS):
             break
         names = _alternate_domains(instance, group, endpoints)
-        room = size - len(chosen)
-        chosen.extend(Candidate(name, group.key) for name in names[:room])
+        headroom = size - len(chosen)
+        chosen.extend(Candidate(name, group.key) for name in names[:headroom])
     return tuple(chosen)
 
 
 def _alternate_domains(
     instance: str, group: EndpointGroup, endpoints: Mapping[str, EndpointDocument]
 ) -> list[str]:
-    """Return the active endpoints, one of each failure domain in turn."""
+    """Return the active endpoints, alternating between failure domains."""
     by_domain: dict[str, list[str]] = {}
     names = sorted(group.names.values(), key=lambda name: _score(instance, name))
     for name in names:
--- a/savorychute/instance/attempt_desk.py
+++ b/savorychute/instance/attempt_desk.py
@@ -227,7 +227,7 @@
             parts.quarantine.ended(
                 tracked.fingerprint, attempt.attempt_id, False, now_ms
             )
-        parts.credits.give_back(attempt.attempt_id, now_ms)
+        parts.credits.release(attempt.attempt_id, now_ms)
         parts.book.finished(attempt.attempt_id, False, now_ms)
         parts.limiter.finish(tracked.request_id, 0, now_ms)
         if not tracked.request.stream:
--- a/savorychute/instance/dispatcher.py
+++ b/savorychute/instance/dispatcher.py
@@ -191,7 +191,7 @@
         endpoint = self._choose(tracked, queued, free, now_ms)
         tracked.attempt_count += 1
         attempt_id = f'{tracked.request_id}-{tracked.attempt_count}'
-        if endpoint is None or not parts.credits.take(
+        if endpoint is None or not parts.credits.acquire(
             endpoint, attempt_id, queued.tier, queued.expected_tokens, now_ms
         ):
             tracked.attempt_count -= 1
@@ -310,7 +310,7 @@
         tracked.resume_at = ContinuationHandle(
             attempt.endpoint, attempt.stream_id, tracked.delivered_tokens
         )
-        parts.credits.give_back(attempt.attempt_id, now_ms)
+        parts.credits.release(attempt.attempt_id, now_ms)
         parts.book.finished(attempt.attempt_id, True, now_ms)
         parts.limiter.finish(tracked.request_id, 0, now_ms)
         parts.table.detach(tracked)
--- a/savorychute/instance/housekeeping.py
+++ b/savorychute/instance/housekeeping.py
@@ -79,7 +79,7 @@
         parts = self._parts
         parts.book.report(report, now_ms)
         parts.ejector.report(report, now_ms)
-        parts.credits.observe(report)
+        parts.credits.record_load(report)
         self._placement_desk.note_load(report, now_ms)
         actions = self._lease_desk.note_load(report, now_ms)
         if report.state == ACTIVE:
@@ -113,7 +113,7 @@
 
     def _follow_relayed_loads(self, now_ms: int) -> None:
         """Take over load reports that came with grants of credit."""
-        for report in self._parts.credits.take_reports():
+        for report in self._parts.credits.pop_reports():
             # A relayed report does not say which models are loaded.
             self._parts.book.report(report._replace(models=()), now_ms)
 
--- a/savorychute/instance/responder.py
+++ b/savorychute/instance/responder.py
@@ -228,7 +228,7 @@
         parts = self._parts
         attempt = tracked.attempt
         if attempt is not None:
-            parts.credits.give_back(attempt.attempt_id, now_ms)
+            parts.credits.release(attempt.attempt_id, now_ms)
             parts.quarantine.ended(
                 tracked.fingerprint,
                 attempt.attempt_id,
--- a/savorychute/limits/report_handler.py
+++ b/savorychute/limits/report_handler.py
@@ -51,7 +51,7 @@
         actions: list[Action] = []
         for home, reports in due.items():
             actions += send_to(home, self._build_message(reports, now_ms), view)
-        self._sent.forget(now_ms - self._shares.settings.grant_ms)
+        self._sent.discard_until(now_ms - self._shares.settings.grant_ms)
         return actions
 
     def receive_grant(
@@ -108,7 +108,7 @@
         last_ms = quorum.last_loss_ms
         return LimitReport(
             self._shares.epoch,
-            self._sent.number(now_ms),
+            self._sent.assign_number(now_ms),
             tuple(reports),
             self._shares.vetoers,
             quorum.list_lost_since(now_ms - self._shares.settings.unreported_use_ms),
--- a/savorychute/limits/share_allocator.py
+++ b/savorychute/limits/share_allocator.py
@@ -230,7 +230,7 @@
             int(self.settings.floor_share * units),
             self._floor_headroom(instance, now_ms),
         )
-        takes_back = units < record.last_units()
+        reclaims = units < record.last_units()
         self._sequence += 1
         ends_ms = record.received_ms + self.settings.unreported_use_ms
         floor_ends_ms = record.received_ms + self._floor_lifetime_ms()
@@ -240,7 +240,7 @@
         grant = ShareGrant(
             self.organisation,
             self._sequence,
-            takes_back and self._has_shortage(now_ms),
+            reclaims and self._has_shortage(now_ms),
             units,
             floor,
         )
--- a/savorychute/testing/instance_host.py
+++ b/savorychute/testing/instance_host.py
@@ -126,8 +126,8 @@
     def is_home_of(self, endpoint: str) -> bool:
         """Return whether it takes itself for an endpoint's home; a look inside."""
         ledger = self.instance._parts.credits
-        group = ledger._book.group_of(endpoint)
-        return group is not None and ledger._homes.find(group.key) is not None
+        group = ledger._groups.group_of(endpoint)
+        return group is not None and ledger._home_handler.find(group.key) is not None
 
     def now_ms(self) -> int:
         """Return what the instance's own clock shows."""
--- a/tests/test_credits/conftest.py
+++ b/tests/test_credits/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of credit tests."""
+"""Fixtures of the credit tests."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 @pytest.fixture
-def make_rig():
-    """Return a function that builds a rig of started instances."""
+def make_cluster():
+    """Return a function that builds a cluster of started instances."""
 
     def make(names='abcdefgh', endpoints=9, *, capacity=8, **options):
-        rig = LedgerRig(build_endpoints(endpoints, capacity=capacity), **options)
-        rig.start(*names)
-        return rig
+        cluster = LedgerRig(build_endpoints(endpoints, capacity=capacity), **options)
+        cluster.start(*names)
+        return cluster
 
     return make
--- a/tests/test_credits/test_division.py
+++ b/tests/test_credits/test_division.py
@@ -11,7 +11,7 @@
     spread_over_endpoints,
 )
 
-wants_by_instance = st.dictionaries(
+demands_by_instance = st.dictionaries(
     st.sampled_from('abcdefgh'),
     st.lists(st.integers(0, 40), min_size=1, max_size=5),
     min_size=1,
@@ -38,15 +38,15 @@
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
-@given(wants_by_instance, st.integers(0, 100), st.integers(0, 5))
-def test_division_gives_all_there_is_and_never_more_than_wanted(
-    wants, capacity, reserve
+@given(demands_by_instance, st.integers(0, 100), st.integers(0, 5))
+def test_division_uses_all_capacity_and_never_exceeds_demand(
+    demands, capacity, reserve
 ):
-    division = divide_by_tier(capacity, wants, reserve, sorted(wants))
+    division = divide_by_tier(capacity, demands, reserve, sorted(demands))
 
-    total = sum(map(sum, wants.values()))
+    total = sum(map(sum, demands.values()))
     assert sum(division.parts.values()) == min(capacity, total)
-    assert all(division.parts[name] <= sum(wants[name]) for name in wants)
+    assert all(division.parts[name] <= sum(demands[name]) for name in demands)
     assert (division.pressing_tier >= 0) == (total > capacity)
 
 
@@ -56,8 +56,10 @@
     st.lists(st.floats(0.0, 1.0), min_size=1, max_size=8),
 )
 def test_levels_stay_within_endpoints_and_add_up(capacities, shares):
-    """An endpoint would be promised more than it can run, or an instance less
-    than its part, if rounding errors were not carried on.
+    """Rounding errors must be carried from one endpoint to the next.
+
+    Otherwise an endpoint would be granted more than it can run, or an instance would
+    receive less than its part.
     """
     total = sum(capacities)
     weight = sum(shares) or 1.0
--- a/tests/test_credits/test_ledger.py
+++ b/tests/test_credits/test_ledger.py
@@ -10,256 +10,262 @@
 CAPACITY = 72
 
 
-def assert_never_overcommitted(rig):
-    assert all(total <= 8 for total in rig.promised().values())
+def assert_never_overcommitted(cluster):
+    assert all(total <= 8 for total in cluster.promised().values())
 
 
-def test_only_instance_may_use_everything_at_once(make_rig):
-    rig = make_rig('a')
+def test_only_instance_may_use_everything_at_once(make_cluster):
+    cluster = make_cluster('a')
 
-    assert rig.available('a') == CAPACITY
-    assert len(rig.fill('a', 0)) == CAPACITY
-    assert rig.available('a') == 0
+    assert cluster.available('a') == CAPACITY
+    assert len(cluster.fill('a', 0)) == CAPACITY
+    assert cluster.available('a') == 0
 
 
-def test_equal_demand_gets_equal_parts(make_rig):
-    rig = make_rig()
-    rig.run(200)
-    for name in rig.ledgers:
-        rig.demand[name] = {1: 50}
-    rig.run(300, lambda: assert_never_overcommitted(rig))
+def test_equal_demand_gets_equal_parts(make_cluster):
+    cluster = make_cluster()
+    cluster.run(200)
+    for name in cluster.ledgers:
+        cluster.demand[name] = {1: 50}
+    cluster.run(300, lambda: assert_never_overcommitted(cluster))
 
-    levels = [rig.level(name) for name in rig.ledgers]
+    levels = [cluster.level(name) for name in cluster.ledgers]
     assert min(levels) >= 7
     assert max(levels) <= 11
 
 
-def test_higher_tier_takes_back_unspent_credit_of_lower_ones(make_rig):
-    """Seven instances hold credit for a lower tier's burst and have not spent
-    it.  A pump-site diagnosis burst at the eighth must not wait for their
-    grants to end.
+def test_higher_tier_reclaims_unused_credit_of_lower_ones(make_cluster):
+    """A burst of a higher tier must not wait for the grants of others to expire.
+
+    Seven instances hold unused credit for a burst of a lower tier when a burst of
+    pump-site diagnosis requests starts on the eighth.
     """
-    rig = make_rig()
-    rig.run(200)
-    for name in rig.ledgers:
-        rig.demand[name] = {2: 50}
-    rig.run(1_000)
-    asker = next(name for name in rig.ledgers if name != rig.home())
-    rig.demand[asker] = {0: 60, 2: 50}
+    cluster = make_cluster()
+    cluster.run(200)
+    for name in cluster.ledgers:
+        cluster.demand[name] = {2: 50}
+    cluster.run(1_000)
+    requester = next(name for name in cluster.ledgers if name != cluster.home())
+    cluster.demand[requester] = {0: 60, 2: 50}
+
+    cluster.run(250, lambda: assert_never_overcommitted(cluster))
 
-    rig.run(250, lambda: assert_never_overcommitted(rig))
+    assert cluster.level(requester) >= 50
 
-    assert rig.level(asker) >= 50
 
+def test_work_in_progress_counts_until_it_ends(make_cluster):
+    """Reclaimed credit that is in use must not be granted again at once.
 
-def test_work_in_progress_counts_until_it_ends(make_rig):
-    """Credit is taken back from an instance that has spent it.  Were it given
-    on at once, the endpoint would run the old work and the new.
+    Otherwise the endpoint would run both the old work and the new.
     """
-    rig = make_rig()
-    rig.run(200)
-    for name in rig.ledgers:
-        rig.demand[name] = {2: 50}
-    rig.run(1_000)
-    attempts = {name: rig.fill(name, 2) for name in rig.ledgers}
-    asker = next(name for name in rig.ledgers if name != rig.home())
-    rig.demand[asker] = {0: 60, 2: 50}
-    rig.run(5_000, lambda: assert_never_overcommitted(rig))
-    assert rig.available(asker) == 0
-
-    for name in rig.ledgers:
-        if name != asker:
-            rig.end(name, attempts[name])
-    rig.run(1_200, lambda: assert_never_overcommitted(rig))
-
-    assert rig.available(asker) >= 35
-
-
-def test_lower_tier_elsewhere_still_gets_starts(make_rig):
-    """One instance's top-tier demand exceeds the capacity for good, and at
-    another one the patient summaries of an auditor wait.  Strict tiers alone
-    would never grant that instance anything.
+    cluster = make_cluster()
+    cluster.run(200)
+    for name in cluster.ledgers:
+        cluster.demand[name] = {2: 50}
+    cluster.run(1_000)
+    attempts = {name: cluster.fill(name, 2) for name in cluster.ledgers}
+    requester = next(name for name in cluster.ledgers if name != cluster.home())
+    cluster.demand[requester] = {0: 60, 2: 50}
+    cluster.run(5_000, lambda: assert_never_overcommitted(cluster))
+    assert cluster.available(requester) == 0
+
+    for name in cluster.ledgers:
+        if name != requester:
+            cluster.end(name, attempts[name])
+    cluster.run(1_200, lambda: assert_never_overcommitted(cluster))
+
+    assert cluster.available(requester) >= 35
+
+
+def test_lower_tier_on_another_instance_still_gets_starts(make_cluster):
+    """Strict priority of tiers alone would never grant an instance anything.
+
+    One instance's top-tier demand permanently exceeds the capacity, while an auditor's
+    patient summaries wait on another instance.
     """
-    rig = make_rig('abc')
-    rig.run(200)
-    home = rig.home()
-    busy, patient = (name for name in rig.ledgers if name != home)
-    rig.demand[busy] = {0: 200}
-    rig.demand[patient] = {3: 1}
+    cluster = make_cluster('abc')
+    cluster.run(200)
+    home = cluster.home()
+    busy, patient = (name for name in cluster.ledgers if name != home)
+    cluster.demand[busy] = {0: 200}
+    cluster.demand[patient] = {3: 1}
+
+    cluster.run(3_000)
 
-    rig.run(3_000)
+    assert cluster.level(patient) >= 1
+    assert cluster.level(busy) >= 60
 
-    assert rig.level(patient) >= 1
-    assert rig.level(busy) >= 60
 
+def test_credits_of_a_dead_home_last_until_the_next_home_takes_over(make_cluster):
+    """The home of an endpoint crashes while all instances are in use.
 
-def test_dead_homes_credits_last_and_the_next_home_takes_over(make_rig):
-    """The home of an endpoint crashes while all instances are at work.
-    Requests go on starting under the credits in hand; the next home learns
-    from reports what is out, and gives out the rest when the unreported
-    grants have ended.
+    Requests continue to start under the current credits.  The next home learns of these
+    from reports, and grants the rest when the unreported grants have expired.
     """
-    rig = make_rig()
-    rig.run(200)
-    for name in rig.ledgers:
-        rig.demand[name] = {1: 50}
-    rig.run(1_500)
-    home = rig.home()
-    rig.stop(home)
-    rig.run(1_000)
-    assert all(rig.available(name) > 0 for name in rig.ledgers)
-
-    rig.see_all()
-    rig.run(100, lambda: assert_never_overcommitted(rig))
-    assert rig.home() != home
-    rig.run(6_000, lambda: assert_never_overcommitted(rig))
-
-    assert sum(rig.level(name) for name in rig.ledgers) >= 70
-
-
-def test_views_that_disagree_overcommit_at_most_once_more(make_rig):
-    """Half of the instances take one member for the home and half another, as
-    for some seconds after a false suspicion.  Each home grants to its half;
-    no endpoint may be promised more than twice.
+    cluster = make_cluster()
+    cluster.run(200)
+    for name in cluster.ledgers:
+        cluster.demand[name] = {1: 50}
+    cluster.run(1_500)
+    home = cluster.home()
+    cluster.stop(home)
+    cluster.run(1_000)
+    assert all(cluster.available(name) > 0 for name in cluster.ledgers)
+
+    cluster.see_all()
+    cluster.run(100, lambda: assert_never_overcommitted(cluster))
+    assert cluster.home() != home
+    cluster.run(6_000, lambda: assert_never_overcommitted(cluster))
+
+    assert sum(cluster.level(name) for name in cluster.ledgers) >= 70
+
+
+def test_views_that_disagree_overcommit_at_most_by_the_capacity(make_cluster):
+    """No endpoint may be promised more than twice when views disagree on the home.
+
+    Half of the instances consider one member the home and half another, as for some
+    seconds after a false suspicion.  Each home grants to its half.
     """
-    rig = make_rig()
-    rig.run(200)
-    for name in rig.ledgers:
-        rig.demand[name] = {1: 50}
-    rig.run(1_000)
-    home = rig.home()
-    deceived = [name for name in rig.ledgers if name != home][:4]
-    for name in deceived:
-        rig.see(name, [other for other in rig.ledgers if other != home])
+    cluster = make_cluster()
+    cluster.run(200)
+    for name in cluster.ledgers:
+        cluster.demand[name] = {1: 50}
+    cluster.run(1_000)
+    home = cluster.home()
+    misled = [name for name in cluster.ledgers if name != home][:4]
+    for name in misled:
+        cluster.see(name, [other for other in cluster.ledgers if other != home])
 
     worst = 0.0
 
     def measure():
         nonlocal worst
-        worst = max(worst, rig.overcommit())
+        worst = max(worst, cluster.overcommit())
 
-    rig.run(10_000, measure)
+    cluster.run(10_000, measure)
     assert worst <= 1.0
 
-    rig.see_all()
-    rig.run(6_000)
-    assert rig.overcommit() == 0
+    cluster.see_all()
+    cluster.run(6_000)
+    assert cluster.overcommit() == 0
+
 
+def test_isolated_instances_share_the_capacity(make_cluster):
+    """A network fault isolates every instance, so that each is its own home.
 
-def test_isolated_instances_share_the_capacity(make_rig):
-    """A network fault leaves every instance alone.  Each is its own home then;
-    if each took the whole capacity, eight times of it would be in use.
+    If each used the whole capacity, eight times the capacity would be in use.
     """
-    rig = make_rig()
-    rig.run(200)
-    for name in rig.ledgers:
-        rig.demand[name] = {1: 50}
-    rig.run(1_000)
-    for name in rig.ledgers:
-        rig.see(name, name)
+    cluster = make_cluster()
+    cluster.run(200)
+    for name in cluster.ledgers:
+        cluster.demand[name] = {1: 50}
+    cluster.run(1_000)
+    for name in cluster.ledgers:
+        cluster.see(name, name)
 
-    rig.run(10_000)
+    cluster.run(10_000)
 
-    assert all(rig.level(name) > 0 for name in rig.ledgers)
-    assert rig.overcommit() <= 0.2
+    assert all(cluster.level(name) > 0 for name in cluster.ledgers)
+    assert cluster.overcommit() <= 0.2
 
 
-def test_unreachable_home_leaves_a_small_allowance(make_rig):
-    """An instance sees its home alive but hears nothing from it.  When its
-    credits have ended it must still serve, and all in that state together no
-    more than the survival share.
+def test_unreachable_home_leaves_a_small_allowance(make_cluster):
+    """An instance must still serve when its home is alive but unreachable.
+
+    Its credits have expired.  All instances in this state together may use no more than
+    the survival share.
     """
-    rig = make_rig()
-    rig.run(200)
-    home = rig.home()
-    for name in rig.ledgers:
-        rig.demand[name] = {1: 50}
-        rig.cut.add((home, name))
-
-    rig.run(10_000)
-
-    others = [name for name in rig.ledgers if name != home]
-    assert all(rig.available(name) > 0 for name in others)
-    assert sum(rig.available(name) for name in others) <= 36
-
-
-def test_leaving_instance_returns_what_it_does_not_use(make_rig):
-    rig = make_rig()
-    rig.run(200)
-    for name in rig.ledgers:
-        rig.demand[name] = {1: 9}
-    rig.run(1_000)
-    leaver = next(name for name in rig.ledgers if name != rig.home())
-    running = rig.fill(leaver, 1, limit=3)
-    rig.see(leaver, [name for name in rig.ledgers if name != leaver])
-    ledger = rig.ledgers[leaver]
-
-    rig._post(leaver, ledger.leave(rig.views[leaver], rig.now_ms))
-    rig.demand[leaver] = {}
-    rig.run(2_500)
+    cluster = make_cluster()
+    cluster.run(200)
+    home = cluster.home()
+    for name in cluster.ledgers:
+        cluster.demand[name] = {1: 50}
+        cluster.cut.add((home, name))
+
+    cluster.run(10_000)
+
+    others = [name for name in cluster.ledgers if name != home]
+    assert all(cluster.available(name) > 0 for name in others)
+    assert sum(cluster.available(name) for name in others) <= 36
+
+
+def test_leaving_instance_returns_unused_credit(make_cluster):
+    cluster = make_cluster()
+    cluster.run(200)
+    for name in cluster.ledgers:
+        cluster.demand[name] = {1: 9}
+    cluster.run(1_000)
+    leaving = next(name for name in cluster.ledgers if name != cluster.home())
+    running = cluster.fill(leaving, 1, limit=3)
+    cluster.see(leaving, [name for name in cluster.ledgers if name != leaving])
+    ledger = cluster.ledgers[leaving]
+
+    cluster._post(leaving, ledger.leave(cluster.views[leaving], cluster.now_ms))
+    cluster.demand[leaving] = {}
+    cluster.run(2_500)
 
     assert len(running) == 3
-    assert rig.available(leaver) == 0
-    assert sum(rig.level(n) for n in rig.ledgers if n != leaver) >= 60
+    assert cluster.available(leaving) == 0
+    assert sum(cluster.level(n) for n in cluster.ledgers if n != leaving) >= 60
 
 
-def test_tokens_outstanding_are_bounded(make_rig):
-    rig = make_rig('a', endpoints=1)
-    rig.endpoints['engine-0']['outstanding_tokens'] = 1_000
-    ledger = rig.ledgers['a']
-    ledger.set_endpoints(rig.endpoints)
+def test_outstanding_tokens_are_limited(make_cluster):
+    cluster = make_cluster('a', endpoints=1)
+    cluster.endpoints['engine-0']['outstanding_tokens'] = 1_000
+    ledger = cluster.ledgers['a']
+    ledger.set_endpoints(cluster.endpoints)
 
-    assert ledger.take('engine-0', 'x', 0, 5_000, 0)
-    assert not ledger.take('engine-0', 'y', 0, 1, 0)
-    ledger.give_back('x', 0)
-    assert ledger.take('engine-0', 'y', 0, 600, 0)
-    assert not ledger.take('engine-0', 'z', 0, 600, 0)
+    assert ledger.acquire('engine-0', 'x', 0, 5_000, 0)
+    assert not ledger.acquire('engine-0', 'y', 0, 1, 0)
+    ledger.release('x', 0)
+    assert ledger.acquire('engine-0', 'y', 0, 600, 0)
+    assert not ledger.acquire('engine-0', 'z', 0, 600, 0)
 
 
-def test_draining_endpoint_gets_no_new_work_and_stays_counted(make_rig):
-    rig = make_rig('a', endpoints=2)
-    attempts = rig.fill('a', 0, limit=3)
-    rig.endpoints['engine-0']['state'] = 'draining'
-    ledger = rig.ledgers['a']
+def test_draining_endpoint_gets_no_new_work_and_stays_counted(make_cluster):
+    cluster = make_cluster('a', endpoints=2)
+    attempts = cluster.fill('a', 0, limit=3)
+    cluster.endpoints['engine-0']['state'] = 'draining'
+    ledger = cluster.ledgers['a']
 
-    ledger.set_endpoints(rig.endpoints)
+    ledger.set_endpoints(cluster.endpoints)
 
     assert ledger.candidates('diagnosis') == ('engine-1',)
     assert ledger.available('engine-0', 0) == 0
-    rig.end('a', attempts)
+    cluster.end('a', attempts)
     assert ledger.available('engine-1', 0) == 8
 
 
-def test_subset_is_bounded_and_spread_over_domains(make_rig):
-    rig = make_rig('ab', endpoints=60)
-    rig.run(100)
+def test_subset_is_limited_and_spread_over_domains(make_cluster):
+    cluster = make_cluster('ab', endpoints=60)
+    cluster.run(100)
 
-    subset = rig.ledgers['a'].candidates('diagnosis')
+    subset = cluster.ledgers['a'].candidates('diagnosis')
 
     assert len(subset) == 16
-    domains = [rig.endpoints[name]['failure_domain'] for name in subset]
+    domains = [cluster.endpoints[name]['failure_domain'] for name in subset]
     assert min(domains.count(domain) for domain in set(domains)) >= 3
     assert len(set(domains)) == 3
-    assert set(subset) != set(rig.ledgers['b'].candidates('diagnosis'))
+    assert set(subset) != set(cluster.ledgers['b'].candidates('diagnosis'))
 
 
-def test_load_reports_travel_with_grants(make_rig):
-    rig = make_rig()
-    rig.run(200)
-    home = rig.home()
-    other = next(name for name in rig.ledgers if name != home)
+def test_load_reports_are_sent_with_grants(make_cluster):
+    cluster = make_cluster()
+    cluster.run(200)
+    home = cluster.home()
+    other = next(name for name in cluster.ledgers if name != home)
     report = LoadReported(
         'engine-3', 40, 5, 2, 0.5, 5.5, ('diagnosis',), 'active', 9, (), (), False
     )
-    rig.ledgers[home].observe(report)
-    rig.demand[other] = {0: 3}
+    cluster.ledgers[home].record_load(report)
+    cluster.demand[other] = {0: 3}
 
-    rig.run(1_100)
+    cluster.run(1_100)
 
-    (passed_on,) = {r.endpoint: r for r in rig.ledgers[other].take_reports()}.values()
-    assert passed_on.endpoint == 'engine-3'
-    assert (passed_on.running, passed_on.waiting) == (5, 2)
-    assert passed_on.age_ms >= 40
+    (relayed,) = {r.endpoint: r for r in cluster.ledgers[other].pop_reports()}.values()
+    assert relayed.endpoint == 'engine-3'
+    assert (relayed.running, relayed.waiting) == (5, 2)
+    assert relayed.age_ms >= 40
 
 
 steps = st.lists(
@@ -281,47 +287,51 @@
     suppress_health_check=[HealthCheck.function_scoped_fixture],
 )
 @given(steps=steps)
-def test_one_home_never_promises_more_than_there_is(make_rig, steps):
-    """Messages get lost, demand comes and goes, attempts start and end in any
-    order.  While all agree on the home, what all may run together must never
-    exceed the capacity, or endpoints queue work that the tiers do not rule.
+def test_one_home_never_promises_more_than_the_capacity(make_cluster, steps):
+    """While all instances agree on the home, the capacity must never be exceeded.
+
+    Messages get lost, demand changes, and attempts start and end in any order.  If more
+    than the capacity were granted, endpoints would queue work regardless of tiers.
     """
-    rig = make_rig('abcd', endpoints=3)
-    rig.run(200)
+    cluster = make_cluster('abcd', endpoints=3)
+    cluster.run(200)
     running = {name: [] for name in 'abcd'}
     for step, name, tier, amount in steps:
         if step == 'demand':
-            rig.demand[name] = {tier: amount}
+            cluster.demand[name] = {tier: amount}
         elif step == 'start':
-            running[name] += rig.fill(name, tier, limit=amount)
+            running[name] += cluster.fill(name, tier, limit=amount)
         elif step == 'end':
-            rig.end(name, running[name][:amount])
+            cluster.end(name, running[name][:amount])
             del running[name][:amount]
         elif step == 'lose':
-            rig.cut.add((name, rig.home()) if amount % 2 else (rig.home(), name))
+            cluster.cut.add(
+                (name, cluster.home()) if amount % 2 else (cluster.home(), name)
+            )
         else:
-            rig.cut.clear()
-        rig.run(50 + 30 * amount)
-        assert_never_overcommitted(rig)
+            cluster.cut.clear()
+        cluster.run(50 + 30 * amount)
+        assert_never_overcommitted(cluster)
+
 
+def test_restarted_home_learns_of_current_credits_at_once(make_cluster):
+    """The home crashes and restarts under its name before its loss is detected.
 
-def test_home_that_starts_anew_learns_what_is_out_at_once(make_rig):
-    """The home crashes and is back under its name before anybody sees it gone.
-    Nobody reports to a new home then, and those that use nothing would never
-    report; for the life of a grant the home would give nothing to a burst.
+    Members see no new home to which they would report, and those that use nothing would
+    never report; the home would grant nothing to a burst for the duration of a grant.
     """
-    rig = make_rig()
-    rig.run(200)
-    home = rig.home()
-    users = [name for name in rig.ledgers if name != home][:3]
+    cluster = make_cluster()
+    cluster.run(200)
+    home = cluster.home()
+    users = [name for name in cluster.ledgers if name != home][:3]
     for name in users:
-        rig.demand[name] = {1: 10}
-    rig.run(1_500)
-    rig.stop(home)
-    rig.start(home)
-    rig.demand[users[0]] = {0: 60}
-    rig.run(60)
+        cluster.demand[name] = {1: 10}
+    cluster.run(1_500)
+    cluster.stop(home)
+    cluster.start(home)
+    cluster.demand[users[0]] = {0: 60}
+    cluster.run(60)
 
-    rig.run(1_500, lambda: assert_never_overcommitted(rig))
+    cluster.run(1_500, lambda: assert_never_overcommitted(cluster))
 
-    assert rig.level(users[0]) >= 45
+    assert cluster.level(users[0]) >= 45
--- a/tests/test_limits/test_limiter.py
+++ b/tests/test_limits/test_limiter.py
@@ -168,8 +168,8 @@
     for name in 'abcd':
         cluster.greed[name] = UNLIMITED
     cluster.run(3_000)
-    leaver = next(name for name in 'abcd' if name != cluster.home())
-    cluster.leave(leaver)
+    leaving = next(name for name in 'abcd' if name != cluster.home())
+    cluster.leave(leaving)
 
     cluster.run(1_500, lambda: assert_within_contract(cluster))
 
