--- a/savorychute/instance/attempt_handler.py
+++ b/savorychute/instance/attempt_handler.py
@@ -234,7 +234,7 @@
             parts.quarantine.record_end(
                 tracked.fingerprint, attempt.attempt_id, False, now_ms
             )
-        parts.credits.give_back(attempt.attempt_id, now_ms)
+        parts.credits.release(attempt.attempt_id, now_ms)
         parts.endpoint_table.record_finish(attempt.attempt_id, False, now_ms)
         parts.limiter.finish(tracked.request_id, 0, now_ms)
         if not tracked.request.stream:
--- a/savorychute/instance/periodic_tasks.py
+++ b/savorychute/instance/periodic_tasks.py
@@ -81,7 +81,7 @@
         parts = self._parts
         parts.endpoint_table.apply_report(report, now_ms)
         parts.ejector.apply_report(report, now_ms)
-        parts.credits.observe(report)
+        parts.credits.record_load(report)
         self._placement_handler.handle_load_report(report, now_ms)
         actions = self._lease_handler.handle_load_report(report, now_ms)
         if report.state == ACTIVE_STATE:
@@ -117,7 +117,7 @@
 
     def _apply_relayed_loads(self, now_ms: int) -> None:
         """Apply the load reports that came with grants of credit."""
-        for report in self._parts.credits.take_reports():
+        for report in self._parts.credits.pop_reports():
             # A relayed report does not contain the loaded models.
             self._parts.endpoint_table.apply_report(report._replace(models=()), now_ms)
 
