--- a/savorychute/gateway/daemon/peer_messages.py
+++ b/savorychute/gateway/daemon/peer_messages.py
@@ -16,7 +16,7 @@
 from savorychute.gateway.store.store_answer import StoreAnswer
 from savorychute.gateway.store.store_question import StoreQuestion
 from savorychute.membership.ack import Ack
-from savorychute.membership.member_news import MemberNews
+from savorychute.membership.member_status import MemberStatus
 from savorychute.membership.ping import Ping
 
 if TYPE_CHECKING:
@@ -70,13 +70,13 @@
         self._spread = CrashSpread(parts.crashes)
         self._inquiry = CrashInquiry(rng)
 
-    def make_news(self, now_ms: int) -> MemberNews:
+    def make_news(self, now_ms: int) -> MemberStatus:
         """Return what the others are told with each probe.
 
         :param now_ms: the time.
         """
         parts = self.parts
-        return MemberNews(
+        return MemberStatus(
             parts.demand.advertised(now_ms),
             parts.shortages.advertised(now_ms),
             parts.time.own_offset_ms() if parts.usage is not None else None,
--- a/savorychute/instance/housekeeping.py
+++ b/savorychute/instance/housekeeping.py
@@ -8,7 +8,7 @@
 from savorychute.audit.audit_kind import AuditKind
 from savorychute.instance.lease_desk import LeaseDesk
 from savorychute.instance.placement_desk import PlacementDesk
-from savorychute.membership.member_news import MemberNews
+from savorychute.membership.member_status import MemberStatus
 from savorychute.recovery import EndpointHealth
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
         """Tick every part once."""
         parts = self._parts
         parts.membership.advertise(
-            parts.configuration.advertised_offset, MemberNews(load=len(parts.table))
+            parts.configuration.advertised_offset, MemberStatus(load=len(parts.table))
         )
         actions = parts.membership.tick(now_ms)
         view = parts.membership.view()
--- a/savorychute/membership/__init__.py
+++ b/savorychute/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is alive, who is responsible for what, and whom callers use."""
+"""Membership of instances, key ownership and discovery for callers."""
 
 from __future__ import annotations
 
--- a/savorychute/membership/ack.py
+++ b/savorychute/membership/ack.py
@@ -1,4 +1,4 @@
-"""The answer to a probe."""
+"""The acknowledgement of a probe."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @peer_message(11)
 class Ack(NamedTuple):
-    """Answer the :class:`Ping` of this sequence number.
+    """Acknowledge the :class:`Ping` with this sequence number.
 
-    ``load`` is how busy the sender is, in the unit of the host's choice;
-    ``shortages`` are the tiers whose requests get nothing there; ``wall_ms`` is the
-    sender's time of day, 0 if it does not tell; ``limits`` and ``leaving`` are what
-    endpoints stated lately.
+    ``load`` is the sender's load, in a unit that the host application chooses;
+    ``shortages`` lists the tiers whose requests the sender cannot serve; ``wall_ms``
+    is the sender's wall-clock time, or 0 if it is not reported; ``limits`` and
+    ``leaving`` hold recent statements of endpoints.
     """
 
     sequence: int
--- a/savorychute/membership/digest.py
+++ b/savorychute/membership/digest.py
@@ -1,4 +1,4 @@
-"""The table of members in a few bytes per region."""
+"""A compact digest of the member table, a few bytes per region."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 @peer_message(15)
 class Digest(NamedTuple):
-    """Answered by a :class:`RegionSummary` where the receiver differs."""
+    """A digest of each region's members.
+
+    The receiver answers with a :class:`RegionSummary` if its own digest differs.
+    """
 
     origin: MemberUpdate
     configuration_offset: int
--- a/savorychute/membership/discovery.py
+++ b/savorychute/membership/discovery.py
@@ -1,4 +1,4 @@
-"""Which instances an organisation's callers use."""
+"""Selection of the instances that an organisation's callers connect to."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
     seats: int = 0,
     loads: Mapping[str, int] | None = None,
 ) -> DiscoveryAnswer:
-    """Return where callers of an organisation are to connect.
+    """Return the instances that an organisation's callers should connect to.
 
-    Each organisation has few instances of its own choice among all (shuffle
-    sharding), so one organisation's burst or a request that kills its instance
-    leaves most other organisations alone.  They are in the region of this
-    instance, in different failure domains, in random order; after them come
-    some of other regions for the loss of this region.
+    Each organisation is assigned its own small subset of all instances (shuffle
+    sharding), so one organisation's burst, or a request that crashes its instance,
+    does not affect most other organisations.  The subset lies in the region of
+    this instance, in different failure domains and in random order; it is followed
+    by some instances of other regions in case this region is lost.
 
     :param organisation: the organisation's name.
-    :param view: the members; suspects and leaving ones are left out.
+    :param view: the members; suspected and leaving ones are left out.
     :param settings: numbers of seats and lifetimes.
-    :param rng: draws the order, who is passed over, and the lifetime.
+    :param rng: draws the order, the busy instances to skip, and the lifetime.
     :param seats: how many instances the organisation gets; raised to
         ``min_seats`` of the settings.
-    :param loads: how busy the region's instances are, as far as known.
+    :param loads: the known loads of the region's instances.
     """
     usable = [m for m in view.alive if m.instance not in view.suspects]
     near = [m for m in usable if m.region == view.own.region]
@@ -46,14 +46,14 @@
     count = min(len(near), max(settings.min_seats, seats))
     ranked = choose_homes(organisation, near, len(near))
     mean = _mean_load(near, loads or {})
-    chosen = _pass_over_busy(ranked, count, settings, loads or {}, mean, rng)
+    chosen = _skip_busy(ranked, count, settings, loads or {}, mean, rng)
     rng.shuffle(chosen)
     chosen.extend(choose_homes(organisation, far, _count_far(settings, len(chosen))))
     lifetime_ms = rng.randint(settings.min_lifetime_ms, settings.max_lifetime_ms)
     return DiscoveryAnswer(tuple(chosen), lifetime_ms)
 
 
-def _pass_over_busy(
+def _skip_busy(
     ranked: Sequence[MemberAddress],
     count: int,
     settings: DiscoverySettings,
@@ -61,24 +61,24 @@
     mean: float,
     rng: Random,
 ) -> list[MemberAddress]:
-    """Take the first members, passing over those that are far above the mean.
+    """Return the first members, skipping some whose load is far above the mean.
 
-    An instance with a load of L times the mean is passed over with probability
-    1 - 1/L, which brings it back to the mean when all answers are renewed; a
-    hard bound would make all callers leave at once and come back at once.
+    An instance with a load of L times the mean is skipped with probability
+    1 - 1/L, which brings it back to the mean once all answers are renewed.  A
+    hard threshold would make all callers leave at once and return at once.
     """
     chosen: list[MemberAddress] = []
-    passed: list[MemberAddress] = []
+    skipped: list[MemberAddress] = []
     for member in ranked:
         if len(chosen) == count:
             break
         load = loads.get(member.instance, 0)
         is_busy = load > mean * settings.busy_ratio
         if is_busy and rng.random() > mean / load:
-            passed.append(member)
+            skipped.append(member)
         else:
             chosen.append(member)
-    return chosen + passed[: count - len(chosen)]
+    return chosen + skipped[: count - len(chosen)]
 
 
 def _mean_load(members: Sequence[MemberAddress], loads: Mapping[str, int]) -> float:
--- a/savorychute/membership/discovery_answer.py
+++ b/savorychute/membership/discovery_answer.py
@@ -1,4 +1,4 @@
-"""The answer to a caller that asks where to connect."""
+"""The answer to a discovery request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class DiscoveryAnswer(NamedTuple):
-    """Addresses, the first to be tried first, and how long to keep them."""
+    """Addresses in the order to try them, and how long a caller may use them."""
 
     addresses: tuple[MemberAddress, ...]
     lifetime_ms: int
--- a/savorychute/membership/discovery_settings.py
+++ b/savorychute/membership/discovery_settings.py
@@ -6,13 +6,13 @@
 
 
 class DiscoverySettings(NamedTuple):
-    """How many instances an organisation gets, and for how long.
+    """The number of instances per organisation and the lifetime of an answer.
 
-    ``min_seats`` are in the region of the instance that answers, ``far_seats``
-    elsewhere.  Instances above ``busy_ratio`` times the mean load are passed
-    over at times.  An answer lives between ``min_lifetime_ms`` and
-    ``max_lifetime_ms``, drawn evenly, so that callers that asked together do
-    not come back together.
+    At least ``min_seats`` instances are in the region of the answering instance,
+    ``far_seats`` in other regions.  Instances above ``busy_ratio`` times the mean
+    load are skipped with some probability.  The lifetime of an answer is drawn
+    uniformly between ``min_lifetime_ms`` and ``max_lifetime_ms``, so that callers
+    that asked at the same time do not all ask again at the same time.
     """
 
     min_seats: int = 3
--- a/savorychute/membership/gossip.py
+++ b/savorychute/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Updates that are sent on at once."""
+"""Member updates that are passed on without a request."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @peer_message(14)
 class Gossip(NamedTuple):
-    """Carry fresh updates, or with ``bulk`` those that a table lacked.
+    """Carry new updates, or with ``bulk`` those missing from the receiver's table.
 
-    Members that a bulk message makes known are not passed on again: the
-    receiver was behind, the others know them.
+    Members that become known by a bulk message are not gossiped further: only the
+    receiver was missing them.
     """
 
     updates: tuple[MemberUpdate, ...]
--- a/savorychute/membership/home_table.py
+++ b/savorychute/membership/home_table.py
@@ -1,4 +1,4 @@
-"""Homes of many keys, kept up to date at the cost of what changed."""
+"""Incrementally updated table of the home instances of many keys."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class HomeTable:
     """The home instance of each key, in the key's own region if possible.
 
-    A member that joins costs one hash per key of its region; a member that
-    goes costs a full choice only for the keys that it was home of.
+    A joining member costs one hash per key of its region; a departing member
+    costs a full selection only for the keys whose home it was.
     """
 
     def __init__(self) -> None:
@@ -36,24 +36,24 @@
             self._drop_key(key)
         fresh = [key for key in regions if key not in self._regions]
         self._regions.update((key, regions[key]) for key in fresh)
-        self._assign(fresh)
+        self._assign_homes(fresh)
 
     def set_view(self, view: MemberView) -> None:
-        """Follow a change of the members.
+        """Update the homes after a change of the members.
 
-        :param view: the members now; the same view again costs nothing.
+        :param view: the current members; passing the same view again is free.
         """
         if view.alive is self._alive:
             return
         self._alive = view.alive
         previous = self._members
         self._members = {member.instance: member for member in view.alive}
-        self._follow_joins(previous)
-        self._follow_departures(previous)
-        self._assign(self._keys_without_region(previous))
+        self._apply_joins(previous)
+        self._apply_departures(previous)
+        self._assign_homes(self._keys_without_region(previous))
 
     def home_of(self, key: str) -> MemberAddress | None:
-        """Return the key's home, or None if nobody is alive.
+        """Return the key's home, or None if no member is alive.
 
         :param key: one of the keys that were set.
         """
@@ -67,46 +67,46 @@
         return frozenset(self._keys_of.get(instance, ()))
 
     def _keys_without_region(self, previous: Mapping[str, MemberAddress]) -> list[str]:
-        """Return the keys whose region has, or had, no member.
+        """Return the keys whose region has no member now or had none before.
 
-        Their homes are anywhere, so each change may move them; and they come
-        back as soon as somebody is alive in their region.
+        Their homes are in any region, so every change may move them.  They return
+        to their own region as soon as a member is alive there.
         """
         before = {member.region for member in previous.values()}
         after = {member.region for member in self._members.values()}
-        inhabited = before & after
-        return [k for k, region in self._regions.items() if region not in inhabited]
+        populated = before & after
+        return [k for k, region in self._regions.items() if region not in populated]
 
-    def _follow_joins(self, previous: Mapping[str, MemberAddress]) -> None:
+    def _apply_joins(self, previous: Mapping[str, MemberAddress]) -> None:
         for instance, member in self._members.items():
             known = previous.get(instance)
             if known == member:
                 continue
             if known is not None and known.region == member.region:
-                self._rename_home(member)
+                self._update_home_address(member)
                 continue
             for key, region in self._regions.items():
                 if region == member.region:
-                    self._contest(key, member)
+                    self._move_if_higher(key, member)
 
-    def _follow_departures(self, previous: Mapping[str, MemberAddress]) -> None:
-        orphans: list[str] = []
+    def _apply_departures(self, previous: Mapping[str, MemberAddress]) -> None:
+        orphaned_keys: list[str] = []
         for instance, known in previous.items():
             member = self._members.get(instance)
             if member is None or member.region != known.region:
-                orphans.extend(self._keys_of.get(instance, ()))
-        self._assign(orphans)
+                orphaned_keys.extend(self._keys_of.get(instance, ()))
+        self._assign_homes(orphaned_keys)
 
-    def _rename_home(self, member: MemberAddress) -> None:
+    def _update_home_address(self, member: MemberAddress) -> None:
         for key in self._keys_of.get(member.instance, ()):
             self._homes[key] = member
 
-    def _contest(self, key: str, member: MemberAddress) -> None:
+    def _move_if_higher(self, key: str, member: MemberAddress) -> None:
         home = self._homes.get(key)
         if home is None or score_member(key, member) > score_member(key, home):
             self._set_home(key, member)
 
-    def _assign(self, keys: Sequence[str]) -> None:
+    def _assign_homes(self, keys: Sequence[str]) -> None:
         by_region: dict[str, list[MemberAddress]] = {}
         for member in self._alive:
             by_region.setdefault(member.region, []).append(member)
--- a/savorychute/membership/member_change.py
+++ b/savorychute/membership/member_change.py
@@ -6,9 +6,9 @@
 
 
 class MemberChange(NamedTuple):
-    """Who changed from which state to which, when and why.
+    """A member's old and new state, with the time and the reason.
 
-    ``from_state`` is empty for a member that was unknown.
+    ``from_state`` is empty for a member that was not known before.
     """
 
     instance: str
--- a/savorychute/membership/member_record.py
+++ b/savorychute/membership/member_record.py
@@ -1,4 +1,4 @@
-"""What the table keeps of one member."""
+"""The table's record of one member."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class MemberRecord(NamedTuple):
-    """The statement that holds, and since when.
+    """The current update of a member, and the time from which it holds.
 
-    ``said_leaving`` says that this incarnation declared that it leaves, which
-    a later suspicion of it does not take back.  ``listed_leaving`` says that
-    the platform's list calls the member leaving.
+    ``announced_leaving`` is set if this incarnation announced that it leaves; a
+    later suspicion does not revoke that.  ``listed_leaving`` is set if the platform's
+    list marks the member as leaving.
     """
 
     update: MemberUpdate
     since_ms: int
-    said_leaving: bool = False
+    announced_leaving: bool = False
     listed_leaving: bool = False
 
     @property
     def state(self) -> MemberState:
-        """Return the state of the statement that holds."""
+        """Return the state in the current update."""
         return MemberState(self.update.state)
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether the member gets no new work because it goes away."""
-        return self.said_leaving or self.listed_leaving
+        """Return whether the member is leaving and gets no new work."""
+        return self.announced_leaving or self.listed_leaving
--- a/savorychute/membership/member_stamp.py
+++ b/savorychute/membership/member_stamp.py
@@ -1,4 +1,4 @@
-"""A statement about a member without its address."""
+"""The version of a member's state, without its address."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class MemberStamp(NamedTuple):
-    """What is compared when two tables are brought together."""
+    """The part of an update that is compared when two tables are reconciled."""
 
     instance: str
     incarnation: int
@@ -14,6 +14,6 @@
     state: int
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        """Return the same order as :attr:`MemberUpdate.rank`."""
+    def precedence(self) -> tuple[int, int, int]:
+        """Return the same sort key as :attr:`MemberUpdate.precedence`."""
         return (self.incarnation, self.counter, self.state)
--- a/savorychute/membership/member_state.py
+++ b/savorychute/membership/member_state.py
@@ -1,4 +1,4 @@
-"""What is known of a member."""
+"""States of a member."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class MemberState(IntEnum):
-    """States in the order in which they override each other.
+    """The states of a member, in order of precedence.
 
-    At the same incarnation and counter the larger state wins.
+    At the same incarnation and counter the larger state overrides the smaller.
     """
 
     ALIVE = 0
--- a/savorychute/membership/member_news.py
+++ b/savorychute/membership/member_status.py
@@ -1,4 +1,4 @@
-"""What a member tells the others with each probe."""
+"""The status that a member sends with each probe."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from savorychute.membership.told_limit import ToldLimit  # noqa: TC001
 
 
-class MemberNews(NamedTuple):
-    """How busy it is, and what it knows that others may not.
+class MemberStatus(NamedTuple):
+    """A member's load, and facts that other members may not know.
 
-    ``load`` is in a unit that all use.  ``shortages`` are the tiers whose requests get
-    nothing there.  ``wall_offset_ms`` is the time of day less the clock's; None is not
-    told.  ``limits`` and ``leaving`` are what endpoints stated lately.
+    ``load`` is in a unit that all members share.  ``shortages`` lists the tiers
+    whose requests the member cannot serve.  ``wall_offset_ms`` is the wall-clock time
+    minus the monotonic time; None means that it is not reported.  ``limits`` and
+    ``leaving`` hold recent statements of endpoints.
     """
 
     load: int = 0
--- a/savorychute/membership/member_table.py
+++ b/savorychute/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The members that one instance knows."""
+"""The members known to one instance."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
     from savorychute.membership.member_update import MemberUpdate
     from savorychute.membership.settings import MembershipSettings
 
-# Cap'n Proto's signed integers hold 63 bits of a hash.
+# A signed 64-bit integer of Cap'n Proto holds 63 bits of a hash.
 HASH_MASK = (1 << 63) - 1
-STATES = frozenset(int(state) for state in MemberState)
+KNOWN_STATES = frozenset(int(state) for state in MemberState)
 
 
 class MemberTable:
-    """All members but this instance, by name, and who of them overrides whom.
+    """All members but this instance, by name.
 
-    Statements on a member are ordered by incarnation, counter and state, and
-    the largest holds.  So old gossip of a dead member changes nothing, while
-    the member itself, back from a pause, is believed after one refutation.
+    Updates of a member are ordered by incarnation, counter and state, and the
+    largest one is kept.  So old gossip about a dead member has no effect, while a
+    member that returns from a pause is accepted after one refutation.
     """
 
     def __init__(self, settings: MembershipSettings) -> None:
@@ -54,40 +54,40 @@
         return self._records.get(instance)
 
     def apply(self, update: MemberUpdate, why: str, now_ms: int) -> bool:
-        """Take in a statement; return whether it overrides what held.
+        """Apply an update; return whether it overrides the current one.
 
-        :param update: the statement.
+        :param update: the update.
         :param why: the reason, for the audit trail.
         """
-        if update.state not in STATES:
+        if update.state not in KNOWN_STATES:
             return False  # A later version may know more states than this one.
         instance = update.address.instance
         known = self._records.get(instance)
-        if known is not None and update.rank <= known.update.rank:
+        if known is not None and update.precedence <= known.update.precedence:
             return False
         if known is None and update.state == MemberState.DEAD:
-            return self._keep_tombstone(update, now_ms)
-        same_run = (
+            return self._store_tombstone(update, now_ms)
+        is_same_run = (
             known is not None
             and known.update.address.incarnation == update.address.incarnation
         )
         record = MemberRecord(update, now_ms, update.state == MemberState.LEAVING)
-        if known is not None and same_run:
+        if known is not None and is_same_run:
             record = record._replace(
-                said_leaving=record.said_leaving or known.said_leaving,
+                announced_leaving=record.announced_leaving or known.announced_leaving,
                 listed_leaving=known.listed_leaving,
             )
-        self._put(record, now_ms)
-        self._note(known, update, why, now_ms)
+        self._store(record, now_ms)
+        self._record_change(known, update, why, now_ms)
         return True
 
     def set_listed_leaving(self, leaving: frozenset[str], now_ms: int) -> None:
-        """Follow what the platform's list says of who is leaving.
+        """Mark the members that the platform's list shows as leaving.
 
-        The list lags, so it may speak of an earlier run of the same name; its
-        word holds only as long as the list repeats it.
+        The list lags, so it may describe an earlier run of the same name; the mark
+        therefore holds only as long as the list repeats it.
 
-        :param leaving: the names that the list calls leaving.
+        :param leaving: the names that the list marks as leaving.
         """
         for instance, record in self._records.items():
             listed = instance in leaving
@@ -95,10 +95,10 @@
                 continue
             self._records[instance] = record._replace(listed_leaving=listed)
             self.version += 1
-            self._note_listed(record, listed, now_ms)
+            self._record_listing_change(record, listed, now_ms)
 
-    def postpone(self, gap_ms: int) -> None:
-        """Shift the begin of all suspicions after a pause of this instance.
+    def extend_waits(self, gap_ms: int) -> None:
+        """Shift the start of all suspicions after a pause of this instance.
 
         :param gap_ms: how long this instance was paused.
         """
@@ -107,11 +107,11 @@
                 shifted = record._replace(since_ms=record.since_ms + gap_ms)
                 self._records[instance] = shifted
 
-    def forget_dead(self, now_ms: int) -> None:
-        """Drop members that are dead for long, and the oldest beyond the bound.
+    def expire_dead(self, now_ms: int) -> None:
+        """Remove members that died long ago, and the oldest beyond ``max_dead``.
 
-        What is dropped can come back by old gossip only as a member that will
-        be probed and found dead again.
+        Old gossip can restore a removed member only as one that is probed and found
+        dead again.
         """
         dead = sorted(self.in_state(MemberState.DEAD), key=lambda r: r.since_ms)
         surplus = max(0, len(dead) - self._settings.max_dead)
@@ -137,13 +137,13 @@
     def digest_hash(self, region: str) -> int:
         """Return the hash over a region's members that are not dead.
 
-        A suspicion comes and goes, so a suspect counts as alive.
+        Suspicions are short-lived, so a suspect counts as alive.
 
         :param region: the region's name.
         """
         return self._hashes.get(region, 0) & HASH_MASK
 
-    def _put(self, record: MemberRecord, now_ms: int) -> None:
+    def _store(self, record: MemberRecord, now_ms: int) -> None:
         address = record.update.address
         known = self._records.get(address.instance)
         if known is not None:
@@ -165,19 +165,21 @@
             del self._by_region[address.region]
 
     def _toggle_hash(self, update: MemberUpdate, now_ms: int) -> None:
-        """Add a member to its region's hash, or take it out again."""
+        """Add a member to its region's hash, or remove it."""
         address = update.address
         self.hash_changed_ms[address.region] = now_ms
         self._hashes[address.region] = self._hashes.get(address.region, 0) ^ (
             hash_update(update)
         )
 
-    def _keep_tombstone(self, update: MemberUpdate, now_ms: int) -> bool:
-        """Remember a dead member that was unknown, without passing it on."""
-        self._put(MemberRecord(update, now_ms), now_ms)
+    def _store_tombstone(self, update: MemberUpdate, now_ms: int) -> bool:
+        """Store a dead member that was unknown, without passing it on."""
+        self._store(MemberRecord(update, now_ms), now_ms)
         return False
 
-    def _note_listed(self, record: MemberRecord, leaving: bool, now_ms: int) -> None:
+    def _record_listing_change(
+        self, record: MemberRecord, leaving: bool, now_ms: int
+    ) -> None:
         state = record.state.name.lower()
         listed = MemberState.LEAVING.name.lower()
         address = record.update.address
@@ -192,16 +194,16 @@
             )
         )
 
-    def _note(
+    def _record_change(
         self, known: MemberRecord | None, update: MemberUpdate, why: str, now_ms: int
     ) -> None:
         from_state = known.state.name.lower() if known is not None else ''
         to_state = MemberState(update.state).name.lower()
-        restarted = (
+        is_restart = (
             known is not None
             and known.update.address.incarnation != update.address.incarnation
         )
-        if from_state == to_state and not restarted:
+        if from_state == to_state and not is_restart:
             return
         self.changes.append(
             MemberChange(
@@ -209,16 +211,16 @@
                 update.address.incarnation,
                 from_state,
                 to_state,
-                'restarted' if restarted else why,
+                'restarted' if is_restart else why,
                 now_ms,
             )
         )
 
 
 def hash_update(update: MemberUpdate) -> int:
-    """Return a member's part of its region's hash; 0 for a dead member.
+    """Return a member's contribution to its region's hash; 0 for a dead member.
 
-    :param update: the statement on the member.
+    :param update: the member's update.
     """
     if update.state == MemberState.DEAD:
         return 0
--- a/savorychute/membership/member_update.py
+++ b/savorychute/membership/member_update.py
@@ -1,4 +1,4 @@
-"""One statement about one member."""
+"""An update of one member's state."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class MemberUpdate(NamedTuple):
-    """A member's state, as the messages between instances carry it.
+    """A member's state as carried in messages between instances.
 
     ``counter`` is raised by the member alone, to refute a suspicion of its
-    running incarnation.  ``state`` is a :class:`MemberState` as a plain int.
+    current incarnation.  ``state`` is a :class:`MemberState` as a plain int.
     """
 
     address: MemberAddress
@@ -20,6 +20,6 @@
     state: int = int(MemberState.ALIVE)
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        """Return the order of statements on one member; the largest holds."""
+    def precedence(self) -> tuple[int, int, int]:
+        """Return the sort key of updates of one member; the largest one is kept."""
         return (self.address.incarnation, self.counter, self.state)
--- a/savorychute/membership/member_view.py
+++ b/savorychute/membership/member_view.py
@@ -1,4 +1,4 @@
-"""Who is alive, as one instance sees it."""
+"""The members as seen by one instance."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 class MemberView(NamedTuple):
     """A snapshot of the members.
 
-    ``alive`` is sorted by name and holds suspects too, because a suspicion is
-    mostly refuted, and this instance unless it is leaving.  Members of a
-    region that is cut off are left out.  ``by_instance`` speeds up look-ups;
-    without it ``alive`` is searched.
+    ``alive`` is sorted by name.  It includes this instance unless it is leaving,
+    and suspects, because most suspicions are refuted.  Members of unreachable
+    regions are left out.  ``by_instance`` speeds up lookups; without it ``alive``
+    is searched.
     """
 
     own: MemberAddress
--- a/savorychute/membership/membership.py
+++ b/savorychute/membership/membership.py
@@ -1,4 +1,4 @@
-"""The member table of one instance, kept by probes and gossip."""
+"""The member table of one instance, maintained by probes and gossip."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from savorychute.membership.ack import Ack
 from savorychute.membership.digest import Digest
 from savorychute.membership.gossip import Gossip
-from savorychute.membership.member_news import MemberNews
 from savorychute.membership.member_state import MemberState
+from savorychute.membership.member_status import MemberStatus
 from savorychute.membership.member_table import MemberTable
 from savorychute.membership.member_update import MemberUpdate
-from savorychute.membership.peer_news import PeerNews
+from savorychute.membership.peer_status_table import PeerStatusTable
 from savorychute.membership.ping import Ping
 from savorychute.membership.ping_request import PingRequest
 from savorychute.membership.prober import Prober
@@ -35,17 +35,17 @@
     from savorychute.membership.member_view import MemberView
     from savorychute.membership.settings import MembershipSettings
 
-NO_NEWS = MemberNews()
+EMPTY_STATUS = MemberStatus()
 
 
 class Membership:
-    """Who is alive, leaving, suspected or dead.
+    """Tracks which members are alive, leaving, suspected or dead.
 
     Inside a region members probe each other as in SWIM (Das, Gupta and
-    Motivala, 2002): directly, then through others, then by suspicion that the
+    Motivala, 2002): directly, then through others, then by a suspicion that the
     suspect can refute.  Regions exchange digests through representatives.
 
-    :param settings: periods and bounds.
+    :param settings: periods and limits.
     :param address: this instance.
     :param rng: a seeded source of random numbers.
     """
@@ -57,8 +57,8 @@
         self._rng = rng
         self._own = MemberUpdate(address)
         self._configuration_offset = -1
-        self._told = NO_NEWS
-        self._news = PeerNews()
+        self._own_status = EMPTY_STATUS
+        self._peer_status = PeerStatusTable()
         self._table = MemberTable(settings)
         self._queue = UpdateQueue(settings)
         self._prober = Prober(settings, self._table, rng)
@@ -74,36 +74,41 @@
         self._view_key: tuple[object, ...] = ()
 
     def view(self) -> MemberView:
-        """Return the members now; the same object until something changes."""
-        silent = self._sync.silent_regions()
-        key = (self._table.version, self._own, self._listed_leaving, silent)
+        """Return the current members; the same object until something changes."""
+        unreachable = self._sync.unreachable_regions()
+        key = (self._table.version, self._own, self._listed_leaving, unreachable)
         if self._view is None or key != self._view_key:
             self._view = build_view(
-                self._table, self._own.address, self._is_leaving(), silent
+                self._table, self._own.address, self._is_leaving(), unreachable
             )
             self._view_key = key
         return self._view
 
-    def advertise(self, configuration_offset: int, news: MemberNews = NO_NEWS) -> None:
-        """Tell the others, on each probe, how far this instance is and what it knows.
+    def advertise(
+        self, configuration_offset: int, status: MemberStatus = EMPTY_STATUS
+    ) -> None:
+        """Set the offset and status that this instance sends with each probe.
 
-        :param configuration_offset: the log offset that was read last.
-        :param news: what else is told.
+        :param configuration_offset: the log offset that was last read.
+        :param status: the other values to send.
         """
         self._configuration_offset = configuration_offset
-        self._told = news
+        self._own_status = status
 
     def peer_offsets(self) -> dict[str, int]:
-        """Return the offsets that members advertised last."""
-        return self._news.offsets
+        """Return the offsets that members last advertised."""
+        return self._peer_status.offsets
 
     def peer_loads(self) -> dict[str, int]:
-        """Return the loads that members of the region advertised, and the own.
+        """Return the loads advertised by members of the region, and the own load.
 
-        They are as old as the last probe between the two: in the mean half as
+        Each is as old as the last probe between the two instances: on average half as
         many seconds as the region has members.
         """
-        return {**self._news.loads, self._own.address.instance: self._told.load}
+        return {
+            **self._peer_status.loads,
+            self._own.address.instance: self._own_status.load,
+        }
 
     def take_changes(self) -> list[MemberChange]:
         """Return the changes since the last call, for the audit trail."""
@@ -112,13 +117,13 @@
         return changes
 
     def apply_listing(self, listing: ListingFetched, now_ms: int) -> list[Action]:
-        """Take in the platform's list; it is a hint, probes decide.
+        """Apply the platform's list; it is only a hint, probes decide.
 
-        :param listing: the list, true some time ago.
+        :param listing: the list, which may be out of date.
         """
         if not listing.ok:
             return []
-        first = not self._listed
+        is_first = not self._listed
         self._listed = {
             address.instance: address
             for address in listing.live
@@ -128,15 +133,15 @@
             self._table.apply(MemberUpdate(address), 'listed', now_ms)
         self._table.set_listed_leaving(listing.leaving, now_ms)
         if self._next_listing_ms is None:
-            # What was read before the first tick need not be read again at once.
+            # A list that was read before the first tick is recent enough.
             self._next_listing_ms = now_ms + self._draw_listing_ms()
         own = self._own.address
         self._listed_leaving = own in listing.live and (own.instance in listing.leaving)
-        self._sync.meet_regions(now_ms)
-        return self._announce(now_ms) if first and self._listed else []
+        self._sync.track_regions(now_ms)
+        return self._announce(now_ms) if is_first and self._listed else []
 
     def leave(self, now_ms: int) -> list[Action]:
-        """Say goodbye: get no new work, keep answering probes.
+        """Announce that this instance leaves: no new work, but answers to probes.
 
         :param now_ms: the time.
         """
@@ -151,7 +156,7 @@
     def receive(
         self, sender: str, message: tuple[object, ...], now_ms: int
     ) -> list[Action]:
-        """Take in a peer message of this package; others are ignored.
+        """Handle a peer message of this package; other messages are ignored.
 
         :param sender: the name of the instance that signed the message.
         :param message: the decoded message.
@@ -161,39 +166,39 @@
             if origin.address.instance != sender:
                 return []
             self._apply((origin,), 'heard from it', now_ms)
-            self._sync.heard_from(origin.address.region, now_ms)
+            self._sync.record_contact(origin.address.region, now_ms)
         if isinstance(message, Ping):
             return self._answer_ping(message, now_ms)
         if isinstance(message, Ack):
-            return self._take_ack(message, now_ms)
+            return self._handle_ack(message, now_ms)
         if isinstance(message, PingRequest):
             return self._prober.relay(message, self._ping_of, now_ms)
         if isinstance(message, RelayedAck):
             self._apply((message.target,), 'answered another member', now_ms)
-            self._prober.acknowledged(message.target.address.instance, message.sequence)
+            self._prober.record_ack(message.target.address.instance, message.sequence)
             return []
         if isinstance(message, Gossip):
             self._apply(message.updates, 'gossip', now_ms, message.bulk)
             return []
         if isinstance(message, Digest):
-            self._news.offsets[sender] = message.configuration_offset
+            self._peer_status.offsets[sender] = message.configuration_offset
             return self._sync.compare(message, self._own, now_ms)
         if isinstance(message, RegionSummary):
             return self._sync.reconcile(message, self._own)
         if isinstance(message, UpdateRequest):
-            return self._sync.supply(message, self._own)
+            return self._sync.handle_update_request(message, self._own)
         return []
 
     def tick(self, now_ms: int) -> list[Action]:
-        """Do what is due.
+        """Return the actions that are due.
 
         :param now_ms: the time; to be called several times a second.
         """
-        self._excuse_pause(now_ms)
+        self._compensate_for_pause(now_ms)
         actions: list[Action] = []
         actions.extend(self._fetch_listing(now_ms))
         actions.extend(self._prober.tick(self._own.address, self._ping_of, now_ms))
-        for update in self._prober.take_verdicts(now_ms):
+        for update in self._prober.pop_state_updates(now_ms):
             self._apply((update,), 'no answer', now_ms)
         actions.extend(self._send_gossip(now_ms))
         actions.extend(self._retry_dead(now_ms))
@@ -203,12 +208,12 @@
     def _is_leaving(self) -> bool:
         return self._listed_leaving or self._own.state == MemberState.LEAVING
 
-    def _excuse_pause(self, now_ms: int) -> None:
-        """Accuse nobody after a pause of this instance.
+    def _compensate_for_pause(self, now_ms: int) -> None:
+        """Extend all waits after a pause of this instance.
 
-        The failure: this process stands still for seconds, wakes, and finds
-        every answer late.  It would declare healthy members dead.  All waits
-        are prolonged by the gap, so answers that lie unread are read first.
+        A process that was paused for seconds finds every acknowledgement late when it
+        resumes, and would declare healthy members dead.  All waits are extended by
+        the length of the pause, so that unread messages are handled first.
         """
         last_ms = self._last_tick_ms
         self._last_tick_ms = now_ms
@@ -217,9 +222,9 @@
             return
         if now_ms - last_ms < self._settings.pause_ms:
             return
-        self._prober.postpone(now_ms - last_ms)
-        self._table.postpone(now_ms - last_ms)
-        self._sync.postpone(now_ms - last_ms)
+        self._prober.extend_waits(now_ms - last_ms)
+        self._table.extend_waits(now_ms - last_ms)
+        self._sync.extend_waits(now_ms - last_ms)
 
     def _apply(
         self,
@@ -235,25 +240,25 @@
                 continue
             known = self._table.get(instance)
             if not self._table.apply(update, why, now_ms):
-                self._queue.hear(update)
+                self._queue.record_duplicate(update)
                 continue
             if known is not None or not bulk:
                 self._queue.add(update, now_ms)
             if update.state == MemberState.DEAD:
-                self._news.forget(instance)
+                self._peer_status.remove(instance)
 
     def _refute(self, update: MemberUpdate, now_ms: int) -> None:
-        """Contradict a suspicion or a death of this incarnation."""
+        """Refute a suspicion or a reported death of this incarnation."""
         own = self._own
         if update.address.incarnation != own.address.incarnation:
             return
-        if update.rank <= own.rank:
+        if update.precedence <= own.precedence:
             return
         self._own = own._replace(counter=update.counter + 1)
         self._queue.add(self._own, now_ms)
 
     def _answer_ping(self, ping: Ping, now_ms: int) -> list[Action]:
-        self._news.note(ping)
+        self._peer_status.record(ping)
         self._apply(ping.updates, 'gossip', now_ms)
         updates = self._updates_for(ping.origin, now_ms)
         ack = Ack(
@@ -261,22 +266,25 @@
             self._own,
             self._configuration_offset,
             updates,
-            self._told.load,
-            self._told.shortages,
+            self._own_status.load,
+            self._own_status.shortages,
             self._wall_ms(now_ms),
-            self._told.limits,
-            self._told.leaving,
+            self._own_status.limits,
+            self._own_status.leaving,
         )
         return [send_to(ping.origin.address, ack)]
 
-    def _take_ack(self, ack: Ack, now_ms: int) -> list[Action]:
-        self._news.note(ack)
+    def _handle_ack(self, ack: Ack, now_ms: int) -> list[Action]:
+        self._peer_status.record(ack)
         self._apply(ack.updates, 'gossip', now_ms)
-        return self._prober.take_ack(ack)
+        return self._prober.handle_ack(ack)
 
     def _updates_for(self, peer: MemberUpdate, now_ms: int) -> tuple[MemberUpdate, ...]:
-        """Return updates to piggyback, with what the peer must refute first."""
-        updates = self._queue.take(len(self._table), now_ms)
+        """Return updates to piggyback, starting with a suspicion of the peer.
+
+        The peer needs to see a suspicion or death of itself to refute it.
+        """
+        updates = self._queue.next_batch(len(self._table), now_ms)
         record = self._table.get(peer.address.instance)
         if record is None or record.update.state < MemberState.SUSPECT:
             return updates
@@ -291,19 +299,19 @@
             self._own,
             self._configuration_offset,
             updates,
-            self._told.load,
-            self._told.shortages,
+            self._own_status.load,
+            self._own_status.shortages,
             self._wall_ms(now_ms),
-            self._told.limits,
-            self._told.leaving,
+            self._own_status.limits,
+            self._own_status.leaving,
         )
 
     def _wall_ms(self, now_ms: int) -> int:
-        offset_ms = self._told.wall_offset_ms
+        offset_ms = self._own_status.wall_offset_ms
         return now_ms + offset_ms if offset_ms is not None else 0
 
     def _announce(self, now_ms: int) -> list[Action]:
-        """Tell some members of the own region and all other regions at once."""
+        """Send this instance's state to members of its region and of all others."""
         targets = self._regions.announcement_targets()
         updates = (self._own,)
         actions: list[Action] = [send_to(t, Gossip(updates)) for t in targets]
@@ -320,22 +328,22 @@
         if not len(self._queue):
             return actions
         for target in self._regions.gossip_targets():
-            updates = self._queue.take(len(self._table), now_ms)
+            updates = self._queue.next_batch(len(self._table), now_ms)
             if updates:
                 actions.append(send_to(target, Gossip(updates)))
         return actions
 
     def _retry_dead(self, now_ms: int) -> list[Action]:
-        """Probe one member that is taken for dead, the listed ones first.
+        """Probe one member that is considered dead, listed ones first.
 
-        Two sides of a cut declare each other dead.  Only this finds the other
-        side again when the cut has healed.
+        The two sides of a network partition declare each other dead.  Only these
+        probes restore contact once the partition has healed.
         """
         if now_ms < self._next_dead_retry_ms:
             return []
         period_ms = self._settings.dead_retry_period_ms
         self._next_dead_retry_ms = now_ms + self._rng.randint(1, 2 * period_ms)
-        self._table.forget_dead(now_ms)
+        self._table.expire_dead(now_ms)
         dead = [r.update.address for r in self._table.in_state(MemberState.DEAD)]
         if not dead:
             return []
@@ -350,7 +358,7 @@
         return [FetchListing()]
 
     def _draw_listing_ms(self) -> int:
-        """Return when to list next, spread so that members do not list together."""
+        """Return the delay to the next listing, randomised to spread the members."""
         settings = self._settings
         spaced_ms = settings.listing_spacing_ms * len(self._table)
         period_ms = max(settings.listing_period_ms, spaced_ms)
@@ -362,7 +370,7 @@
 def send_to(address: MemberAddress, message: tuple[object, ...]) -> SendPeer:
     """Return the action that sends a message to a member.
 
-    :param address: where to.
+    :param address: the member's address.
     :param message: a registered peer message.
     """
     return SendPeer(address.instance, address.host, address.peer_port, message)
--- a/savorychute/membership/peer_news.py
+++ b/savorychute/membership/peer_status_table.py
@@ -1,4 +1,4 @@
-"""What members say of themselves on probes."""
+"""Status values that members report on probes."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
     from savorychute.membership.ping import Ping
 
 
-class PeerNews:
-    """The newest offset and load of each member that was heard."""
+class PeerStatusTable:
+    """The last reported offset and load of each member."""
 
     def __init__(self) -> None:
         self.offsets: dict[str, int] = {}
         self.loads: dict[str, int] = {}
 
-    def note(self, message: Ping | Ack) -> None:
-        """Take in what came with a probe or its answer.
+    def record(self, message: Ping | Ack) -> None:
+        """Record the values of a probe or an acknowledgement.
 
-        :param message: from the member itself.
+        :param message: a message from the member itself.
         """
         instance = message.origin.address.instance
         self.offsets[instance] = message.configuration_offset
         self.loads[instance] = message.load
 
-    def forget(self, instance: str) -> None:
-        """Drop a member that is dead.
+    def remove(self, instance: str) -> None:
+        """Remove a dead member.
 
         :param instance: its name.
         """
--- a/savorychute/membership/ping_request.py
+++ b/savorychute/membership/ping_request.py
@@ -11,7 +11,7 @@
 
 @peer_message(12)
 class PingRequest(NamedTuple):
-    """Ask the receiver to ping *target* and to report an answer."""
+    """Ask the receiver to ping *target* and to relay its acknowledgement."""
 
     sequence: int
     origin: MemberUpdate
--- a/savorychute/membership/prober.py
+++ b/savorychute/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probes inside a region."""
+"""Probing of members within a region."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 
     MakePing = Callable[[int, MemberAddress, int], Ping]
 
-# Sequence number of pings whose answer proves life but ends no probe.
+# Sequence number of pings whose acknowledgement shows that the member is alive but
+# does not complete a probe.
 UNTRACKED_SEQUENCE = 0
 
 
 class Probe(NamedTuple):
-    """A probe that waits for its answer."""
+    """A probe that awaits its acknowledgement."""
 
     sequence: int
     target: MemberAddress
@@ -37,7 +38,7 @@
 
 
 class Relay(NamedTuple):
-    """A probe made for another member."""
+    """A probe sent on behalf of another member."""
 
     origin: MemberAddress
     origin_sequence: int
@@ -45,10 +46,10 @@
 
 
 class Prober:
-    """Probes the members of the region in turn and judges who is silent.
+    """Probes the members of the region in turn and suspects unresponsive ones.
 
-    The turn is a shuffled round, so that every member is probed once in a
-    round and detection time is bounded, not only expected.
+    Members are probed in shuffled rounds, each member once in a round.  Detection
+    time therefore has an upper bound, not only an expected value.
     """
 
     def __init__(
@@ -64,57 +65,57 @@
         self._probe: Probe | None = None
         self._relays: dict[int, Relay] = {}
         self._next_probe_ms = 0
-        self._verdicts: list[MemberUpdate] = []
+        self._state_updates: list[MemberUpdate] = []
         self._challenges: dict[str, int] = {}
-        self._accused: MemberUpdate | None = None
+        self._new_suspicion: MemberUpdate | None = None
 
     def tick(
         self, own: MemberAddress, make_ping: MakePing, now_ms: int
     ) -> list[Action]:
-        """Probe the next member or ask others to.
+        """Probe the next member, or ask other members to probe it.
 
         :param own: this instance.
         :param make_ping: builds a ping with the updates to piggyback.
         """
         actions: list[Action] = []
         if now_ms >= self._next_probe_ms:
-            self._judge()
+            self._evaluate_probe()
             self._next_probe_ms = now_ms + self._settings.probe_period_ms
             actions.extend(self._start_probe(own, make_ping, now_ms))
         elif self._is_overdue(now_ms):
-            actions.extend(self._ask_others(own, make_ping, now_ms))
+            actions.extend(self._send_ping_requests(own, make_ping, now_ms))
         actions.extend(self._challenge_suspects(make_ping, now_ms))
         self._expire_relays(now_ms)
         return actions
 
-    def take_verdicts(self, now_ms: int) -> list[MemberUpdate]:
-        """Return new suspicions, and deaths of those who did not refute."""
-        verdicts = self._verdicts
-        self._verdicts = []
+    def pop_state_updates(self, now_ms: int) -> list[MemberUpdate]:
+        """Return new suspicions, and deaths of suspects that did not refute in time."""
+        updates = self._state_updates
+        self._state_updates = []
         limit_ms = now_ms - self._settings.suspicion_ms
         for record in self._table.in_state(MemberState.SUSPECT):
             if record.since_ms <= limit_ms:
-                verdicts.append(record.update._replace(state=int(MemberState.DEAD)))
-        return verdicts
+                updates.append(record.update._replace(state=int(MemberState.DEAD)))
+        return updates
 
-    def take_ack(self, ack: Ack) -> list[Action]:
-        """End the probe that is answered, or pass the answer on.
+    def handle_ack(self, ack: Ack) -> list[Action]:
+        """Complete the acknowledged probe, or relay the acknowledgement.
 
-        :param ack: the answer.
+        :param ack: the acknowledgement.
         """
         relay = self._relays.pop(ack.sequence, None)
         if relay is None:
-            self.acknowledged(ack.origin.address.instance, ack.sequence)
+            self.record_ack(ack.origin.address.instance, ack.sequence)
             return []
         message = RelayedAck(relay.origin_sequence, ack.origin)
         origin = relay.origin
         return [SendPeer(origin.instance, origin.host, origin.peer_port, message)]
 
-    def acknowledged(self, instance: str, sequence: int) -> None:
-        """End the probe of this member and sequence number.
+    def record_ack(self, instance: str, sequence: int) -> None:
+        """Complete the probe with this member and sequence number.
 
-        :param instance: who answered.
-        :param sequence: the number of the probe.
+        :param instance: the member that answered.
+        :param sequence: the sequence number of the probe.
         """
         probe = self._probe
         if probe is None or probe.sequence != sequence:
@@ -125,9 +126,9 @@
     def relay(
         self, request: PingRequest, make_ping: MakePing, now_ms: int
     ) -> list[Action]:
-        """Probe a member for another one.
+        """Probe a member on behalf of another one.
 
-        :param request: who is to be probed, and for whom.
+        :param request: the member to probe, and the requester.
         :param make_ping: builds a ping with the updates to piggyback.
         """
         self._sequence += 1
@@ -136,8 +137,8 @@
         )
         return [self._ping(request.target, make_ping, now_ms)]
 
-    def postpone(self, gap_ms: int) -> None:
-        """Prolong the wait for an answer after a pause of this instance.
+    def extend_waits(self, gap_ms: int) -> None:
+        """Extend the wait for an acknowledgement after a pause of this instance.
 
         :param gap_ms: how long this instance was paused.
         """
@@ -146,7 +147,7 @@
             self._probe = self._probe._replace(sent_ms=sent_ms)
             self._next_probe_ms += gap_ms
 
-    def _judge(self) -> None:
+    def _evaluate_probe(self) -> None:
         probe = self._probe
         self._probe = None
         if probe is None:
@@ -156,8 +157,8 @@
             return
         if record.update.state < MemberState.SUSPECT:
             suspicion = record.update._replace(state=int(MemberState.SUSPECT))
-            self._verdicts.append(suspicion)
-            self._accused = suspicion
+            self._state_updates.append(suspicion)
+            self._new_suspicion = suspicion
 
     def _start_probe(
         self, own: MemberAddress, make_ping: MakePing, now_ms: int
@@ -182,10 +183,10 @@
         return None
 
     def _schedule_new(self, own: MemberAddress) -> None:
-        """Put members that are new into the current round, at random places.
+        """Insert new members into the current round at random positions.
 
-        Waiting for the next round would leave members that were replaced all
-        at once unprobed for as many seconds as there are members.
+        If they waited for the next round, members that were all replaced at the
+        same time would stay unprobed for as many seconds as there are members.
         """
         if self._seen_version == self._table.version:
             return
@@ -197,12 +198,12 @@
                 self._round.insert(self._rng.randint(0, len(self._round)), instance)
 
     def _challenge_suspects(self, make_ping: MakePing, now_ms: int) -> list[Action]:
-        """Ping suspects: whom this instance accused at once, all near the end.
+        """Ping new suspects of this instance at once, and all suspects near expiry.
 
-        The failure: a suspect hears of the suspicion late, is paused then, and
-        is declared dead; or a member misses the refutation by lost messages and
-        declares a living member dead.  The ping carries the suspicion, so the
-        answer carries the refutation.
+        This guards against two failures: a suspect receives the suspicion late, is
+        then paused and is declared dead; or a member misses the refutation because
+        messages were lost and declares a live member dead.  The ping carries the
+        suspicion, so the acknowledgement carries the refutation.
         """
         actions: list[Action] = []
         challenges = {}
@@ -211,14 +212,14 @@
             update = record.update
             instance = update.address.instance
             last_ms = self._challenges.get(instance)
-            is_late = record.since_ms <= limit_ms
-            is_asked = last_ms is not None and (
+            is_near_expiry = record.since_ms <= limit_ms
+            is_recently_pinged = last_ms is not None and (
                 now_ms - last_ms < self._settings.probe_timeout_ms
             )
-            is_fresh = update == self._accused
-            if is_fresh:
-                self._accused = None
-            if is_fresh or (is_late and not is_asked):
+            is_new = update == self._new_suspicion
+            if is_new:
+                self._new_suspicion = None
+            if is_new or (is_near_expiry and not is_recently_pinged):
                 actions.append(self._challenge(update.address, make_ping, now_ms))
                 challenges[instance] = now_ms
             elif last_ms is not None:
@@ -238,7 +239,7 @@
             return False
         return now_ms - probe.sent_ms >= self._settings.probe_timeout_ms
 
-    def _ask_others(
+    def _send_ping_requests(
         self, own: MemberAddress, make_ping: MakePing, now_ms: int
     ) -> list[Action]:
         probe = self._probe
--- a/savorychute/membership/region_digest.py
+++ b/savorychute/membership/region_digest.py
@@ -1,4 +1,4 @@
-"""A region's members in a few bytes."""
+"""A compact digest of a region's members."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 class RegionDigest(NamedTuple):
     """A hash over a region's members that are not dead.
 
-    ``beat`` grows as long as representatives of the region are running.
+    ``beat`` increases as long as representatives of the region are running.
     """
 
     region: str
--- a/savorychute/membership/region_map.py
+++ b/savorychute/membership/region_map.py
@@ -1,4 +1,4 @@
-"""Members by region, and who speaks for a region."""
+"""Members by region, and the representatives of each region."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     from savorychute.membership.member_table import MemberTable
     from savorychute.membership.settings import MembershipSettings
 
-# A representative's digest goes to any member of a region one time in so many,
-# because all its representatives may have been replaced during a cut.
+# One in this many messages to another region goes to any of its members, because all
+# its representatives may have been replaced during a network partition.
 ANY_MEMBER_ONE_IN = 4
 
 
@@ -55,29 +55,29 @@
         return self._members
 
     def is_representative(self) -> bool:
-        """Return whether this instance speaks for its region."""
+        """Return whether this instance is a representative of its region."""
         self.members()
         return self._address in self._representatives[self._address.region]
 
     def digest_targets(self) -> list[MemberAddress]:
-        """Return whom to compare tables with now."""
+        """Return the members to compare tables with now."""
         near = self.members().get(self._address.region)
         targets = [self._rng.choice(near)] if near else []
         if self.is_representative():
-            targets.extend(self._foreign_targets())
+            targets.extend(self._remote_targets())
         return targets
 
     def gossip_targets(self) -> list[MemberAddress]:
-        """Return whom to pass fresh updates to."""
+        """Return the members to send new updates to."""
         near = self.members().get(self._address.region, [])
         count = min(self._settings.gossip_fanout, len(near))
         targets = self._rng.sample(near, count)
         if self.is_representative():
-            targets.extend(self._foreign_targets())
+            targets.extend(self._remote_targets())
         return targets
 
     def announcement_targets(self) -> list[MemberAddress]:
-        """Return whom to tell of this instance's joining or leaving."""
+        """Return the members to notify when this instance joins or leaves."""
         members = self.members()
         near = members.get(self._address.region, [])
         count = min(2 * self._settings.gossip_fanout, len(near))
@@ -95,14 +95,14 @@
                 self._members.setdefault(address.region, []).append(address)
 
     def _choose_representatives(self) -> None:
-        everyone = {region: list(found) for region, found in self._members.items()}
-        everyone.setdefault(self._address.region, []).append(self._address)
+        by_region = {region: list(members) for region, members in self._members.items()}
+        by_region.setdefault(self._address.region, []).append(self._address)
         self._representatives = {
-            region: choose_homes(region, found, self._settings.representatives)
-            for region, found in everyone.items()
+            region: choose_homes(region, members, self._settings.representatives)
+            for region, members in by_region.items()
         }
 
-    def _foreign_targets(self) -> list[MemberAddress]:
+    def _remote_targets(self) -> list[MemberAddress]:
         regions = [r for r in self._members if r != self._address.region]
         if not regions:
             return []
--- a/savorychute/membership/region_summary.py
+++ b/savorychute/membership/region_summary.py
@@ -1,4 +1,4 @@
-"""The stamps of a region's members."""
+"""The state versions of a region's members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @peer_message(16)
 class RegionSummary(NamedTuple):
-    """All that the sender knows of a region, dead members included."""
+    """The sender's records of a region, dead members included."""
 
     origin: MemberUpdate
     region: str
--- a/savorychute/membership/region_sync.py
+++ b/savorychute/membership/region_sync.py
@@ -1,4 +1,4 @@
-"""Digests between regions and inside one, and who speaks for a region."""
+"""Reconciliation of member tables within and between regions."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
     from savorychute.membership.region_map import RegionMap
     from savorychute.membership.settings import MembershipSettings
 
-# A region that changes all the time is compared in one of so many digests.
+# A region that changes constantly is compared for one in this many digests.
 UNSETTLED_ONE_IN = 8
-UPDATES_PER_SUPPLY = 32
+UPDATES_PER_BULK_GOSSIP = 32
 
 
 class RegionSync:
-    """Brings tables together that gossip has left different.
+    """Reconciles member tables that still differ after gossip.
 
-    Each instance sends a digest to one member of its region now and then; the
-    few representatives of a region send one to a representative of another.
-    Messages therefore grow with the number of regions, not of instances.
+    Each instance periodically sends a digest to one member of its region; the
+    few representatives of a region also send one to a representative of another
+    region.  The number of messages between regions therefore grows with the number
+    of regions, not of instances.
     """
 
     def __init__(
@@ -53,45 +54,45 @@
         self._rng = rng
         self._next_digest_ms: int | None = None
         self._beats: dict[str, int] = {address.region: 0}
-        self._heard_ms: dict[str, int] = {}
-        self._silent: frozenset[str] = frozenset()
+        self._last_contact_ms: dict[str, int] = {}
+        self._unreachable: frozenset[str] = frozenset()
 
-    def silent_regions(self) -> frozenset[str]:
-        """Return the regions from which nothing has come for long."""
-        return self._silent
+    def unreachable_regions(self) -> frozenset[str]:
+        """Return the regions from which nothing was received for a long time."""
+        return self._unreachable
 
-    def heard_from(self, region: str, now_ms: int) -> None:
-        """Note a sign of life from another region.
+    def record_contact(self, region: str, now_ms: int) -> None:
+        """Record that a message from a region was received.
 
-        :param region: where the sender is.
+        :param region: the sender's region.
         """
-        self._heard_ms[region] = now_ms
-        if region in self._silent:
-            self._silent -= {region}
+        self._last_contact_ms[region] = now_ms
+        if region in self._unreachable:
+            self._unreachable -= {region}
 
-    def meet_regions(self, now_ms: int) -> None:
-        """Begin to wait for signs of life of regions that are new.
+    def track_regions(self, now_ms: int) -> None:
+        """Start the silence timeout of regions that are new.
 
         :param now_ms: the time.
         """
         for region in self._regions.members():
-            self._heard_ms.setdefault(region, now_ms)
+            self._last_contact_ms.setdefault(region, now_ms)
 
-    def postpone(self, gap_ms: int) -> None:
-        """Prolong all waits after a pause of this instance.
+    def extend_waits(self, gap_ms: int) -> None:
+        """Extend all waits after a pause of this instance.
 
         :param gap_ms: how long this instance was paused.
         """
-        for region in self._heard_ms:
-            self._heard_ms[region] += gap_ms
+        for region in self._last_contact_ms:
+            self._last_contact_ms[region] += gap_ms
 
     def tick(
         self, own: MemberUpdate, configuration_offset: int, now_ms: int
     ) -> list[Action]:
-        """Send the digests that are due and see which regions are silent.
+        """Send the digests that are due and update the unreachable regions.
 
         :param own: this instance's state.
-        :param configuration_offset: what it advertises.
+        :param configuration_offset: the offset that it advertises.
         """
         if self._next_digest_ms is not None and now_ms < self._next_digest_ms:
             return []
@@ -99,18 +100,18 @@
         self._next_digest_ms = now_ms + self._rng.randint(
             period_ms // 2, period_ms * 3 // 2
         )
-        self._find_silent(now_ms)
+        self._find_unreachable(now_ms)
         return self.send_digests(own, configuration_offset, now_ms)
 
     def send_digests(
         self, own: MemberUpdate, configuration_offset: int, now_ms: int
     ) -> list[Action]:
-        """Send a digest in the own region and, as representative, to another.
+        """Send a digest in the own region and, as representative, to another one.
 
         :param own: this instance's state.
-        :param configuration_offset: what it advertises.
+        :param configuration_offset: the offset that it advertises.
         """
-        self.meet_regions(now_ms)
+        self.track_regions(now_ms)
         region = self._address.region
         if self._regions.is_representative():
             self._beats[region] = self._beats.get(region, 0) + 1
@@ -121,10 +122,10 @@
     def compare(self, digest: Digest, own: MemberUpdate, now_ms: int) -> list[Action]:
         """Answer a digest with the summary of one region that differs.
 
-        :param digest: another member's table in short.
+        :param digest: the digest of another member's table.
         :param own: this instance's state.
         """
-        self._follow_beats(digest, now_ms)
+        self._apply_beats(digest, now_ms)
         differing = self._find_differing(digest, own)
         settled = [r for r in differing if self._is_settled(r, now_ms)]
         if not settled and differing and self._rng.randrange(UNSETTLED_ONE_IN) == 0:
@@ -136,32 +137,34 @@
         return [self._send(digest.origin.address, summary)]
 
     def reconcile(self, summary: RegionSummary, own: MemberUpdate) -> list[Action]:
-        """Send what the other side lacks and ask for what this side lacks.
+        """Send updates that the other side lacks and request those missing here.
 
-        :param summary: the other side's members of a region.
+        :param summary: the other side's records of a region.
         :param own: this instance's state.
         """
         theirs = {stamp.instance: stamp for stamp in summary.stamps}
-        lacking = self._lacking(theirs.values())
+        missing = self._find_missing(theirs.values())
         newer = [
             update
             for update in self._updates_of(summary.region, own)
             if update.address.instance not in theirs
-            or theirs[update.address.instance].rank < update.rank
+            or theirs[update.address.instance].precedence < update.precedence
         ]
         target = summary.origin.address
         actions: list[Action] = []
-        if lacking:
-            actions.append(self._send(target, UpdateRequest(own, lacking)))
-        for start in range(0, len(newer), UPDATES_PER_SUPPLY):
-            updates = tuple(newer[start : start + UPDATES_PER_SUPPLY])
+        if missing:
+            actions.append(self._send(target, UpdateRequest(own, missing)))
+        for start in range(0, len(newer), UPDATES_PER_BULK_GOSSIP):
+            updates = tuple(newer[start : start + UPDATES_PER_BULK_GOSSIP])
             actions.append(self._send(target, Gossip(updates, True)))
         return actions
 
-    def supply(self, request: UpdateRequest, own: MemberUpdate) -> list[Action]:
-        """Send the updates that were asked for.
+    def handle_update_request(
+        self, request: UpdateRequest, own: MemberUpdate
+    ) -> list[Action]:
+        """Send the requested updates.
 
-        :param request: the names.
+        :param request: the names of the members.
         :param own: this instance's state.
         """
         updates = []
@@ -174,9 +177,10 @@
         target = request.origin.address
         return [
             self._send(
-                target, Gossip(tuple(updates[start : start + UPDATES_PER_SUPPLY]), True)
+                target,
+                Gossip(tuple(updates[start : start + UPDATES_PER_BULK_GOSSIP]), True),
             )
-            for start in range(0, len(updates), UPDATES_PER_SUPPLY)
+            for start in range(0, len(updates), UPDATES_PER_BULK_GOSSIP)
         ]
 
     def _send(self, target: MemberAddress, message: tuple[object, ...]) -> SendPeer:
@@ -201,11 +205,11 @@
         regions = sorted({*theirs, *ours})
         return [r for r in regions if theirs.get(r, 0) != ours.get(r, 0)]
 
-    def _follow_beats(self, digest: Digest, now_ms: int) -> None:
+    def _apply_beats(self, digest: Digest, now_ms: int) -> None:
         for entry in digest.regions:
             if entry.beat > self._beats.get(entry.region, 0):
                 self._beats[entry.region] = entry.beat
-                self.heard_from(entry.region, now_ms)
+                self.record_contact(entry.region, now_ms)
 
     def _is_settled(self, region: str, now_ms: int) -> bool:
         changed_ms = self._table.hash_changed_ms.get(region)
@@ -230,22 +234,22 @@
             for update in self._updates_of(region, own)
         )
 
-    def _lacking(self, stamps: Iterable[MemberStamp]) -> tuple[str, ...]:
-        lacking = []
+    def _find_missing(self, stamps: Iterable[MemberStamp]) -> tuple[str, ...]:
+        missing = []
         for stamp in stamps:
             if stamp.instance == self._address.instance:
                 continue
             record = self._table.get(stamp.instance)
             if (record is None and stamp.state != MemberState.DEAD) or (
-                record is not None and record.update.rank < stamp.rank
+                record is not None and record.update.precedence < stamp.precedence
             ):
-                lacking.append(stamp.instance)
-        return tuple(lacking)
+                missing.append(stamp.instance)
+        return tuple(missing)
 
-    def _find_silent(self, now_ms: int) -> None:
+    def _find_unreachable(self, now_ms: int) -> None:
         limit_ms = now_ms - self._settings.region_silence_ms
-        self._silent = frozenset(
+        self._unreachable = frozenset(
             region
-            for region, heard_ms in self._heard_ms.items()
-            if heard_ms <= limit_ms and region != self._address.region
+            for region, contact_ms in self._last_contact_ms.items()
+            if contact_ms <= limit_ms and region != self._address.region
         )
--- a/savorychute/membership/relayed_ack.py
+++ b/savorychute/membership/relayed_ack.py
@@ -1,4 +1,4 @@
-"""The answer to an indirect probe."""
+"""The acknowledgement of an indirect probe."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @peer_message(13)
 class RelayedAck(NamedTuple):
-    """Say that *target* answered; ``sequence`` is the requester's."""
+    """Report that *target* answered; ``sequence`` is the requester's number."""
 
     sequence: int
     target: MemberUpdate
--- a/savorychute/membership/rendezvous.py
+++ b/savorychute/membership/rendezvous.py
@@ -1,9 +1,9 @@
-"""Rendezvous hashing: who is responsible for a key.
+"""Rendezvous hashing: selects the members responsible for a key.
 
 Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit Rates"
 (1998): each member's score is a hash of member and key, and the highest scores
-win.  A member that comes or goes moves only the keys that it wins or had won.
-The incarnation is no part of the hash, so a restart moves nothing.
+win.  A member that joins or leaves moves only the keys that it wins or had won.
+The incarnation is not part of the hash, so a restart moves no keys.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 def score_member(key: str, member: MemberAddress) -> int:
-    """Return the member's score for the key, 64 bits.
+    """Return the member's 64-bit score for the key.
 
-    :param key: what is to be mapped.
-    :param member: only its name counts.
+    :param key: the key to map.
+    :param member: the member; only its name is hashed.
     """
     return int(xxhash.xxh3_64_intdigest(key.encode(), _seed_of(member.instance)))
 
@@ -39,11 +39,11 @@
     count: int,
     spread: bool = True,
 ) -> tuple[MemberAddress, ...]:
-    """Return the members responsible for a key, the first one foremost.
+    """Return the members responsible for a key, the primary one first.
 
-    :param key: what is to be mapped.
-    :param members: those to choose from, in any order.
-    :param count: how many at most.
+    :param key: the key to map.
+    :param members: the candidates, in any order.
+    :param count: the maximum number of members to return.
     :param spread: prefer members in failure domains not yet chosen.
     """
     if not members or count <= 0:
@@ -59,12 +59,12 @@
 def _spread_over_domains(
     ranked: Sequence[MemberAddress], count: int
 ) -> tuple[MemberAddress, ...]:
-    """Take members domain by domain: the best of each, then the second best."""
-    taken_of: dict[str, int] = {}
-    rounds: list[tuple[int, int]] = []
+    """Return the best member of each failure domain, then the second best."""
+    chosen_per_domain: dict[str, int] = {}
+    order: list[tuple[int, int]] = []
     for position, member in enumerate(ranked):
-        turn = taken_of.get(member.failure_domain, 0)
-        taken_of[member.failure_domain] = turn + 1
-        rounds.append((turn, position))
-    rounds.sort()
-    return tuple(ranked[position] for _, position in rounds[:count])
+        round_number = chosen_per_domain.get(member.failure_domain, 0)
+        chosen_per_domain[member.failure_domain] = round_number + 1
+        order.append((round_number, position))
+    order.sort()
+    return tuple(ranked[position] for _, position in order[:count])
--- a/savorychute/membership/settings.py
+++ b/savorychute/membership/settings.py
@@ -6,17 +6,17 @@
 
 
 class MembershipSettings(NamedTuple):
-    """Periods, bounds and fan-outs.
+    """Periods, limits and fan-outs.
 
     ``probe_period_ms`` is the time between two probes, ``probe_timeout_ms``
     the wait for a direct answer before others are asked to probe.
-    ``suspicion_ms`` is the time to refute a suspicion; from
-    ``challenge_ms`` before its end each member pings the suspect itself.  ``pause_ms`` is the
-    gap between two ticks from which on the instance takes itself to have been
-    paused.  ``updates_per_s`` and ``updates_burst`` bound what gossip sends.
-    ``listing_period_ms`` is the usual time between two listings of one member,
-    ``listing_spacing_ms`` the least between those of any two members, so that the
-    platform's list costs no more in a larger fleet.
+    ``suspicion_ms`` is the time to refute a suspicion; in the last
+    ``challenge_ms`` of it each member pings the suspect itself.  ``pause_ms`` is
+    the gap between two ticks from which the instance assumes that it was paused.
+    ``updates_per_s`` and ``updates_burst`` limit the updates sent by gossip.
+    ``listing_period_ms`` is the usual time between two listings by one member,
+    ``listing_spacing_ms`` the minimum time between listings by any two members, so
+    that a larger fleet does not read the platform's list more often.
     """
 
     probe_period_ms: int = 1_000
--- a/savorychute/membership/tier_shortage.py
+++ b/savorychute/membership/tier_shortage.py
@@ -1,4 +1,4 @@
-"""What a member says of a tier that gets too little."""
+"""A member's report of a tier that lacks capacity."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class TierShortage(NamedTuple):
-    """How many requests of a service's tier got nothing lately, for want of room."""
+    """The number of a tier's recent requests that lack of capacity left unserved."""
 
     service: str
     tier: int
--- a/savorychute/membership/told_leaving.py
+++ b/savorychute/membership/told_leaving.py
@@ -1,4 +1,4 @@
-"""What a member says of an endpoint that leaves."""
+"""A member's report of an endpoint that leaves."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ToldLeaving(NamedTuple):
-    """A run of an endpoint that has said that it leaves."""
+    """A run of an endpoint that announced that it leaves."""
 
     endpoint: str
     born_ms: int
--- a/savorychute/membership/told_limit.py
+++ b/savorychute/membership/told_limit.py
@@ -1,15 +1,18 @@
-"""What a member says of an endpoint's limit."""
+"""A member's report of an endpoint's limit."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-# Stands for an endpoint that takes any number of calls again.
+# Reports that an endpoint no longer limits its calls.
 NO_LIMIT = -1.0
 
 
 class ToldLimit(NamedTuple):
-    """How many calls a second a run of an endpoint takes, as it stated some time ago."""
+    """The calls per second that a run of an endpoint stated it accepts.
+
+    ``age_ms`` is the time since the statement.
+    """
 
     endpoint: str
     born_ms: int
--- a/savorychute/membership/update_queue.py
+++ b/savorychute/membership/update_queue.py
@@ -1,4 +1,4 @@
-"""Updates waiting to be passed on."""
+"""Queue of updates to be gossiped."""
 
 from __future__ import annotations
 
@@ -12,82 +12,84 @@
     from savorychute.membership.settings import MembershipSettings
 
 
-class WaitingUpdate(NamedTuple):
-    """An update, since when it waits, and how often it was sent or heard."""
+class QueuedUpdate(NamedTuple):
+    """A queued update, its time of queueing, and how often it was sent or received."""
 
     update: MemberUpdate
     since_ms: int
-    sent: int = 0
+    transmissions: int = 0
 
 
 class UpdateQueue:
-    """The newest update of each member, with how often it was sent.
+    """The newest update of each member, with its number of transmissions.
 
-    Each is sent a multiple of the logarithm of the number of members, which
-    reaches everybody with high probability (Das, Gupta and Motivala, "SWIM",
-    2002).  Sending is bounded by a token bucket, so that a restart of all
-    instances is spread over time instead of exceeding the budget.
+    Each update is sent a multiple of the logarithm of the number of members, which
+    reaches all members with high probability (Das, Gupta and Motivala, "SWIM",
+    2002).  A token bucket limits sending, so that the updates of a restart of all
+    instances are spread over time instead of exceeding the budget.
     """
 
     def __init__(self, settings: MembershipSettings) -> None:
         self._settings = settings
-        self._waiting: dict[str, WaitingUpdate] = {}
+        self._queued: dict[str, QueuedUpdate] = {}
         self._tokens = float(settings.updates_burst)
         self._refilled_ms: int | None = None
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._queued)
 
     def add(self, update: MemberUpdate, now_ms: int) -> None:
-        """Queue an update in place of an older one of the same member.
+        """Queue an update, replacing an older one of the same member.
 
         :param update: the update to pass on.
         """
-        self._waiting[update.address.instance] = WaitingUpdate(update, now_ms)
+        self._queued[update.address.instance] = QueuedUpdate(update, now_ms)
 
-    def hear(self, update: MemberUpdate) -> None:
-        """Count a copy that came from another member as if it were sent.
+    def record_duplicate(self, update: MemberUpdate) -> None:
+        """Count a copy received from another member as a transmission.
 
-        What arrives again and again is known already (Demers et al., "Epidemic
-        Algorithms for Replicated Database Maintenance", 1987: rumours with
-        feedback).  Without this a start of all instances keeps everybody busy
-        repeating to each other what all know.
+        An update that arrives repeatedly is already known to the others (Demers et
+        al., "Epidemic Algorithms for Replicated Database Maintenance", 1987: rumours
+        with feedback).  Without this, after a start of all instances the members
+        would keep sending each other updates that all of them have.
 
-        :param update: an update that told nothing new.
+        :param update: an update that contained nothing new.
         """
-        waiting = self._waiting.get(update.address.instance)
-        if waiting is not None and waiting.update == update:
-            heard = waiting._replace(sent=waiting.sent + 1)
-            self._waiting[update.address.instance] = heard
+        queued = self._queued.get(update.address.instance)
+        if queued is not None and queued.update == update:
+            counted = queued._replace(transmissions=queued.transmissions + 1)
+            self._queued[update.address.instance] = counted
 
-    def take(self, members: int, now_ms: int) -> tuple[MemberUpdate, ...]:
-        """Return the updates of the next message, the least sent first.
+    def next_batch(self, members: int, now_ms: int) -> tuple[MemberUpdate, ...]:
+        """Return the updates of the next message, the least often sent first.
 
-        :param members: how many members there are to reach.
+        :param members: the number of members to reach.
         """
-        if not self._waiting:
+        if not self._queued:
             return ()
         self._refill(now_ms)
         count = min(self._settings.updates_per_message, int(self._tokens))
         limit = ceil(self._settings.spread_factor * log2(members + 2))
-        self._drop_known(limit, now_ms)
-        order = sorted(self._waiting.items(), key=lambda item: item[1].sent)
-        taken = order[:count]
-        for instance, waiting in taken:
-            self._waiting[instance] = waiting._replace(sent=waiting.sent + 1)
-        self._tokens -= len(taken)
-        return tuple(waiting.update for _, waiting in taken)
-
-    def _drop_known(self, limit: int, now_ms: int) -> None:
-        """Drop what was sent often enough, or so old that digests carry it."""
+        self._drop_finished(limit, now_ms)
+        order = sorted(self._queued.items(), key=lambda item: item[1].transmissions)
+        batch = order[:count]
+        for instance, queued in batch:
+            self._queued[instance] = queued._replace(
+                transmissions=queued.transmissions + 1
+            )
+        self._tokens -= len(batch)
+        return tuple(queued.update for _, queued in batch)
+
+    def _drop_finished(self, limit: int, now_ms: int) -> None:
+        """Drop updates that were sent often enough or are covered by digests."""
         oldest_ms = now_ms - self._settings.max_update_age_ms
-        known = [
+        finished = [
             instance
-            for instance, waiting in self._waiting.items()
-            if waiting.sent >= limit or waiting.since_ms < oldest_ms
+            for instance, queued in self._queued.items()
+            if queued.transmissions >= limit or queued.since_ms < oldest_ms
         ]
-        for instance in known:
-            del self._waiting[instance]
+        for instance in finished:
+            del self._queued[instance]
 
     def _refill(self, now_ms: int) -> None:
         if self._refilled_ms is not None:
--- a/savorychute/membership/update_request.py
+++ b/savorychute/membership/update_request.py
@@ -1,4 +1,4 @@
-"""A request for updates that a summary showed to be newer."""
+"""A request for updates that are newer according to a summary."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @peer_message(17)
 class UpdateRequest(NamedTuple):
-    """Ask for what the receiver knows of these instances."""
+    """Request the receiver's updates of these instances."""
 
     origin: MemberUpdate
     instances: tuple[str, ...]
--- a/savorychute/membership/view_builder.py
+++ b/savorychute/membership/view_builder.py
@@ -1,4 +1,4 @@
-"""Builds a view from the table."""
+"""Builds a member view from the member table."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     table: MemberTable,
     own: MemberAddress,
     own_leaving: bool,
-    silent: frozenset[str],
+    unreachable: frozenset[str],
 ) -> MemberView:
-    """Return who is alive, suspected and leaving.
+    """Return a view of the alive, suspected and leaving members.
 
     :param table: all members but this instance.
     :param own: this instance.
-    :param own_leaving: whether it is leaving.
-    :param silent: regions whose members are left out.
+    :param own_leaving: whether this instance is leaving.
+    :param unreachable: regions whose members are left out.
     """
     alive = []
     suspects = []
     leaving = []
     for record in table:
         address = record.update.address
-        if record.state == MemberState.DEAD or address.region in silent:
+        if record.state == MemberState.DEAD or address.region in unreachable:
             continue
         if record.is_leaving:
             leaving.append(address.instance)
--- a/tests/test_membership/conftest.py
+++ b/tests/test_membership/conftest.py
@@ -1,4 +1,4 @@
-"""Meshes of memberships on a virtual clock."""
+"""Fixture for a mesh of memberships on a virtual clock."""
 
 from __future__ import annotations
 
--- a/tests/test_membership/test_capacity_tables.py
+++ b/tests/test_membership/test_capacity_tables.py
@@ -9,7 +9,7 @@
 from benches.capacity_roles.roles import Role
 
 
-def test_line_through_points_on_a_line():
+def test_fit_of_collinear_points_is_exact():
     fit = fit_line([8, 32, 128], [21.0, 69.0, 261.0])
     assert fit.slope == pytest.approx(2.0)
     assert fit.intercept == pytest.approx(5.0)
@@ -21,12 +21,12 @@
     assert fit_line([1, 2, 3, 4], [1.0, -1.0, 1.0, -1.0]).r_squared < 0.5
 
 
-def test_rows_say_whether_the_target_was_measured():
+def test_rows_state_whether_the_target_was_measured():
     measured = [RoleSample(8, state_bytes=80.0), RoleSample(530, state_bytes=5_300.0)]
-    lined = [RoleSample(8, state_bytes=80.0), RoleSample(128, state_bytes=1_280.0)]
+    extrapolated = [RoleSample(8, state_bytes=80.0), RoleSample(128, state_bytes=1_280.0)]
     role = Role('a role', lambda size: RoleSample(size), 'x', 'y', (8, 530))
     assert '5,300 measured' in render_role(role, measured)
-    assert '5,300 extrapolated' in render_role(role, lined)
+    assert '5,300 extrapolated' in render_role(role, extrapolated)
     assert 'processor' not in render_role(role, measured)
 
 
--- a/tests/test_membership/test_membership_faults.py
+++ b/tests/test_membership/test_membership_faults.py
@@ -13,11 +13,11 @@
 )
 from savorychute.membership.ack import Ack
 from savorychute.membership.gossip import Gossip
-from savorychute.membership.member_news import MemberNews
+from savorychute.membership.member_status import MemberStatus
 from savorychute.membership.ping import Ping
 
 
-def everyone_agrees(mesh, instance, alive):
+def all_agree(mesh, instance, alive):
     views = (member.view() for name, member in mesh.members.items() if name != instance)
     return all(view.is_alive(instance) is alive for view in views)
 
@@ -28,73 +28,71 @@
     assert sizes == {12}
 
 
-def test_killed_instance_is_found_dead_by_all_and_told_once(start_mesh):
-    """An instance's host burns; the platform's list goes on showing it.
+def test_killed_instance_is_declared_dead_by_all_members(start_mesh):
+    """An instance's host fails while the platform still lists the instance.
 
-    Probes stay unanswered, nobody refutes the suspicion, and every member
-    takes it for dead although the list says otherwise.
+    Probes stay unanswered and the suspicion is not refuted, so every member
+    considers the instance dead although it is listed.
     """
     mesh = start_mesh(12)
     mesh.stop('entry-0004', listed=True)
-    took_ms = mesh.run_until(lambda: everyone_agrees(mesh, 'entry-0004', False), 30_000)
+    took_ms = mesh.run_until(lambda: all_agree(mesh, 'entry-0004', False), 30_000)
     assert took_ms is not None
     mesh.run(60_000)
-    assert everyone_agrees(mesh, 'entry-0004', False)
+    assert all_agree(mesh, 'entry-0004', False)
 
 
 def test_paused_instance_refutes_the_suspicion(start_mesh):
-    """An instance stands still for two seconds, as in a long collection.
+    """An instance pauses for two seconds, as in a long garbage collection.
 
-    A probe finds it silent and it is suspected.  When it wakes it raises its
-    counter, so that callers never lose it.
+    A probe stays unanswered and the instance is suspected.  When it resumes it
+    raises its counter, so that it stays in all views.
     """
     mesh = start_mesh(12)
     mesh.pause('entry-0004', 2_000)
-    ever_dead = mesh.run_until(
-        lambda: not everyone_agrees(mesh, 'entry-0004', True), 10_000
-    )
-    assert ever_dead is None
+    dead_ms = mesh.run_until(lambda: not all_agree(mesh, 'entry-0004', True), 10_000)
+    assert dead_ms is None
     assert all(not member.view().suspects for member in mesh.members.values())
 
 
-def test_waking_instance_accuses_nobody(start_mesh):
-    """An instance sleeps for a minute with a probe under way.
+def test_resumed_instance_suspects_no_other_member(start_mesh):
+    """An instance pauses for a minute while a probe is in progress.
 
-    It wakes and finds the answer late.  If it trusted its clock it would
-    spread suspicions of healthy members.
+    When it resumes, the acknowledgement is late by its clock.  Without an
+    allowance for the pause it would suspect healthy members.
     """
     mesh = start_mesh(12)
     mesh.pause('entry-0004', 60_000)
     mesh.run(60_000)
     mesh.members['entry-0004'].take_changes()
     mesh.run(2_000)
-    accused = [
+    suspected = [
         change.instance
         for change in mesh.members['entry-0004'].take_changes()
         if change.to_state in ('suspect', 'dead')
     ]
-    assert accused == []
+    assert suspected == []
 
 
 def test_old_gossip_does_not_bring_a_dead_member_back(start_mesh):
-    """A message from before a crash comes out of a slow link afterwards.
+    """A delayed message from before a crash states that the dead member is alive.
 
-    It says that the dead member is alive.  Believing it would send callers to
-    an address where nobody listens.
+    If it were applied, callers would be sent to an address where no process
+    listens.
     """
     mesh = start_mesh(6)
     old = MemberUpdate(mesh.addresses['entry-0004'])
     mesh.stop('entry-0004')
-    mesh.run_until(lambda: everyone_agrees(mesh, 'entry-0004', False), 30_000)
+    mesh.run_until(lambda: all_agree(mesh, 'entry-0004', False), 30_000)
     member = mesh.members['entry-0001']
     member.receive('entry-0002', Gossip((old,)), mesh.now_ms)
     assert not member.view().is_alive('entry-0004')
 
 
 def test_restarted_instance_replaces_its_earlier_run(start_mesh):
-    """An instance crashes and starts again at another address at once.
+    """An instance crashes and restarts at once at another address.
 
-    News of the earlier run, still under way, must not hide the new one.
+    A late update of the earlier run must not override the new run.
     """
     mesh = start_mesh(6)
     earlier = mesh.addresses['entry-0004']
@@ -110,28 +108,26 @@
 
 
 def test_leaving_instance_is_out_of_all_views_within_three_seconds(start_mesh):
-    """An instance begins a graceful shutdown.
+    """An instance starts a graceful shutdown.
 
-    Callers who ask anybody for addresses must not be sent to it any more,
-    although it still runs, and also not while its silence is only suspected.
+    No member may send callers to it any more, although it still runs, nor
+    later while it is unresponsive and only suspected.
     """
     mesh = start_mesh(24, regions=3)
     mesh.leave('entry-0004')
-    took_ms = mesh.run_until(lambda: everyone_agrees(mesh, 'entry-0004', False), 30_000)
+    took_ms = mesh.run_until(lambda: all_agree(mesh, 'entry-0004', False), 30_000)
     assert took_ms is not None
     assert took_ms <= 3_000
     mesh.stop('entry-0004')
-    came_back = mesh.run_until(
-        lambda: not everyone_agrees(mesh, 'entry-0004', False), 20_000
-    )
-    assert came_back is None
+    back_ms = mesh.run_until(lambda: not all_agree(mesh, 'entry-0004', False), 20_000)
+    assert back_ms is None
 
 
-def test_sides_of_a_cut_find_each_other_again(start_mesh):
-    """Two failure domains lose each other for several minutes.
+def test_sides_of_a_partition_reconnect(start_mesh):
+    """Two failure domains are partitioned for several minutes.
 
-    Both sides declare the other dead.  After the cut heals nobody would probe
-    the dead, and the system would stay split for ever.
+    Each side declares the other dead.  Unless dead members are probed, the
+    system stays split after the partition has healed.
     """
     mesh = start_mesh(12)
     mesh.is_cut = lambda a, b: (
@@ -147,8 +143,8 @@
     assert healed_ms is not None
 
 
-def test_region_whose_members_were_all_replaced_during_a_cut(start_mesh):
-    """Two regions lose each other; one replaces all its instances meanwhile.
+def test_region_is_found_after_replacing_all_members_during_a_partition(start_mesh):
+    """Two regions are partitioned while one replaces all its instances.
 
     None of the known representatives exists any more.  The list names the new
     ones, and both regions must see each other's members again.
@@ -162,10 +158,10 @@
     mesh.run(60_000)
     assert {m.region for m in mesh.members['entry-0000'].view().alive} == {'region-0'}
     mesh.is_cut = no_cut
-    everyone = set(mesh.members)
+    instances = set(mesh.members)
     healed_ms = mesh.run_until(
         lambda: all(
-            {m.instance for m in member.view().alive} == everyone
+            {m.instance for m in member.view().alive} == instances
             for member in mesh.members.values()
         ),
         90_000,
@@ -173,25 +169,25 @@
     assert healed_ms is not None
 
 
-def test_offsets_travel_on_probes(start_mesh):
+def test_probes_carry_configuration_offsets(start_mesh):
     mesh = start_mesh(4)
     mesh.members['entry-0002'].advertise(41)
     mesh.run(10_000)
     assert mesh.members['entry-0001'].peer_offsets()['entry-0002'] == 41
 
 
-def test_loads_travel_on_probes(start_mesh):
+def test_probes_carry_loads(start_mesh):
     mesh = start_mesh(4)
-    mesh.members['entry-0002'].advertise(1, MemberNews(load=17))
+    mesh.members['entry-0002'].advertise(1, MemberStatus(load=17))
     mesh.run(10_000)
     assert mesh.members['entry-0001'].peer_loads()['entry-0002'] == 17
 
 
-def test_missed_refutation_is_asked_for_before_a_death():
-    """A member is suspected, refutes, and one other misses the refutation.
+def test_missed_refutation_is_requested_before_declaring_death():
+    """A suspected member refutes, but one other member misses the refutation.
 
-    Every message of gossip to that other is lost.  Its own last ping to the
-    suspect must bring the refutation before it declares a living member dead.
+    All gossip to that member is lost.  Its own last ping to the suspect must
+    yield the refutation before it declares a live member dead.
     """
     settings = MembershipSettings(probe_period_ms=60_000, gossip_period_ms=600_000)
     own, address = make_address(0), make_address(4)
@@ -200,15 +196,15 @@
     member.apply_listing(ListingFetched(True, (own, address)), 0)
     suspicion = MemberUpdate(address, 0, int(MemberState.SUSPECT))
     member.receive('entry-0002', Gossip((suspicion,)), 100)
-    asked = [
+    pings = [
         action.message
         for now_ms in range(150, settings.suspicion_ms, 50)
         for action in member.tick(now_ms)
         if isinstance(action, SendPeer) and isinstance(action.message, Ping)
     ]
-    assert 1 <= len(asked) <= 4
-    assert all(suspicion in ping.updates for ping in asked)
-    ack = Ack(asked[0].sequence, MemberUpdate(address, 1), -1)
+    assert 1 <= len(pings) <= 4
+    assert all(suspicion in ping.updates for ping in pings)
+    ack = Ack(pings[0].sequence, MemberUpdate(address, 1), -1)
     member.receive('entry-0004', ack, settings.suspicion_ms)
     member.tick(settings.suspicion_ms + 200)
     assert member.view().is_alive('entry-0004')
--- a/tests/test_membership/test_membership_wire.py
+++ b/tests/test_membership/test_membership_wire.py
@@ -6,11 +6,11 @@
 from savorychute.wire.peer_packages import load_peer_messages
 
 
-def test_every_message_of_a_leaving_and_a_dying_member_survives_the_wire(start_mesh):
-    """States are enumerations, and the codec takes plain integers only.
+def test_messages_of_leaving_and_dead_members_survive_encoding(start_mesh):
+    """States are enumerations, and the codec accepts plain integers only.
 
-    A ping that cannot be encoded is never sent: the instance would look dead
-    to everybody although it runs.
+    A ping that cannot be encoded is never sent, so the instance would appear
+    dead to all members although it runs.
     """
     load_peer_messages()
     keys = PeerKeys(PeerKey(1, b'a secret of 32 bytes for a test.'))
--- a/tests/test_membership/test_rendezvous.py
+++ b/tests/test_membership/test_rendezvous.py
@@ -18,7 +18,7 @@
 KEYS = [f'engine-{number}' for number in range(1000)]
 
 
-def test_one_departure_moves_only_the_keys_of_the_departed():
+def test_departure_moves_only_the_keys_of_the_departed_member():
     before = {key: choose_homes(key, MEMBERS, 1)[0] for key in KEYS}
     after = {key: choose_homes(key, MEMBERS[1:], 1)[0] for key in KEYS}
     moved = {key for key in KEYS if before[key] != after[key]}
@@ -35,10 +35,10 @@
 @settings(derandomize=True, deadline=None, max_examples=60)
 @given(st.lists(st.sets(st.integers(0, 11)), min_size=1, max_size=8))
 def test_home_table_equals_a_choice_from_scratch(histories):
-    """Two instances must name the same home whatever they saw before.
+    """Two instances must choose the same home whatever members they saw before.
 
-    The table recomputes only what a change touches, so after any history of
-    members it must equal a choice among the members of that moment.
+    The table recomputes only what a change affects, so after any history of
+    members it must equal a choice among the current members.
     """
     table = HomeTable()
     regions = {f'engine-{n}': f'region-{n % 4}' for n in range(40)}
@@ -52,7 +52,7 @@
             assert table.home_of(key) == (homes[0] if homes else None)
 
 
-def test_discovery_answer_is_near_spread_and_jittered():
+def test_discovery_answer_is_local_spread_and_jittered():
     alive = tuple(make_address(number, 2) for number in range(40))
     view = MemberView(alive[0], alive, suspects=frozenset({'entry-0002'}))
     answers = [
@@ -69,11 +69,11 @@
     assert len({answer.lifetime_ms for answer in answers}) > 10
 
 
-def test_busy_instance_is_passed_over_in_proportion():
-    """Two large organisations share one instance, and its queue grows.
+def test_busy_instance_is_skipped_in_proportion_to_its_load():
+    """Two large organisations share one instance, which is overloaded.
 
-    Their callers ask again and must be sent elsewhere as often as brings the
-    instance back to the mean, neither never nor always.
+    When their callers ask again, the instance must be skipped just often enough
+    to bring its load back to the mean.
     """
     alive = tuple(make_address(number) for number in range(30))
     view = MemberView(alive[0], alive)
