--- a/benches/capacity_roles/lease_role.py
+++ b/benches/capacity_roles/lease_role.py
@@ -12,7 +12,7 @@
 from benches.capacity_roles.target import SIZES, Target
 from savorychute.actions import AppendRecord, ReadRecords
 from savorychute.clock import MS_PER_S
-from savorychute.leases.lease_keeper import LeaseKeeper
+from savorychute.leases.lease_manager import LeaseManager
 from savorychute.leases.lease_settings import LeaseSettings
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, instance: str, lease: str, log: FakeLog, rng: Random) -> None:
-        self.keeper = LeaseKeeper(LeaseSettings(), instance, rng)
+        self.keeper = LeaseManager(LeaseSettings(), instance, rng)
         self.keeper.want(lease)
         self.lease = lease
         self._log = log
--- a/benches/leases.py
+++ b/benches/leases.py
@@ -10,7 +10,7 @@
 from benches.configuration_rig import FakeLog
 from savorychute.actions.append_record import AppendRecord
 from savorychute.actions.read_records import ReadRecords
-from savorychute.leases.lease_keeper import LeaseKeeper
+from savorychute.leases.lease_manager import LeaseManager
 from savorychute.leases.lease_settings import LeaseSettings
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
         self.log = FakeLog()
         self.now_ms = 0
         self.keepers = [
-            LeaseKeeper(
+            LeaseManager(
                 LeaseSettings(), f'i{number}', random.Random(seed * 10 + number)
             )
             for number in range(CANDIDATES)
@@ -43,7 +43,7 @@
         for keeper in self.keepers:
             keeper.want(LEASE)
 
-    def holder(self) -> LeaseKeeper | None:
+    def holder(self) -> LeaseManager | None:
         """Return who holds the lease."""
         for keeper in self.keepers:
             if keeper.holds(LEASE, self.now_ms) is not None:
@@ -61,7 +61,7 @@
         for _ in range(0, duration_ms, STEP_MS):
             self.step()
 
-    def perform(self, keeper: LeaseKeeper, actions: list[Action]) -> None:
+    def perform(self, keeper: LeaseManager, actions: list[Action]) -> None:
         """Carry out a candidate's actions."""
         while actions:
             action = actions.pop(0)
--- a/savorychute/gateway/duties/duty_claims.py
+++ b/savorychute/gateway/duties/duty_claims.py
@@ -15,7 +15,7 @@
 from savorychute.inputs.log_record import LogRecord
 from savorychute.inputs.records_read import RecordsRead
 from savorychute.leases.lease_change import LAPSED, LeaseChange
-from savorychute.leases.lease_keeper import LeaseKeeper
+from savorychute.leases.lease_manager import LeaseManager
 from savorychute.leases.lease_record import LEASE_STREAM
 
 if TYPE_CHECKING:
@@ -61,7 +61,7 @@
         self._settings = settings
         self._rng = rng
         self._eras = eras
-        self._keeper: LeaseKeeper | None = None
+        self._keeper: LeaseManager | None = None
         self._claim_from_ms = 0
         self._changes: list[LeaseChange] = []
         self.records = DutyRecords()
@@ -110,7 +110,7 @@
             lapsed = LeaseChange(self._lease, LAPSED, number, 'an older copy')
             self._changes.append(lapsed)
         self.records.begin_era(era, true_ms)
-        self._keeper = LeaseKeeper(self._settings, self._instance, self._rng)
+        self._keeper = LeaseManager(self._settings, self._instance, self._rng)
         patience_ms = ERA_PATIENCE_MS if held is None else 0
         self._claim_from_ms = now_ms + patience_ms
 
--- a/savorychute/instance/lease_desk.py
+++ b/savorychute/instance/lease_desk.py
@@ -67,7 +67,7 @@
 
     def note_load(self, report: LoadReported, now_ms: int) -> list[Action]:
         """Compare what an engine reports with what it was ordered."""
-        return self._follow(self._parts.orders.report(report, now_ms), now_ms)
+        return self._follow(self._parts.orders.handle_report(report, now_ms), now_ms)
 
     def _is_chosen(self) -> bool:
         parts = self._parts
--- a/savorychute/instance/parts.py
+++ b/savorychute/instance/parts.py
@@ -13,8 +13,8 @@
 from savorychute.events import EventManager
 from savorychute.instance.directory import Directory
 from savorychute.instance.request_table import RequestTable
-from savorychute.leases.lease_keeper import LeaseKeeper
-from savorychute.leases.order_desk import OrderDesk
+from savorychute.leases.lease_manager import LeaseManager
+from savorychute.leases.order_handler import OrderHandler
 from savorychute.limits import OrganisationLimiter
 from savorychute.membership import Membership
 from savorychute.recovery import Ejector, LeavingBroadcaster, Quarantine, RetryBudget
@@ -48,8 +48,8 @@
     leaving: LeavingBroadcaster
     quarantine: Quarantine
     keys: KeyKeeper
-    leases: LeaseKeeper
-    orders: OrderDesk
+    leases: LeaseManager
+    orders: OrderHandler
 
 
 def assemble_parts(
@@ -73,7 +73,7 @@
     audit = settings.audit._replace(epoch_offset_ms=epoch_offset_ms)
     keys = KeyKeeper(settings.keys, address, fork())
     keys.set_wall_clock(epoch_offset_ms, 0)
-    leases = LeaseKeeper(settings.leases, name, fork(), log_budget)
+    leases = LeaseManager(settings.leases, name, fork(), log_budget)
     book = EndpointTable(
         settings.routing, fork(), address.failure_domain, address.region
     )
@@ -98,5 +98,5 @@
         quarantine=Quarantine(settings.quarantine, name, fork()),
         keys=keys,
         leases=leases,
-        orders=OrderDesk(settings.leases, leases),
+        orders=OrderHandler(settings.leases, leases),
     )
--- a/savorychute/instance/placement_desk.py
+++ b/savorychute/instance/placement_desk.py
@@ -111,7 +111,7 @@
             verb=order.verb,
             target=order.target,
             why=order.why,
-            repeat=False,
+            resend=False,
         )
         self._open[order_id] = order
         actions = self._lease_desk.request_order(request, now_ms)
--- a/savorychute/leases/__init__.py
+++ b/savorychute/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Leases in the log, and the fenced orders that they permit."""
+"""Leases kept in the log, and the fenced orders sent under them."""
--- a/savorychute/leases/lease_change.py
+++ b/savorychute/leases/lease_change.py
@@ -11,7 +11,7 @@
 
 
 class LeaseChange(NamedTuple):
-    """This instance began or ceased to hold a lease, and why."""
+    """The start or end of holding a lease, with the reason."""
 
     name: str
     change: str
--- a/savorychute/leases/lease_keeper.py
+++ b/savorychute/leases/lease_manager.py
@@ -1,8 +1,8 @@
-"""Hold leases by claims in the platform's log.
+"""Leases held by claims in the platform's log.
 
-Gray and Cheriton, "Leases" (1989), with the log in place of the server that
-grants them.  A fencing number goes with each lease, so that an endpoint that
-checks it refuses whoever held the lease before.
+Based on Gray and Cheriton, "Leases" (1989), with the log in place of the
+server that grants them.  Each lease has a fencing number; an endpoint that
+checks it refuses earlier holders of the lease.
 """
 
 from __future__ import annotations
@@ -41,21 +41,21 @@
 
 LEASE_APPEND_PREFIX = 'lease:'
 HOLDER_BITS = 48
-CLAIM_PATIENCE_READS = 3
+CLAIM_TIMEOUT_POLLS = 3
 
 
-class LeaseKeeper:
-    """Claims, renews and gives up leases for one run of one instance.
+class LeaseManager:
+    """Claims, renews and releases leases for one run of one instance.
 
-    Safety rests on durations only, never on two clocks that agree.  The holder
+    Safety depends on durations only, never on synchronised clocks.  The holder
     counts from before it sent the claim and stops ``stop_margin_ms`` early; a
     successor counts the whole duration from when it read the claim, which is
-    later, and adds the time that an order may be under way.
+    later, and adds the time that an order may be in flight.
 
-    :param settings: durations.
+    :param settings: the durations.
     :param instance: this instance's name.
-    :param rng: makes the holder's name unique and spreads claims.
-    :param budget: the appends of this instance; None for one of its own.
+    :param rng: makes the holder's name unique and randomises claim times.
+    :param budget: the append budget of this instance; None creates a separate one.
     """
 
     def __init__(
@@ -68,8 +68,8 @@
         self._settings = settings
         self._rng = rng
         self._budget = budget or LogBudget(LogBudgetSettings())
-        # A restarted instance is another holder: it must wait for the lease of
-        # its earlier run, whose orders may still be under way.
+        # A restarted instance counts as another holder: it must wait until the lease
+        # of its earlier run ends, because orders of that run may still be in flight.
         self.holder = f'{instance}.{rng.getrandbits(HOLDER_BITS):012x}'
         self._table = LeaseTable()
         self._wanted: dict[str, None] = {}
@@ -78,22 +78,22 @@
         self._hold_until_ms: dict[str, int] = {}
         self._fencing: dict[str, int] = {}
         self._changes: list[LeaseChange] = []
-        self._read_ms: int | None = None
-        self._read_due_ms = 0
-        self._at_end = False
-        self._count = 0
+        self._read_sent_ms: int | None = None
+        self._next_read_ms = 0
+        self._is_caught_up = False
+        self._claim_count = 0
 
     def want(self, name: str) -> None:
-        """Try to get the lease and to keep it.
+        """Start trying to acquire the lease and to renew it.
 
-        :param name: what the lease is about.
+        :param name: the lease.
         """
         self._wanted[name] = None
 
     def release(self, name: str, now_ms: int) -> list[Action]:
-        """Stop wanting the lease, and give it up if it is held.
+        """Stop claiming the lease, and release it if it is held.
 
-        Only to be called when no order under it is under way.
+        Must only be called when no order under the lease is in flight.
 
         :param name: the lease.
         """
@@ -101,29 +101,29 @@
         fencing = self.holds(name, now_ms)
         if fencing is None:
             return []
-        self._stop(name, RELEASED, 'no longer wanted')
-        record = self._record(RELEASE_KIND, name, fencing)
+        self._end_lease(name, RELEASED, 'no longer wanted')
+        record = self._build_record(RELEASE_KIND, name, fencing)
         self._budget.take('lease', now_ms)
         return [self._append(record)]
 
     def surrender(self, name: str, fencing: int, why: str) -> None:
-        """Stop holding at once, because somebody else was seen to hold it.
+        """Stop holding the lease at once, because another holder was observed.
 
-        An order of an earlier lease that is fenced by this instance's own
-        later one says nothing against the later one.
+        If this instance's own later lease fences an order of its earlier one, the
+        later lease is still valid and is kept.
 
         :param name: the lease.
-        :param fencing: the number that turned out to be old.
-        :param why: what was seen.
+        :param fencing: the fencing number that proved to be outdated.
+        :param why: the observation.
         """
         if name in self._hold_until_ms and self._fencing[name] == fencing:
-            self._stop(name, SURRENDERED, why)
+            self._end_lease(name, SURRENDERED, why)
 
     def holds(self, name: str, now_ms: int) -> int | None:
         """Return the fencing number if the lease is held now, or None.
 
-        To be asked right before each order: a holder that was paused learns
-        here that its time is over, because the clock went on meanwhile.
+        Must be called right before each order is sent, so that a holder that was
+        paused detects that its lease has expired.
 
         :param name: the lease.
         """
@@ -140,7 +140,7 @@
         return self._hold_until_ms.get(name, 0)
 
     def terms(self) -> Mapping[str, LeaseTerm]:
-        """Return the leases as far as this instance has read of them."""
+        """Return the accepted claims that this instance has read."""
         return self._table.terms
 
     def take_changes(self) -> list[LeaseChange]:
@@ -150,7 +150,7 @@
 
     def tick(self, now_ms: int) -> list[Action]:
         """Return reads and claims that are due."""
-        self._note_lapses(now_ms)
+        self._expire_leases(now_ms)
         actions: list[Action] = []
         for name in self._wanted:
             if self._should_claim(name, now_ms):
@@ -158,13 +158,13 @@
         return actions + self._read(now_ms)
 
     def records_read(self, read: RecordsRead, now_ms: int) -> list[Action]:
-        """Take in an answer of the log.
+        """Handle a response of the log.
 
-        :param read: the answer; those of other streams are left alone.
+        :param read: the response; responses for other streams are ignored.
         """
         if read.stream != LEASE_STREAM:
             return []
-        self._read_ms = None
+        self._read_sent_ms = None
         if not read.ok:
             return []
         if self._table.offset + 1 < read.first_offset:
@@ -174,19 +174,19 @@
                 continue
             term = self._table.apply(record, now_ms)
             if term is not None:
-                self._take_term(term, now_ms)
-        self._at_end = self._table.offset + 1 >= read.end_offset
-        if not self._at_end and read.records:
-            self._read_due_ms = now_ms
+                self._apply_term(term, now_ms)
+        self._is_caught_up = self._table.offset + 1 >= read.end_offset
+        if not self._is_caught_up and read.records:
+            self._next_read_ms = now_ms
         return self._read(now_ms)
 
     def append_finished(self, finished: AppendFinished, now_ms: int) -> list[Action]:
-        """Take in the outcome of an append.
+        """Handle the outcome of an append.
 
-        Nothing is held before the claim was read back: only the log's order
-        tells whether it stands.
+        A lease is held only after its claim was read back, because only the order
+        of records in the log decides whether the claim is accepted.
 
-        :param finished: the outcome; those of other parts are left alone.
+        :param finished: the outcome; outcomes of other components are ignored.
         """
         if not finished.append_id.startswith(LEASE_APPEND_PREFIX):
             return []
@@ -194,16 +194,16 @@
             claim_id = finished.append_id.removeprefix(LEASE_APPEND_PREFIX)
             self._sent.pop(claim_id, None)
             return []
-        self._read_due_ms = now_ms
+        self._next_read_ms = now_ms
         return self._read(now_ms)
 
-    def _take_term(self, term: LeaseTerm, now_ms: int) -> None:
+    def _apply_term(self, term: LeaseTerm, now_ms: int) -> None:
         name = term.name
         claim = self._sent.pop(term.claim_id, None)
         self._claim_at_ms.pop(name, None)
         if claim is None or term.released:
             if term.holder != self.holder and name in self._hold_until_ms:
-                self._stop(name, LAPSED, f'{term.holder} has it')
+                self._end_lease(name, LAPSED, f'{term.holder} has it')
             return
         settings = self._settings
         usable_ms = round(claim.duration_ms * (1 - settings.clock_drift_share))
@@ -224,7 +224,7 @@
         if self.holds(name, now_ms) is not None:
             left_ms = self._hold_until_ms[name] - now_ms
             return left_ms <= self._settings.renew_before_ms
-        if not self._at_end or not self._is_free(name, now_ms):
+        if not self._is_caught_up or not self._is_free(name, now_ms):
             self._claim_at_ms.pop(name, None)
             return False
         backoff_ms = self._settings.claim_backoff_ms
@@ -236,12 +236,12 @@
     def _is_claiming(self, name: str, now_ms: int) -> bool:
         """Return whether a claim may still be read back.
 
-        One that was never answered is given up after a few polls; should it
-        turn up later, it counts from when it was sent.
+        An unanswered claim times out after a few polls; if it is read back later,
+        its duration still counts from when it was sent.
         """
-        patience_ms = CLAIM_PATIENCE_READS * self._settings.poll_interval_ms
+        timeout_ms = CLAIM_TIMEOUT_POLLS * self._settings.poll_interval_ms
         return any(
-            claim.name == name and now_ms - claim.sent_ms < patience_ms
+            claim.name == name and now_ms - claim.sent_ms < timeout_ms
             for claim in self._sent.values()
         )
 
@@ -250,35 +250,35 @@
         if term is None or term.holder == self.holder:
             return True
         settings = self._settings
-        lasts_ms = 0 if term.released else term.duration_ms
-        wait_ms = (lasts_ms + settings.order_flight_ms) * (
+        lease_ms = 0 if term.released else term.duration_ms
+        wait_ms = (lease_ms + settings.order_flight_ms) * (
             1 + settings.clock_drift_share
         )
         return now_ms - term.read_ms >= wait_ms
 
     def _claim(self, name: str, now_ms: int) -> list[Action]:
         fencing = self._fencing.get(name, -1) if name in self._hold_until_ms else -1
-        record = self._record(CLAIM_KIND, name, fencing)
+        record = self._build_record(CLAIM_KIND, name, fencing)
         duration_ms = record['duration_ms']
         claim = SentClaim(record['claim_id'], name, now_ms, duration_ms)
-        self._forget_old_claims(now_ms)
+        self._drop_expired_claims(now_ms)
         self._sent[claim.claim_id] = claim
         self._claim_at_ms.pop(name, None)
         self._budget.take('lease', now_ms)
         return [self._append(record)]
 
-    def _forget_old_claims(self, now_ms: int) -> None:
+    def _drop_expired_claims(self, now_ms: int) -> None:
         self._sent = {
             claim_id: claim
             for claim_id, claim in self._sent.items()
             if now_ms - claim.sent_ms < claim.duration_ms
         }
 
-    def _record(self, kind: str, name: str, fencing: int) -> LeaseRecord:
-        self._count += 1
+    def _build_record(self, kind: str, name: str, fencing: int) -> LeaseRecord:
+        self._claim_count += 1
         return LeaseRecord(
             kind=kind,
-            claim_id=f'{self.holder}.{self._count}',
+            claim_id=f'{self.holder}.{self._claim_count}',
             name=name,
             holder=self.holder,
             duration_ms=self._settings.duration_ms,
@@ -290,12 +290,12 @@
         append_id = f'{LEASE_APPEND_PREFIX}{record["claim_id"]}'
         return AppendRecord(append_id, LEASE_STREAM, encode_lease_record(record))
 
-    def _note_lapses(self, now_ms: int) -> None:
+    def _expire_leases(self, now_ms: int) -> None:
         for name, until_ms in list(self._hold_until_ms.items()):
             if now_ms >= until_ms:
-                self._stop(name, LAPSED, 'not renewed in time')
+                self._end_lease(name, LAPSED, 'not renewed in time')
 
-    def _stop(self, name: str, change: str, why: str) -> None:
+    def _end_lease(self, name: str, change: str, why: str) -> None:
         del self._hold_until_ms[name]
         fencing = self._fencing.pop(name)
         self._changes.append(LeaseChange(name, change, fencing, why))
@@ -303,13 +303,13 @@
     def _read(self, now_ms: int) -> list[Action]:
         if not self._wanted and not self._sent:
             return []
-        if self._read_ms is not None:
-            if now_ms - self._read_ms < self._settings.read_timeout_ms:
+        if self._read_sent_ms is not None:
+            if now_ms - self._read_sent_ms < self._settings.read_timeout_ms:
                 return []
-            self._read_ms = None
-        if now_ms < self._read_due_ms:
+            self._read_sent_ms = None
+        if now_ms < self._next_read_ms:
             return []
-        self._read_ms = now_ms
-        self._read_due_ms = now_ms + self._settings.poll_interval_ms
+        self._read_sent_ms = now_ms
+        self._next_read_ms = now_ms + self._settings.poll_interval_ms
         count = self._settings.max_read_records
         return [ReadRecords(LEASE_STREAM, self._table.offset + 1, count)]
--- a/savorychute/leases/lease_record.py
+++ b/savorychute/leases/lease_record.py
@@ -16,9 +16,9 @@
 class LeaseRecord(TypedDict):
     """A claim to a lease, or its release by the holder.
 
-    ``holder`` names one run of an instance.  ``seen_offset`` is the last offset
-    that it had read; a claim stands only if no other was accepted since.
-    ``fencing`` is the offset of the holder's first claim in a renewal, and -1
+    ``holder`` identifies one run of an instance.  ``seen_offset`` is the last offset
+    that it had read; a claim is accepted only if no other claim was accepted after
+    it.  ``fencing`` is the offset of the holder's first claim in a renewal, and -1
     in a first claim.
     """
 
@@ -42,8 +42,7 @@
 def decode_lease_record(payload: bytes) -> LeaseRecord | None:
     """Return the record in the payload, or None if it is not a valid one.
 
-    :param payload: the bytes at an offset of the stream; anybody may have
-        written them.
+    :param payload: the bytes at an offset of the stream, from an untrusted writer.
     """
     try:
         record = _DECODER.decode(payload)
--- a/savorychute/leases/lease_settings.py
+++ b/savorychute/leases/lease_settings.py
@@ -6,23 +6,26 @@
 
 
 class LeaseSettings(NamedTuple):
-    """Times of leases.  All durations are of the instance's own clock, which
-    must count the time that the host spends suspended.
+    """Durations and limits of leases.
 
-    :param duration_ms: how long a claim holds.
+    All durations are measured by the instance's own clock, which must include the
+    time that the host spends suspended.
+
+    :param duration_ms: how long a claim is valid.
     :param renew_before_ms: how long before the end the holder renews.
-    :param stop_margin_ms: how long before the end the holder stops.
-    :param clock_drift_share: how much faster or slower than another a clock may
-        run, as a part of a duration.
-    :param order_flight_ms: how long an order may be under way to an endpoint.
-    :param poll_interval_ms: how often the stream is read while leases are
-        wanted.
-    :param read_timeout_ms: when a read counts as unanswered.
-    :param max_read_records: how many records one read asks for.
-    :param claim_backoff_ms: the random delay before a claim, so that rivals
-        seldom collide.
-    :param order_timeout_ms: when an unanswered order counts as unknown.
-    :param max_order_history: how many past orders are kept for operators.
+    :param stop_margin_ms: how long before the end the holder stops using the lease.
+    :param clock_drift_share: the maximum difference in rate between two clocks, as
+        a fraction of a duration.
+    :param order_flight_ms: how long an order may be in flight to an endpoint.
+    :param poll_interval_ms: the interval between reads of the stream while leases
+        are wanted.
+    :param read_timeout_ms: the timeout of a read.
+    :param max_read_records: the number of records requested by one read.
+    :param claim_backoff_ms: the maximum random delay before a claim, so that
+        competing claims seldom collide.
+    :param order_timeout_ms: when the outcome of an unanswered order counts as
+        unknown.
+    :param max_order_history: the number of past orders kept for operators.
     """
 
     duration_ms: int = 15_000
--- a/savorychute/leases/lease_table.py
+++ b/savorychute/leases/lease_table.py
@@ -1,4 +1,4 @@
-"""The fold over the lease stream."""
+"""The state of leases, derived from the lease stream."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class LeaseTable:
-    """Which claims stand.
+    """The accepted claims.
 
-    A claim stands if no claim of the same name was accepted after the last
-    record that its writer had read: a compare-and-set on the log.  The rule
-    needs no clock, so all instances decide alike.
+    A claim is accepted if no claim of the same name was accepted after the last
+    record that its writer had read: a compare-and-set on the log.  The rule needs
+    no clock, so all instances reach the same decision.
     """
 
     def __init__(self) -> None:
@@ -31,21 +31,21 @@
 
     @property
     def terms(self) -> Mapping[str, LeaseTerm]:
-        """The accepted claims by name of the lease."""
+        """The accepted claims by lease name."""
         return self._terms
 
     def skip_to(self, first_offset: int) -> None:
-        """Go on behind records that the log no longer has.
+        """Skip records that the log no longer retains.
 
-        Safe because records are kept for far longer than a lease lasts: what
-        was lost had lapsed.
+        This is safe because records are retained for far longer than a lease lasts,
+        so the leases in skipped records have lapsed.
 
-        :param first_offset: the oldest offset that is kept.
+        :param first_offset: the oldest retained offset.
         """
         self.offset = max(self.offset, first_offset - 1)
 
     def apply(self, record: LogRecord, now_ms: int) -> LeaseTerm | None:
-        """Fold the next record, and return the term that it changed.
+        """Apply the next record, and return the term that it changed.
 
         :param record: the record that follows the last one.
         """
@@ -62,12 +62,12 @@
         return self._accept(term, decoded, record.offset, now_ms)
 
     def _accept(
-        self, before: LeaseTerm | None, claim: LeaseRecord, offset: int, now_ms: int
+        self, previous: LeaseTerm | None, claim: LeaseRecord, offset: int, now_ms: int
     ) -> LeaseTerm:
         term = LeaseTerm(
             name=claim['name'],
             holder=claim['holder'],
-            fencing=_fencing_of(before, claim, offset),
+            fencing=_fencing_of(previous, claim, offset),
             offset=offset,
             claim_id=claim['claim_id'],
             duration_ms=claim['duration_ms'],
@@ -91,16 +91,16 @@
         return released
 
 
-def _fencing_of(before: LeaseTerm | None, claim: LeaseRecord, offset: int) -> int:
-    """Return the fencing number that goes with an accepted claim.
+def _fencing_of(previous: LeaseTerm | None, claim: LeaseRecord, offset: int) -> int:
+    """Return the fencing number of an accepted claim.
 
-    A renewal keeps the number of the first claim.  An instance that started
-    later and never read that one takes the renewal's word for it.
+    A renewal keeps the number of the first claim.  An instance that has not read
+    the first claim uses the number stated in the renewal.
     """
     is_first = not 0 <= claim['fencing'] < offset
     if is_first:
         return offset
-    if before is None:
+    if previous is None:
         return claim['fencing']
-    continues = before.holder == claim['holder'] and not before.released
-    return before.fencing if continues else offset
+    is_renewal = previous.holder == claim['holder'] and not previous.released
+    return previous.fencing if is_renewal else offset
--- a/savorychute/leases/lease_term.py
+++ b/savorychute/leases/lease_term.py
@@ -6,10 +6,10 @@
 
 
 class LeaseTerm(NamedTuple):
-    """Who has a lease, as the log says and one instance has read it.
+    """The holder of a lease according to the log as read by one instance.
 
-    ``fencing`` is the offset of the holder's first claim, ``offset`` that of
-    its last claim.  ``read_ms`` is when this instance read the latter.
+    ``fencing`` is the offset of the holder's first claim, ``offset`` that of its
+    last claim.  ``read_ms`` is when this instance read the last claim.
     """
 
     name: str
--- a/savorychute/leases/order_request.py
+++ b/savorychute/leases/order_request.py
@@ -1,4 +1,4 @@
-"""A wanted change of an engine."""
+"""A requested change of an engine."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class OrderRequest(NamedTuple):
-    """What a lease holder wants of an endpoint.
+    """A change that a lease holder requests of an endpoint.
 
     ``verb`` is ``load``, ``unload`` or ``role``; ``target`` is the model,
-    adapter, version or role; ``why`` is for the audit trail.  With ``repeat``
-    the order is sent again when its effect is gone or does not show.  Who
-    compares reports with a plan of its own says no: a load takes minutes to
-    show, and the plan decides what is ordered next.
+    adapter, version or role; ``why`` is for the audit trail.  With ``resend``
+    the order is sent again when its effect is missing from later reports.  A
+    sender that compares reports with a plan of its own sets it to false: a load
+    takes minutes to appear in reports, and the plan decides what is ordered next.
     """
 
     order_id: str
@@ -25,4 +25,4 @@
     verb: str
     target: str
     why: str
-    repeat: bool = True
+    resend: bool = True
--- a/savorychute/leases/order_result.py
+++ b/savorychute/leases/order_result.py
@@ -1,4 +1,4 @@
-"""How an order ended."""
+"""The result of an order."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class OrderResult(NamedTuple):
-    """The end of an order.
+    """The result of an order.
 
-    ``outcome`` is ``done``, ``fenced``, ``refused``, ``not-held`` (never sent,
-    because the lease is not held) or ``unknown``.  ``late`` says that the order
-    put right what an old one had changed.
+    ``outcome`` is ``done``, ``fenced``, ``refused``, ``not-held`` (not sent, because
+    the lease is not held) or ``unknown``.  ``late`` marks an order that corrects the
+    effect of an old order.
     """
 
     order_id: str
--- a/savorychute/leases/endpoint_reading.py
+++ b/savorychute/leases/reported_models.py
@@ -1,12 +1,12 @@
-"""What an endpoint last said of its models."""
+"""The models that an endpoint last reported."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 
-class EndpointReading(NamedTuple):
-    """Models that were loaded at ``as_of_ms`` of this instance's clock."""
+class ReportedModels(NamedTuple):
+    """The models that were loaded at ``as_of_ms`` by this instance's clock."""
 
     models: frozenset[str]
     as_of_ms: int
--- a/savorychute/leases/sent_claim.py
+++ b/savorychute/leases/sent_claim.py
@@ -1,4 +1,4 @@
-"""A claim on its way to the log."""
+"""A claim in flight to the log."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class SentClaim(NamedTuple):
-    """A claim that was sent at ``sent_ms`` and may yet be read back."""
+    """A claim that was sent at ``sent_ms`` and may still be read back."""
 
     claim_id: str
     name: str
--- a/tests/test_leases/test_lease_faults.py
+++ b/tests/test_leases/test_lease_faults.py
@@ -1,4 +1,4 @@
-"""Never two holders, under drift, pauses, delays, losses and outages."""
+"""A lease has at most one holder under drift, pauses, delays, losses and outages."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from savorychute.actions.send_order import SendOrder
 from savorychute.inputs.append_finished import AppendFinished
 from savorychute.inputs.order_finished import OrderFinished
-from savorychute.leases.lease_keeper import LeaseKeeper
+from savorychute.leases.lease_manager import LeaseManager
 from savorychute.leases.lease_settings import LeaseSettings
-from savorychute.leases.order_desk import OrderDesk
+from savorychute.leases.order_handler import OrderHandler
 from savorychute.leases.order_request import LOAD, OrderRequest
 
 STEP_MS = 250
 RUN_MS = 150_000
-# No margins but that for drift, so that the test stands on the bare rule.
+# No margins except that for drift, so that the test checks the protocol itself.
 SETTINGS = LeaseSettings(
     stop_margin_ms=0, order_flight_ms=0, poll_interval_ms=500, claim_backoff_ms=0
 )
@@ -31,30 +31,30 @@
 
 
 class Candidate:
-    """One instance with a clock of its own rate, and its queue of answers."""
+    """One instance with its own clock rate and a queue of responses."""
 
     def __init__(self, name, rate, seed):
         self.name = name
         self.rate = rate
         self.start_ms = seed * 1_000_003
-        self.keeper = LeaseKeeper(SETTINGS, name, random.Random(seed))
-        self.keeper.want(LEASE)
-        self.desk = OrderDesk(SETTINGS, self.keeper)
-        self.desk.set_endpoints({'e': make_endpoint('e')})
+        self.manager = LeaseManager(SETTINGS, name, random.Random(seed))
+        self.manager.want(LEASE)
+        self.handler = OrderHandler(SETTINGS, self.manager)
+        self.handler.set_endpoints({'e': make_endpoint('e')})
         self.paused_until_ms = 0
-        self.waiting = []
+        self.pending_responses = []
         self.orders = 0
 
     def clock_ms(self, true_ms):
-        """Return the instance's own time."""
+        """Return the time by the instance's clock."""
         return self.start_ms + int(true_ms * self.rate)
 
     def fencing(self, true_ms):
-        """Return what the instance believes to hold."""
-        return self.keeper.holds(LEASE, self.clock_ms(true_ms))
+        """Return the fencing number if the instance considers itself the holder."""
+        return self.manager.holds(LEASE, self.clock_ms(true_ms))
 
 
-class World:
+class LeaseSimulation:
     """Candidates, a slow and lossy log, and an endpoint that checks fencing."""
 
     def __init__(self, rates, seed):
@@ -70,17 +70,17 @@
         self.now_ms = 0
         self.events = []
         self.count = 0
-        self.newest_order = -1
-        self.taken = []
+        self.highest_fencing = -1
+        self.accepted_fencing = []
         self.holders = set()
 
-    def after(self, delay_ms, call):
-        """Call later."""
+    def schedule(self, delay_ms, call):
+        """Schedule a call after a delay."""
         self.count += 1
         heapq.heappush(self.events, (self.now_ms + delay_ms, self.count, call))
 
     def run(self, until_ms):
-        """Advance the true time."""
+        """Run events until a true time."""
         while self.events and self.events[0][0] <= until_ms:
             self.now_ms, _, call = heapq.heappop(self.events)
             call()
@@ -88,7 +88,10 @@
         self.now_ms = until_ms
 
     def check(self):
-        """A paused instance counts: it would act on its belief when it wakes."""
+        """Check for at most one holder.
+
+        Paused instances count, because they act on their state when they resume.
+        """
         holders = [
             each for each in self.candidates if each.fencing(self.now_ms) is not None
         ]
@@ -96,14 +99,14 @@
         self.holders.update(each.name for each in holders)
 
     def expire(self):
-        """Let the log drop what is older than its retention."""
+        """Drop log records that are older than the retention time."""
         oldest_ms = self.now_ms - RETENTION_MS
         count = sum(at_ms < oldest_ms for at_ms in self.appended_ms)
         if count:
             self.log.expire('leases', count)
 
-    def replace(self, number):
-        """Start an instance anew under the same name."""
+    def restart(self, number):
+        """Restart an instance under the same name."""
         old = self.candidates[number]
         self.count += 1
         fresh = Candidate(old.name, old.rate, 1_000 + self.count)
@@ -111,47 +114,47 @@
         self.start(fresh)
 
     def start(self, candidate):
-        """Begin an instance's ticks."""
-        self.after(self.rng.randrange(STEP_MS), lambda: self.tick(candidate))
+        """Start the ticks of an instance."""
+        self.schedule(self.rng.randrange(STEP_MS), lambda: self.tick(candidate))
 
     def tick(self, candidate):
-        """Let an instance work, unless it is paused."""
+        """Run one tick of an instance, unless it is paused."""
         if candidate not in self.candidates:
             return
         if self.now_ms < candidate.paused_until_ms:
-            wakes_ms = candidate.paused_until_ms
-            self.after(wakes_ms - self.now_ms, lambda: self.tick(candidate))
+            resume_ms = candidate.paused_until_ms
+            self.schedule(resume_ms - self.now_ms, lambda: self.tick(candidate))
             return
         clock_ms = candidate.clock_ms(self.now_ms)
-        for answer in candidate.waiting:
-            self.perform(candidate, answer(clock_ms))
-        candidate.waiting.clear()
-        self.perform(candidate, candidate.keeper.tick(clock_ms))
+        for response in candidate.pending_responses:
+            self.perform(candidate, response(clock_ms))
+        candidate.pending_responses.clear()
+        self.perform(candidate, candidate.manager.tick(clock_ms))
         candidate.orders += 1
         order_id = f'{candidate.name}.{candidate.orders}'
         request = OrderRequest(order_id, LEASE, 'e', LOAD, 'large', 'a test')
-        self.perform(candidate, candidate.desk.request_order(request, clock_ms))
-        self.after(STEP_MS, lambda: self.tick(candidate))
+        self.perform(candidate, candidate.handler.request_order(request, clock_ms))
+        self.schedule(STEP_MS, lambda: self.tick(candidate))
 
-    def deliver(self, candidate, answer):
-        """Answer later, or when a paused instance wakes."""
+    def respond(self, candidate, response):
+        """Deliver a response after a delay; a paused instance reads it on resuming."""
         delay_ms = self.rng.randrange(1, self.max_delay_ms)
-        self.after(delay_ms, lambda: candidate.waiting.append(answer))
+        self.schedule(delay_ms, lambda: candidate.pending_responses.append(response))
 
     def perform(self, candidate, actions):
-        """Carry out an instance's actions."""
+        """Execute an instance's actions."""
         for action in actions:
             if isinstance(action, AppendRecord):
                 self.append(candidate, action)
             elif isinstance(action, ReadRecords):
                 self.read(candidate, action)
             elif isinstance(action, SendOrder):
-                # The host may be paused between its check and the first byte.
+                # The host may be paused between the check and sending the first byte.
                 flight_ms = self.rng.randrange(1, MAX_ORDER_FLIGHT_MS)
-                self.after(flight_ms, lambda a=action: self.order(candidate, a))
+                self.schedule(flight_ms, lambda a=action: self.order(candidate, a))
 
     def append(self, candidate, action):
-        """Append after a delay, and answer after another."""
+        """Append after a delay, and respond after another."""
 
         def arrive():
             finished = self.log.append(action)
@@ -159,30 +162,30 @@
                 self.appended_ms.append(self.now_ms)
             if self.rng.random() < self.loss_share:
                 finished = AppendFinished(action.append_id, action.stream, 'unknown')
-            self.deliver(
-                candidate, lambda now: candidate.keeper.append_finished(finished, now)
+            self.respond(
+                candidate, lambda now: candidate.manager.append_finished(finished, now)
             )
 
-        self.after(self.rng.randrange(1, self.max_delay_ms), arrive)
+        self.schedule(self.rng.randrange(1, self.max_delay_ms), arrive)
 
     def read(self, candidate, action):
-        """Read, and answer after a delay."""
+        """Read, and respond after a delay."""
         read = self.log.read(action)
         if self.rng.random() >= self.loss_share:
-            self.deliver(
-                candidate, lambda now: candidate.keeper.records_read(read, now)
+            self.respond(
+                candidate, lambda now: candidate.manager.records_read(read, now)
             )
 
     def order(self, candidate, action):
-        """An endpoint that checks: it takes no number below one it has seen."""
+        """Handle an order as an endpoint that refuses outdated fencing numbers."""
         outcome = 'fenced'
-        if action.fencing >= self.newest_order:
-            self.newest_order = action.fencing
-            self.taken.append(action.fencing)
+        if action.fencing >= self.highest_fencing:
+            self.highest_fencing = action.fencing
+            self.accepted_fencing.append(action.fencing)
             outcome = 'done'
         finished = OrderFinished(action.order_id, 'e', outcome)
-        self.deliver(
-            candidate, lambda now: candidate.desk.order_finished(finished, now)
+        self.respond(
+            candidate, lambda now: candidate.handler.order_finished(finished, now)
         )
 
 
@@ -199,46 +202,46 @@
 RATES = st.tuples(*[st.sampled_from([0.995, 1.0, 1.005])] * 3)
 
 
-def inject(world, kind, number, duration_ms):
+def inject(simulation, kind, number, duration_ms):
     if kind == 'pause':
-        world.candidates[number].paused_until_ms = world.now_ms + duration_ms
+        simulation.candidates[number].paused_until_ms = simulation.now_ms + duration_ms
     elif kind == 'expire':
-        world.expire()
+        simulation.expire()
     elif kind == 'replace':
-        world.replace(number)
+        simulation.restart(number)
     elif kind == 'down':
-        world.log.is_up = False
+        simulation.log.is_up = False
     elif kind == 'lossy':
-        world.loss_share = 0.4
+        simulation.loss_share = 0.4
     elif kind == 'slow':
-        world.max_delay_ms = 9_000
+        simulation.max_delay_ms = 9_000
     else:
-        world.log.is_up = True
-        world.loss_share = 0.0
-        world.max_delay_ms = 50
+        simulation.log.is_up = True
+        simulation.loss_share = 0.0
+        simulation.max_delay_ms = 50
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(RATES, FAULTS, st.integers(0, 99))
-def test_never_two_holders_and_no_old_order_after_a_newer_one(rates, faults, seed):
-    """Three instances want one lease while everything goes wrong.
+def test_at_most_one_holder_and_no_old_order_after_a_newer_one(rates, faults, seed):
+    """Three instances compete for one lease under injected faults.
 
-    Hosts are suspended for up to a minute, appends land late or their replies
-    are lost, and clocks differ by one in a hundred.  An order may leave long
+    Hosts are suspended for up to a minute, appends arrive late or their responses
+    are lost, and clock rates differ by up to 1 in 100.  An order may leave long
     after the lease was checked.
     """
-    world = World(rates, seed)
-    for candidate in world.candidates:
-        world.start(candidate)
+    simulation = LeaseSimulation(rates, seed)
+    for candidate in simulation.candidates:
+        simulation.start(candidate)
     for at_ms, kind, number, duration_ms in sorted(faults):
-        world.run(at_ms)
-        inject(world, kind, number, duration_ms)
-    world.run(RUN_MS)
-    inject(world, 'heal', 0, 0)
-    world.run(RUN_MS + 90_000)
-    assert world.holders
-    assert world.taken == sorted(world.taken)
-    # After all is well again somebody holds, and its orders are taken.
-    world.taken.clear()
-    world.run(RUN_MS + 120_000)
-    assert world.taken
+        simulation.run(at_ms)
+        inject(simulation, kind, number, duration_ms)
+    simulation.run(RUN_MS)
+    inject(simulation, 'heal', 0, 0)
+    simulation.run(RUN_MS + 90_000)
+    assert simulation.holders
+    assert simulation.accepted_fencing == sorted(simulation.accepted_fencing)
+    # After all faults end there is a holder, and its orders are accepted.
+    simulation.accepted_fencing.clear()
+    simulation.run(RUN_MS + 120_000)
+    assert simulation.accepted_fencing
--- a/tests/test_leases/test_lease_keeper.py
+++ b/tests/test_leases/test_lease_manager.py
@@ -1,9 +1,9 @@
-"""One holder at a time, whatever stops, pauses or fails."""
+"""At most one holder at a time during stops, pauses and failures."""
 
 from __future__ import annotations
 
 
-def test_one_candidate_gets_the_lease_and_keeps_it(candidates):
+def test_one_candidate_acquires_and_keeps_the_lease(candidates):
     candidates.run(10_000)
     (holder,) = candidates.holders()
     fencing = candidates.fencing_of(holder)
@@ -12,7 +12,7 @@
     assert candidates.fencing_of(holder) == fencing
 
 
-def test_successor_waits_the_whole_lease_and_has_a_higher_number(candidates):
+def test_successor_waits_for_the_lease_to_end_and_gets_a_higher_number(candidates):
     candidates.run(10_000)
     (holder,) = candidates.holders()
     fencing = candidates.fencing_of(holder)
@@ -26,10 +26,11 @@
     assert candidates.fencing_of(successor) > fencing
 
 
-def test_paused_holder_does_not_believe_that_it_holds(candidates):
+def test_paused_holder_no_longer_holds_the_lease(candidates):
     """The holder's host is suspended for a minute while another takes over.
 
-    When it wakes, nothing has told it: only the clock, which counted on.
+    When it resumes, it has received no message; only its clock shows that the
+    lease has expired.
     """
     candidates.run(10_000)
     (holder,) = candidates.holders()
@@ -42,10 +43,10 @@
     assert holder not in candidates.holders()
 
 
-def test_log_down_at_renewal_ends_the_lease_early(candidates):
+def test_log_outage_at_renewal_ends_the_lease_early(candidates):
     """The log is down for longer than the lease.
 
-    The holder cannot know whether a rival's claim is in the log, so it stops.
+    The holder cannot know whether another claim is in the log, so it stops.
     """
     candidates.run(10_000)
     assert len(candidates.holders()) == 1
@@ -54,8 +55,8 @@
     assert candidates.holders() == []
     changes = [
         change.change
-        for keeper in candidates.keepers.values()
-        for change in keeper.take_changes()
+        for manager in candidates.managers.values()
+        for change in manager.take_changes()
     ]
     assert changes == ['acquired', 'lapsed']
     candidates.log.is_up = True
@@ -69,11 +70,11 @@
     assert len(candidates.holders()) == 1
 
 
-def test_released_lease_is_taken_after_the_flight_of_orders(candidates):
+def test_released_lease_is_acquired_after_the_order_flight_time(candidates):
     candidates.run(10_000)
     (holder,) = candidates.holders()
-    keeper = candidates.keepers[holder]
-    candidates.perform(keeper, keeper.release('placement', candidates.now_ms))
+    manager = candidates.managers[holder]
+    candidates.perform(manager, manager.release('placement', candidates.now_ms))
     assert candidates.holders() == []
     released_ms = candidates.now_ms
     while not candidates.holders():
--- a/tests/test_membership/test_capacity_tables.py
+++ b/tests/test_membership/test_capacity_tables.py
@@ -23,7 +23,10 @@
 
 def test_rows_state_whether_the_target_was_measured():
     measured = [RoleSample(8, state_bytes=80.0), RoleSample(530, state_bytes=5_300.0)]
-    extrapolated = [RoleSample(8, state_bytes=80.0), RoleSample(128, state_bytes=1_280.0)]
+    extrapolated = [
+        RoleSample(8, state_bytes=80.0),
+        RoleSample(128, state_bytes=1_280.0),
+    ]
     role = Role('a role', lambda size: RoleSample(size), 'x', 'y', (8, 530))
     assert '5,300 measured' in render_role(role, measured)
     assert '5,300 extrapolated' in render_role(role, extrapolated)
