--- a/benches/membership.py
+++ b/benches/membership.py
@@ -9,7 +9,7 @@
 from benches.bench_row import BenchRow, make_row
 from benches.capacity_roles.member_mesh import MemberMesh, make_address
 from savorychute.clock import MS_PER_S
-from savorychute.contracts.limits import REQUESTS_PER_S_OF_SEAT
+from savorychute.contracts.limits import REQUESTS_PER_S_PER_SEAT
 from savorychute.membership import (
     DiscoverySettings,
     MembershipSettings,
@@ -334,4 +334,4 @@
 
     :param requests_per_s: the organisation's rate.
     """
-    return max(3, -(-int(requests_per_s) // REQUESTS_PER_S_OF_SEAT))
+    return max(3, -(-int(requests_per_s) // REQUESTS_PER_S_PER_SEAT))
--- a/benches/wire.py
+++ b/benches/wire.py
@@ -17,7 +17,7 @@
 from savorychute.wire.peer_key import PeerKey
 from savorychute.wire.peer_keys import PeerKeys
 from savorychute.wire.schema_writer import write_schema
-from savorychute.wire.signature import open_frame, sign_envelope
+from savorychute.wire.signature import sign_envelope, verify_frame
 
 if TYPE_CHECKING:
     import random
@@ -78,10 +78,10 @@
 
     def refuse() -> None:
         with suppress(SignatureError):
-            open_frame(frame, 'a-2', KEYS)
+            verify_frame(frame, 'a-2', KEYS)
 
     def accept() -> None:
-        open_frame(own, 'a-2', KEYS)
+        verify_frame(own, 'a-2', KEYS)
 
     own = sign_envelope(bytes(STRANGER_BYTES), 'a-2', KEYS.signing)
     refuse_us = _time(refuse, repeats)
@@ -99,7 +99,7 @@
     text = msgspec.json.encode(message)
 
     def decode() -> Any:
-        return codec.decode(open_frame(frame, 'a-2', KEYS))
+        return codec.decode(verify_frame(frame, 'a-2', KEYS))
 
     assert decode().message == message
     encode_us = _time(encode, repeats)
--- a/savorychute/audit/audit_entry.py
+++ b/savorychute/audit/audit_entry.py
@@ -6,11 +6,11 @@
 
 
 class AuditEntry(NamedTuple):
-    """Who changed what, from which version or state to which, and why.
+    """A change of an item from one version or state to another.
 
     ``kind`` is a value of :class:`~savorychute.audit.audit_kind.AuditKind`.
-    ``operator`` is the person or token name, or empty for a decision of the
-    system.  A ``lasting`` entry is also written to the log.
+    ``operator`` is the name of the person or token, or empty for a decision of the
+    system.  ``why`` is the reason.  A ``lasting`` entry is also written to the log.
     """
 
     kind: str
--- a/savorychute/audit/audit_kind.py
+++ b/savorychute/audit/audit_kind.py
@@ -6,7 +6,7 @@
 
 
 class AuditKind(StrEnum):
-    """What an entry of the audit trail is about."""
+    """The subject of an entry of the audit trail."""
 
     AMENDMENT = 'amendment'
     DRAIN = 'drain'
--- a/savorychute/audit/audit_query.py
+++ b/savorychute/audit/audit_query.py
@@ -1,4 +1,4 @@
-"""What an operator asks of the audit trail."""
+"""An operator's query of the audit trail."""
 
 from __future__ import annotations
 
@@ -11,10 +11,9 @@
 
 
 class AuditQuery(NamedTuple):
-    """A filter; an empty text and offset 0 match everything.
+    """A filter; empty strings and offset 0 match all entries.
 
-    An entry that is not in the log matches any offset: it is recent, or was
-    not meant to last.
+    An entry that is not in the log matches any offset: it is recent or not lasting.
     """
 
     item: str = ''
@@ -22,7 +21,7 @@
     since_offset: int = 0
 
     def matches(self, recorded: RecordedEntry) -> bool:
-        """Return whether the entry is asked for."""
+        """Return whether the entry matches the filter."""
         entry = recorded.entry
         if self.item and entry.item != self.item:
             return False
--- a/savorychute/audit/audit_record.py
+++ b/savorychute/audit/audit_record.py
@@ -1,4 +1,4 @@
-"""A batch of audit entries, as the log keeps it."""
+"""A batch of audit entries as stored in the log."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class AuditRecord(TypedDict):
-    """Entries of one run of an instance, in the order of their sequence."""
+    """Entries of one run of an instance, in order of their sequence numbers."""
 
     batch_id: str
     entries: list[RecordedEntry]
@@ -27,7 +27,7 @@
 
 
 def decode_audit_record(payload: bytes) -> AuditRecord | None:
-    """Return the record in the payload, or None if it is not one."""
+    """Return the record in the payload, or None if it is not valid."""
     try:
         return _DECODER.decode(payload)
     except (msgspec.MsgspecError, RecursionError):
--- a/savorychute/audit/audit_search.py
+++ b/savorychute/audit/audit_search.py
@@ -1,4 +1,4 @@
-"""A search of the log's audit stream for one operator."""
+"""An operator's search of the audit stream in the log."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class AuditSearch:
-    """Reads the stream to its end, or until the answer is full.
+    """Reads the stream until its end, or until the result is full.
 
-    :param command_id: the operator's command.
-    :param query: what is asked for.
-    :param settings: sizes of reads and of the answer.
+    :param command_id: the id of the operator's command.
+    :param query: the filter.
+    :param settings: the sizes of reads and of the result.
     """
 
     def __init__(
@@ -33,13 +33,13 @@
         self.next_offset = max(0, query.since_offset)
 
     def read(self) -> ReadRecords:
-        """Return the next read."""
+        """Return the action for the next read."""
         return ReadRecords(AUDIT_STREAM, self.next_offset, self._settings.read_records)
 
-    def take(self, read: RecordsRead) -> bool:
-        """Take in an answer, and return whether the search is at its end.
+    def handle_response(self, read: RecordsRead) -> bool:
+        """Handle a response of the log, and return whether the search is finished.
 
-        :param read: what the log answered.
+        :param read: the response.
         """
         before = self.next_offset
         self.next_offset = max(self.next_offset, read.first_offset)
@@ -47,18 +47,18 @@
             if record.offset != self.next_offset:
                 continue
             self.next_offset += 1
-            self._search(record.offset, record.payload)
+            self._collect_matches(record.offset, record.payload)
             if len(self.found) >= self._settings.max_results:
                 return True
         self.end_reached = self.next_offset >= read.end_offset
         is_stuck = self.next_offset == before
         return self.end_reached or is_stuck
 
-    def _search(self, offset: int, payload: bytes) -> None:
+    def _collect_matches(self, offset: int, payload: bytes) -> None:
         record = decode_audit_record(payload)
         if record is None:
             return
         for recorded in record['entries']:
-            placed = recorded._replace(offset=offset)
-            if self.query.matches(placed):
-                self.found.append(placed)
+            located = recorded._replace(offset=offset)
+            if self.query.matches(located):
+                self.found.append(located)
--- a/savorychute/audit/audit_settings.py
+++ b/savorychute/audit/audit_settings.py
@@ -6,17 +6,17 @@
 
 
 class AuditSettings(NamedTuple):
-    """Bounds of the audit trail.
+    """Limits of the audit trail.
 
-    :param epoch_offset_ms: what to add to ``now_ms`` for the wall-clock time.
-    :param max_entries: how many entries are kept in memory.
-    :param max_pending: how many lasting entries wait for the log at most.
-    :param batch_entries: how many entries one log record holds.
-    :param batch_delay_ms: how long an entry waits for others to join it.
-    :param retry_ms: how long to wait after an append failed.
-    :param read_records: how many log records one read asks for.
-    :param read_timeout_ms: when a read counts as unanswered.
-    :param max_results: how many entries one answer to an operator holds.
+    :param epoch_offset_ms: the offset from ``now_ms`` to the wall-clock time.
+    :param max_entries: the maximum number of entries kept in memory.
+    :param max_pending: the maximum number of lasting entries waiting for the log.
+    :param batch_entries: the maximum number of entries in one log record.
+    :param batch_delay_ms: how long a batch waits for further entries.
+    :param retry_ms: the delay after a failed append.
+    :param read_records: the number of log records requested by one read.
+    :param read_timeout_ms: the timeout of a read.
+    :param max_results: the maximum number of entries in one reply to an operator.
     """
 
     epoch_offset_ms: int = 0
--- a/savorychute/audit/audit_trail.py
+++ b/savorychute/audit/audit_trail.py
@@ -33,9 +33,9 @@
 class AuditTrail:
     """Keeps recent entries, and writes the lasting ones to the log in batches.
 
-    :param settings: bounds and times.
-    :param instance: this instance's name, with what tells its runs apart.
-    :param budget: the appends of this instance; None for one of its own.
+    :param settings: limits and delays.
+    :param instance: this instance's name, including an identifier of its run.
+    :param budget: the append budget of this instance; None creates a separate one.
     """
 
     def __init__(
@@ -60,12 +60,12 @@
         self.dropped = 0
 
     def record(self, entry: AuditEntry, now_ms: int) -> None:
-        """Take in an entry.
+        """Record an entry.
 
-        When the log is down for long, the oldest waiting entries are dropped
-        and counted; they stay in memory for as long as the others.
+        During a long outage of the log, the oldest waiting entries are dropped from
+        the batch queue and counted; in memory they are kept like all other entries.
 
-        :param entry: what happened.
+        :param entry: the entry.
         """
         self._sequence += 1
         at_ms = now_ms + self._settings.epoch_offset_ms
@@ -81,52 +81,52 @@
             self.dropped += 1
 
     def tick(self, now_ms: int) -> list[Action]:
-        """Return a batch to append and a search to go on with, if due."""
-        return [*self._append_batch(now_ms), *self._read_on(now_ms)]
+        """Return the next append and the next read of a search, if they are due."""
+        return [*self._append_batch(now_ms), *self._continue_search(now_ms)]
 
     def query(
         self, item: str = '', operator: str = '', since_offset: int = 0
     ) -> list[RecordedEntry]:
-        """Return the matching entries that this instance keeps, oldest first.
+        """Return the matching entries in this instance's memory, oldest first.
 
-        :param item: only entries about this item, if not empty.
-        :param operator: only entries of this operator, if not empty.
-        :param since_offset: only entries from this log offset on.
+        :param item: restricts the result to this item, if not empty.
+        :param operator: restricts the result to this operator, if not empty.
+        :param since_offset: restricts the result to entries from this log offset on.
         """
         wanted = AuditQuery(item, operator, since_offset)
         return [recorded for recorded in self._recorded if wanted.matches(recorded)]
 
     def request(self, command_id: str, query: AuditQuery, now_ms: int) -> list[Action]:
-        """Search the log for an operator; it ends in one ``OperatorReply``.
+        """Start a search of the log, which ends with one ``OperatorReply``.
 
-        :param command_id: the operator's command.
-        :param query: what is asked for.
+        :param command_id: the id of the operator's command.
+        :param query: the filter.
         """
         self._searches.append(AuditSearch(command_id, query, self._settings))
-        return self._read_on(now_ms)
+        return self._continue_search(now_ms)
 
     def records_read(self, read: RecordsRead, now_ms: int) -> list[Action]:
-        """Take in an answer of the log.
+        """Handle a response of the log.
 
-        :param read: the answer; those of other streams are left alone.
+        :param read: the response; responses for other streams are ignored.
         """
         if read.stream != AUDIT_STREAM or not self._searches:
             return []
         self._read_ms = None
         search = self._searches[0]
-        if read.ok and not search.take(read):
-            return self._read_on(now_ms)
+        if read.ok and not search.handle_response(read):
+            return self._continue_search(now_ms)
         self._searches.popleft()
         code = ResultCode.OK if read.ok else ResultCode.LOG_UNAVAILABLE
-        return [self._answer(search, code), *self._read_on(now_ms)]
+        return [self._build_reply(search, code), *self._continue_search(now_ms)]
 
     def append_finished(self, finished: AppendFinished, now_ms: int) -> list[Action]:
-        """Take in the outcome of an append.
+        """Handle the outcome of an append.
 
-        A batch whose reply was lost is sent again with its id, so that it may
-        be in the log twice; a search shows an entry once.
+        A batch whose response was lost is sent again with the same id, so it may be
+        in the log twice; a search returns each entry once.
 
-        :param finished: the outcome; those of other parts are left alone.
+        :param finished: the outcome; outcomes of other components are ignored.
         """
         if not self._sent or finished.append_id != self._batch_id():
             return []
@@ -134,14 +134,14 @@
             self._sent_ms = 0
             self._retry_at_ms = now_ms + self._settings.retry_ms
             return []
-        self._place(finished.offset)
+        self._record_offsets(finished.offset)
         self._sent = []
         return []
 
     def _append_batch(self, now_ms: int) -> list[Action]:
         if now_ms < self._retry_at_ms:
             return []
-        if not self._sent and not self._take_batch(now_ms):
+        if not self._sent and not self._start_batch(now_ms):
             return []
         if self._sent_ms and now_ms - self._sent_ms < self._settings.retry_ms:
             return []
@@ -153,7 +153,7 @@
             AppendRecord(self._batch_id(), AUDIT_STREAM, encode_audit_record(record))
         ]
 
-    def _take_batch(self, now_ms: int) -> bool:
+    def _start_batch(self, now_ms: int) -> bool:
         is_full = len(self._pending) >= self._settings.batch_entries
         is_late = now_ms - self._pending_since_ms >= self._settings.batch_delay_ms
         if not self._pending or not (is_full or is_late):
@@ -168,14 +168,14 @@
     def _batch_id(self) -> str:
         return f'{AUDIT_APPEND_PREFIX}{self._instance}:{self._batches}'
 
-    def _place(self, offset: int) -> None:
-        """Note in memory where the batch's entries are in the log."""
+    def _record_offsets(self, offset: int) -> None:
+        """Record the log offset of the batch's entries in memory."""
         sequences = {recorded.sequence for recorded in self._sent}
         for position, recorded in enumerate(self._recorded):
             if recorded.offset == NOT_IN_LOG and recorded.sequence in sequences:
                 self._recorded[position] = recorded._replace(offset=offset)
 
-    def _read_on(self, now_ms: int) -> list[Action]:
+    def _continue_search(self, now_ms: int) -> list[Action]:
         if not self._searches:
             return []
         if self._read_ms is not None:
@@ -183,41 +183,41 @@
                 return []
             self._read_ms = None
             search = self._searches.popleft()
-            return [self._answer(search, ResultCode.LOG_UNAVAILABLE)]
+            return [self._build_reply(search, ResultCode.LOG_UNAVAILABLE)]
         self._read_ms = now_ms
         return [self._searches[0].read()]
 
-    def _own(self, search: AuditSearch) -> list[RecordedEntry]:
-        """Return this instance's entries that go with a search.
+    def _matching_entries(self, search: AuditSearch) -> list[RecordedEntry]:
+        """Return this instance's entries that match a search.
 
-        An answer that is full ends in the middle of the stream, and what comes
-        later belongs to the next one.
+        If the result is full it ends in the middle of the stream; later entries
+        belong to the next search.
         """
-        kept = self.query(*search.query)
+        matching = self.query(*search.query)
         if not search.found or search.end_reached:
-            return kept
-        return [each for each in kept if each.offset < search.next_offset]
+            return matching
+        return [each for each in matching if each.offset < search.next_offset]
 
-    def _answer(self, search: AuditSearch, code: ResultCode) -> OperatorReply:
-        """Answer with what the log has, and what only this instance knows."""
+    def _build_reply(self, search: AuditSearch, code: ResultCode) -> OperatorReply:
+        """Return the reply with entries of the log and of this instance's memory."""
         unique = {
             (recorded.instance, recorded.sequence): recorded
-            for recorded in [*self._own(search), *search.found]
+            for recorded in [*self._matching_entries(search), *search.found]
         }
-        entries = sorted(unique.values(), key=_by_time)
-        answer: dict[str, Any] = {
-            'entries': [_describe(recorded) for recorded in entries],
+        entries = sorted(unique.values(), key=_sort_key)
+        document: dict[str, Any] = {
+            'entries': [_to_document(recorded) for recorded in entries],
             'next_offset': search.next_offset,
             'complete': search.end_reached,
         }
-        return OperatorReply(search.command_id, msgspec.json.encode(answer), code)
+        return OperatorReply(search.command_id, msgspec.json.encode(document), code)
 
 
-def _by_time(recorded: RecordedEntry) -> tuple[int, str, int]:
+def _sort_key(recorded: RecordedEntry) -> tuple[int, str, int]:
     return recorded.at_ms, recorded.instance, recorded.sequence
 
 
-def _describe(recorded: RecordedEntry) -> dict[str, Any]:
+def _to_document(recorded: RecordedEntry) -> dict[str, Any]:
     entry = recorded.entry._asdict()
     del entry['lasting']
     return {
--- a/savorychute/audit/recorded_entry.py
+++ b/savorychute/audit/recorded_entry.py
@@ -1,4 +1,4 @@
-"""An audit entry with when and where it was recorded."""
+"""An audit entry with the time and place of its recording."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class RecordedEntry(NamedTuple):
-    """An entry of an instance.
+    """An entry recorded by an instance.
 
     ``at_ms`` is the instance's wall-clock time since the epoch.  ``offset`` is
-    that of the log record that holds the entry, :data:`NOT_IN_LOG` if none
-    was read back.  ``sequence`` numbers the entries of one run of an instance.
+    the offset of the log record that contains the entry, or :data:`NOT_IN_LOG` if
+    it is not known.  ``sequence`` numbers the entries of one run of an instance.
     """
 
     entry: AuditEntry
--- a/savorychute/contracts/__init__.py
+++ b/savorychute/contracts/__init__.py
@@ -1,1 +1,1 @@
-"""Contracts of organisations, and the limits that follow from them."""
+"""Contracts of organisations, and the limits derived from them."""
--- a/savorychute/contracts/class_document.py
+++ b/savorychute/contracts/class_document.py
@@ -1,4 +1,4 @@
-"""One class of requests, as a contract writes it."""
+"""A class of requests in a contract."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class ClassDocument(TypedDict):
-    """An organisation's kind of request.
+    """A class of an organisation's requests.
 
-    ``tier`` counts from 0, the highest.  ``weight`` is what one answer counts
-    for goodput.  ``minimum_share`` is the part of the organisation's starts that
-    the class gets even when higher classes would take all of them.
+    ``tier`` counts from 0, the highest.  ``weight`` is the contribution of one
+    answer to goodput.  ``minimum_share`` is the fraction of the organisation's
+    starts that the class gets even if higher classes could use all of them.
     """
 
     name: str
--- a/savorychute/contracts/class_limits.py
+++ b/savorychute/contracts/class_limits.py
@@ -6,12 +6,12 @@
 
 
 class ClassLimits(NamedTuple):
-    """What a contract gives one class of one organisation.
+    """The limits of one class of one organisation.
 
-    ``tier`` counts from 0, the highest.  ``minimum_share`` is the part of the
-    organisation's starts that the class is guaranteed.  ``queue_requests`` and
-    ``queue_wait_ms`` bound its queue on one instance.  ``priority`` is what
-    engines are told; smaller is served first.
+    ``tier`` counts from 0, the highest.  ``minimum_share`` is the fraction of the
+    organisation's starts that is guaranteed to the class.  ``queue_requests`` and
+    ``queue_wait_ms`` limit its queue on one instance.  ``priority`` is sent to
+    engines; requests with smaller values are served first.
     """
 
     organisation: str
--- a/savorychute/contracts/contract_document.py
+++ b/savorychute/contracts/contract_document.py
@@ -1,4 +1,4 @@
-"""An organisation's contract, as operators write it."""
+"""An organisation's contract in the form that operators enter."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class ContractDocument(TypedDict):
-    """The one source of an organisation's limits, priorities and targets.
+    """The only source of an organisation's limits, priorities and targets.
 
-    ``token_hashes`` are hex SHA-256 digests of bearer tokens.  ``pool_share``
-    is the part of the pool's capacity, between 0 and 1, that the organisation is
-    due when demand exceeds it.
+    ``token_hashes`` are hex SHA-256 digests of bearer tokens.  ``pool_share`` is
+    the fraction of the pool's capacity, between 0 and 1, to which the organisation
+    is entitled when demand exceeds capacity.
     """
 
     organisation: str
--- a/savorychute/contracts/endpoint_document.py
+++ b/savorychute/contracts/endpoint_document.py
@@ -1,4 +1,4 @@
-"""An endpoint, as operators enter it."""
+"""An endpoint in the form that operators enter."""
 
 from __future__ import annotations
 
--- a/savorychute/contracts/limits.py
+++ b/savorychute/contracts/limits.py
@@ -1,6 +1,6 @@
-"""The derivation of limits from a contract.
+"""Derivation of limits from a contract.
 
-This is the only place where a contract's numbers become limits; the table in
+This is the only place where limits are computed from a contract; the table in
 ``docs/reference/contract-limits.rst`` lists the rules.
 """
 
@@ -19,22 +19,22 @@
 
 DEFAULT_RETRY_SHARE = 0.1
 
-#: A class that states no minimum still must not starve.
+#: Prevents starvation of classes that state no minimum.
 DEFAULT_MINIMUM_SHARE = 0.02
 
 MIN_SEATS = 3
 
-#: Request rate that one instance carries at the target size: 15,000 requests
-#: a second over 530 instances, rounded down.
-REQUESTS_PER_S_OF_SEAT = 25
+#: The request rate of one instance at the target size: 15,000 requests per second
+#: divided by 530 instances, rounded down.
+REQUESTS_PER_S_PER_SEAT = 25
 
 MIN_QUEUE_REQUESTS = 8
 
 
 def derive_limits(document: ContractDocument) -> OrganisationLimits:
-    """Return the limits that follow from a contract.
+    """Return the limits derived from a contract.
 
-    :param document: the contract, already checked for valid values.
+    :param document: the contract, already validated.
     """
     classes = {
         entry['name']: _derive_class(document, entry) for entry in document['classes']
@@ -52,7 +52,7 @@
 
 
 def _derive_seats(requests_per_s: float) -> int:
-    return max(MIN_SEATS, math.ceil(requests_per_s / REQUESTS_PER_S_OF_SEAT))
+    return max(MIN_SEATS, math.ceil(requests_per_s / REQUESTS_PER_S_PER_SEAT))
 
 
 def _derive_class(document: ContractDocument, entry: ClassDocument) -> ClassLimits:
@@ -77,16 +77,16 @@
 
 
 def _derive_queue_wait_ms(entry: ClassDocument) -> int:
-    """Return how long a request may wait and still be worth a start.
+    """Return how long a request may wait and still be started.
 
-    A start later than the deadline less the time to the first token is wasted
-    work, because the answer would be cut.
+    A start later than the deadline minus the time to the first token is wasted
+    work, because the answer would be cut off.
     """
     timeout_ms = entry['timeout_ms']
     return max(timeout_ms // 2, timeout_ms - entry['first_token_target_ms'])
 
 
 def _derive_queue_requests(requests_per_s: float, queue_wait_ms: int) -> int:
-    """Return how many requests the organisation's rate can start in that wait."""
+    """Return how many requests can start at the organisation's rate in that time."""
     startable = math.ceil(requests_per_s * queue_wait_ms / MS_PER_S)
     return max(MIN_QUEUE_REQUESTS, startable)
--- a/savorychute/contracts/organisation_limits.py
+++ b/savorychute/contracts/organisation_limits.py
@@ -9,11 +9,11 @@
 
 
 class OrganisationLimits(NamedTuple):
-    """What a contract gives an organisation over all instances together.
+    """The limits of an organisation, summed over all instances.
 
-    ``pool_share`` is the organisation's weight against other organisations of the
-    same tier.  ``retry_share`` bounds retries as a part of its requests.
-    ``seats`` is how many instances its callers are told to use.
+    ``pool_share`` is the organisation's weight relative to other organisations of
+    the same tier.  ``retry_share`` limits retries to a fraction of its requests.
+    ``seats`` is the number of instances that its callers are assigned.
     """
 
     organisation: str
--- a/savorychute/wire/__init__.py
+++ b/savorychute/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between instances as bytes."""
+"""Encoding of messages between instances."""
--- a/savorychute/wire/decoded_message.py
+++ b/savorychute/wire/decoded_message.py
@@ -1,4 +1,4 @@
-"""A message from another instance, decoded."""
+"""A decoded message from another instance."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class DecodedMessage(NamedTuple):
-    """A message with who sent it.
+    """A message and its sender.
 
-    ``sequence`` counts the sender's messages within its incarnation.
+    ``sequence`` is the number of the message within the sender's incarnation.
     """
 
     sender: str
--- a/savorychute/wire/field_shape.py
+++ b/savorychute/wire/field_shape.py
@@ -1,4 +1,4 @@
-"""How a field of a peer message looks on the wire."""
+"""The wire representation of a field of a peer message."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     str: 'Text',
     bytes: 'Data',
 }
-REPEATED_ARGUMENTS = 2
+LIST_ARGUMENTS = 2
 
 
 class FieldShape(NamedTuple):
-    """One field: its name, its element's type, and whether it repeats.
+    """A field: its name, the type of its elements, and whether it is a list.
 
     ``element`` is a type of :data:`SCALARS`, an enum derived from one, or a
     NamedTuple.
@@ -25,12 +25,12 @@
 
     name: str
     element: type
-    repeated: bool
+    is_list: bool
 
     @property
     def is_struct(self) -> bool:
         """Whether the element is itself a NamedTuple."""
-        return is_record(self.element)
+        return is_named_tuple(self.element)
 
     @property
     def is_enum(self) -> bool:
@@ -42,10 +42,10 @@
         """The element's type in the schema."""
         if self.is_struct:
             return self.element.__name__
-        return SCALARS[_scalar_of(self.element)]
+        return SCALARS[_find_scalar(self.element)]
 
 
-def is_record(candidate: object) -> bool:
+def is_named_tuple(candidate: object) -> bool:
     """Return whether *candidate* is a NamedTuple class."""
     return (
         isinstance(candidate, type)
@@ -58,7 +58,7 @@
     """Return the shapes of a NamedTuple's fields, in their order.
 
     :param record: a NamedTuple class.
-    :raises TypeError: if a field's type has no form on the wire.
+    :raises TypeError: if a field's type has no wire representation.
     """
     hints = _resolve_hints(record)
     names: tuple[str, ...] = record._fields  # type: ignore[attr-defined]
@@ -68,24 +68,24 @@
 def _describe_field(record: type, name: str, hint: Any) -> FieldShape:
     if get_origin(hint) is tuple:
         arguments = get_args(hint)
-        if len(arguments) == REPEATED_ARGUMENTS and arguments[1] is Ellipsis:
-            return _checked(record, FieldShape(name, arguments[0], True))
-    return _checked(record, FieldShape(name, hint, False))
+        if len(arguments) == LIST_ARGUMENTS and arguments[1] is Ellipsis:
+            return _validate(record, FieldShape(name, arguments[0], True))
+    return _validate(record, FieldShape(name, hint, False))
 
 
-def _checked(record: type, shape: FieldShape) -> FieldShape:
+def _validate(record: type, shape: FieldShape) -> FieldShape:
     element = shape.element
-    if is_record(element):
+    if is_named_tuple(element):
         return shape
-    if isinstance(element, type) and _scalar_of(element) in SCALARS:
+    if isinstance(element, type) and _find_scalar(element) in SCALARS:
         return shape
     raise TypeError(
         f'{record.__name__}.{shape.name} has type {shape.element}, which has no '
-        'form on the wire'
+        'wire representation'
     )
 
 
-def _scalar_of(element: type) -> type:
+def _find_scalar(element: type) -> type:
     if element in SCALARS:
         return element
     for base in element.__mro__:
@@ -98,18 +98,18 @@
     try:
         return get_type_hints(record)
     except NameError:
-        # The record's module imports a field's type for type checkers only.
-        return get_type_hints(record, localns=_find_known_types())
+        # The module of the record imports the type only for type checkers.
+        return get_type_hints(record, localns=_collect_imported_types())
 
 
-def _find_known_types() -> dict[str, Any]:
-    known: dict[str, Any] = {}
+def _collect_imported_types() -> dict[str, Any]:
+    types: dict[str, Any] = {}
     for name, module in list(sys.modules.items()):
         if name.startswith('savorychute.'):
             for value in list(vars(module).values()):
-                if is_record(value) or _is_enum_class(value):
-                    known[value.__name__] = value
-    return known
+                if is_named_tuple(value) or _is_enum_class(value):
+                    types[value.__name__] = value
+    return types
 
 
 def _is_enum_class(candidate: object) -> bool:
--- a/savorychute/wire/message_codec.py
+++ b/savorychute/wire/message_codec.py
@@ -1,4 +1,4 @@
-"""Peer messages to and from signed bytes."""
+"""Encoding and decoding of signed peer messages."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from savorychute.wire.decoded_message import DecodedMessage
 from savorychute.wire.peer_messages import PEER_MESSAGES
 from savorychute.wire.schema_writer import SCHEMA_PATH
-from savorychute.wire.signature import HEAD, open_frame, sign_envelope
+from savorychute.wire.signature import FRAME_HEADER, sign_envelope, verify_frame
 from savorychute.wire.struct_codec import StructCodec
 
 if TYPE_CHECKING:
@@ -20,27 +20,27 @@
     from savorychute.wire.peer_keys import PeerKeys
 
 MAX_FRAME_BYTES = 1 << 19
-# Packed bytes can unpack to a thousand times as much, and a list of a million
-# empty records holds up the loop for more than a second.
+# Packed bytes can expand by a factor of 1000, and decoding a list of a million empty
+# records blocks the event loop for more than a second.
 MAX_DECODED_WORDS = 1 << 17
 MAX_NESTING = 16
-MAX_ENVELOPE_BYTES = MAX_FRAME_BYTES - HEAD.size
-# What the codec raises on bytes that do not fit the schema: its own exception,
-# text that is not UTF-8, an enum without that value, a number out of range.
-DECODE_FAULTS = (capnp.KjException, ValueError, TypeError, OverflowError)
-ENCODE_FAULTS = (*DECODE_FAULTS, AttributeError)
+MAX_ENVELOPE_BYTES = MAX_FRAME_BYTES - FRAME_HEADER.size
+# Raised by the codec for bytes that do not match the schema: its own exception, text
+# that is not UTF-8, an undefined enum value, a number out of range.
+DECODE_ERRORS = (capnp.KjException, ValueError, TypeError, OverflowError)
+ENCODE_ERRORS = (*DECODE_ERRORS, AttributeError)
 
 
 class MessageCodec:
     """Encodes and decodes the messages of one schema file.
 
-    :param path: the schema, as :mod:`savorychute.wire.schema_writer` wrote it.
+    :param path: the schema written by :mod:`savorychute.wire.schema_writer`.
     :param messages: the NamedTuple classes by tag.
     """
 
     def __init__(self, path: Path, messages: dict[int, type]) -> None:
-        # A parser of its own: the library's shared one aborts the process when
-        # it meets two files with one id, and it must outlive what it loaded.
+        # Uses a separate parser, because the library's shared one aborts the process
+        # if two files have the same id.  It must outlive the schemas that it loaded.
         self._parser = capnp.SchemaParser()
         self._schema = self._parser.load(str(path))
         self._messages = messages
@@ -59,7 +59,7 @@
         """Return the packed envelope of *message*.
 
         :raises MessageError: if the message is not registered, or a value
-            does not fit its field.
+            does not match the type of its field.
         """
         tag = self._find_tag(type(message))
         codec = self._find_struct(tag)
@@ -73,14 +73,14 @@
             envelope._set_by_field(self._kind, tag)
             envelope._set_by_field(self._body, body)
             packed: bytes = envelope.to_bytes_packed()
-        except ENCODE_FAULTS as error:
+        except ENCODE_ERRORS as error:
             raise MessageError(f'{message!r} does not fit its schema') from error
         return packed
 
     def decode(self, packed: bytes) -> DecodedMessage:
         """Return the message in a packed envelope.
 
-        :raises MessageError: if the bytes hold no message of this schema.
+        :raises MessageError: if the bytes contain no message of this schema.
         """
         try:
             envelope = self._schema.Envelope.from_bytes_packed(
@@ -95,7 +95,7 @@
                 codec.read(body),
                 get_field(self._sequence),
             )
-        except DECODE_FAULTS as error:
+        except DECODE_ERRORS as error:
             raise MessageError('the envelope does not fit the schema') from error
 
     def _find_tag(self, message: type) -> int:
@@ -122,8 +122,8 @@
             return StructCodec(record, self._schema)
         except (AttributeError, KeyError, capnp.KjException) as error:
             raise MessageError(
-                f'the schema does not describe {record.__name__} as it is now; '
-                'write it again by "make schema"'
+                f'the schema of {record.__name__} is out of date; '
+                'regenerate it with "make schema"'
             ) from error
 
 
@@ -143,12 +143,12 @@
 ) -> bytes:
     """Return a signed frame.
 
-    :param sender: the name of the instance that sends.
+    :param sender: the name of the sending instance.
     :param incarnation: the sender's incarnation.
     :param message: an instance of a registered peer message.
-    :param keys: the first one signs.
-    :param receiver: the instance that may accept the frame.
-    :param sequence: the frame's number in the sender's incarnation.
+    :param keys: the keys; the signing key is used.
+    :param receiver: the only instance that may accept the frame.
+    :param sequence: the number of the frame in the sender's incarnation.
     :raises MessageError: if the message cannot be encoded.
     """
     envelope = load_codec().encode(sender, incarnation, sequence, message)
@@ -163,14 +163,14 @@
 def decode_message(data: bytes, keys: PeerKeys, receiver: str = '') -> DecodedMessage:
     """Return the message in a signed frame.
 
-    The signature is checked before any byte is decoded.
+    The signature is verified before any byte is decoded.
 
     :param data: bytes from the network.
-    :param keys: the keys that are accepted.
-    :param receiver: the instance that reads the frame.
-    :raises MessageError: if the bytes hold no message.
+    :param keys: the accepted keys.
+    :param receiver: the instance that received the frame.
+    :raises MessageError: if the bytes contain no message.
     :raises SignatureError: if the frame is not authentic.
     """
     if len(data) > MAX_FRAME_BYTES:
         raise MessageError(f'a frame of {len(data)} bytes is too long')
-    return load_codec().decode(open_frame(data, receiver, keys))
+    return load_codec().decode(verify_frame(data, receiver, keys))
--- a/savorychute/wire/peer_codec.py
+++ b/savorychute/wire/peer_codec.py
@@ -1,4 +1,4 @@
-"""One instance's end of the exchange with its peers."""
+"""Encoding and decoding of one instance's messages to and from its peers."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class PeerCodec:
-    """Numbers and signs what goes out; checks what comes in.
+    """Numbers and signs outgoing messages, and verifies incoming ones.
 
     :param instance: this instance's name.
     :param incarnation: this instance's incarnation.
-    :param keys: the keys of the settings; assign anew to rotate.
+    :param keys: the keys of the settings; assign new ones to rotate them.
     """
 
     def __init__(self, instance: str, incarnation: int, keys: PeerKeys) -> None:
@@ -31,7 +31,7 @@
     def encode(self, receiver: str, message: Any) -> bytes:
         """Return the signed frame for *receiver*.
 
-        :param receiver: the instance that may accept it.
+        :param receiver: the only instance that may accept the frame.
         :param message: an instance of a registered peer message.
         :raises MessageError: if the message cannot be encoded.
         """
@@ -46,12 +46,12 @@
         )
 
     def decode(self, data: bytes) -> DecodedMessage:
-        """Return the message of a frame that is authentic and new.
+        """Return the message of a frame, which must be authentic and new.
 
         :param data: bytes from the network.
-        :raises MessageError: if the bytes hold no message.
-        :raises SignatureError: if the frame is not authentic, was not meant
-            for this instance, or was accepted before.
+        :raises MessageError: if the bytes contain no message.
+        :raises SignatureError: if the frame is not authentic, is addressed to
+            another instance, or was accepted before.
         """
         decoded = decode_message(data, self.keys, self.instance)
         if not self._window.accept(
@@ -62,6 +62,6 @@
             )
         return decoded
 
-    def forget(self, instance: str) -> None:
-        """Drop what is known of a peer that is gone for good."""
-        self._window.forget(instance)
+    def discard(self, instance: str) -> None:
+        """Discard the state of a peer that has left permanently."""
+        self._window.discard(instance)
--- a/savorychute/wire/peer_key.py
+++ b/savorychute/wire/peer_key.py
@@ -1,4 +1,4 @@
-"""A key that instances share."""
+"""A key shared by instances."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PeerKey(NamedTuple):
-    """A numbered secret of 16 to 64 bytes; the number goes over the wire."""
+    """A numbered secret of 16 to 64 bytes; only the number is transmitted."""
 
     key_id: int
     secret: bytes
--- a/savorychute/wire/peer_keys.py
+++ b/savorychute/wire/peer_keys.py
@@ -1,4 +1,4 @@
-"""The keys that one instance uses."""
+"""The keys of one instance."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class PeerKeys(NamedTuple):
-    """The key to sign with, and others that are accepted besides.
+    """The signing key, and further accepted keys.
 
-    To rotate without a gap: accept the new key everywhere, then sign with it
-    everywhere and accept the old one, then forget the old one.
+    To rotate keys without interruption, first accept the new key on all instances,
+    then sign with it and still accept the old key, then remove the old key.
     """
 
     signing: PeerKey
--- a/savorychute/wire/peer_messages.py
+++ b/savorychute/wire/peer_messages.py
@@ -16,11 +16,11 @@
     """Return a decorator that registers a NamedTuple as a peer message.
 
     Fields may be ``int``, ``float``, ``bool``, ``str``, ``bytes``, another
-    NamedTuple of such fields, or ``tuple[X, ...]`` of any of these.  Fields
-    are only ever added at the end, with a default, so that instances of two
-    versions understand each other.
+    NamedTuple of such fields, or ``tuple[X, ...]`` of any of these.  New fields
+    must be added at the end, with a default, so that instances of different
+    versions can exchange messages.
 
-    :param tag: the message's number on the wire; never reused.
+    :param tag: the message's number on the wire; must never be reused.
     """
 
     def register(message: M) -> M:
--- a/savorychute/wire/peer_packages.py
+++ b/savorychute/wire/peer_packages.py
@@ -1,4 +1,4 @@
-"""Loading of the packages that define peer messages."""
+"""Imports the packages that define peer messages."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def load_peer_messages() -> dict[int, type]:
-    """Import every part that has peer messages, so that all are registered.
+    """Import all packages with peer messages, which registers the messages.
 
     :returns: the registered messages by tag.
     """
--- a/savorychute/wire/replay_window.py
+++ b/savorychute/wire/replay_window.py
@@ -1,4 +1,4 @@
-"""Protection against frames that are sent a second time."""
+"""Protection against replayed frames."""
 
 from __future__ import annotations
 
@@ -7,39 +7,40 @@
 
 
 class ReplayWindow:
-    """Accepts each frame of a sender once, as the window of RFC 4303 does.
+    """Accepts each frame of a sender once, like the anti-replay window of RFC 4303.
 
-    Frames may arrive reordered by up to 1,024.  A sender's older incarnation
-    is refused once a newer one was heard.  Memory: two integers and a bit
-    mask of 128 bytes for each sender, of which the latest 4,096 are kept.
+    Frames may be reordered by up to 1,024 positions.  Frames of an older incarnation
+    of a sender are refused after one of a newer incarnation was received.  Each
+    sender needs two integers and a bit mask of 128 bytes; the most recent 4,096
+    senders are kept.
     """
 
     def __init__(self) -> None:
         self._senders: dict[str, tuple[int, int, int]] = {}
 
     def accept(self, sender: str, incarnation: int, sequence: int) -> bool:
-        """Return whether the frame is new, and remember it.
+        """Return whether the frame is new, and record it.
 
-        :param sender: the name of the instance that sent it.
+        :param sender: the name of the sending instance.
         :param incarnation: the sender's incarnation.
-        :param sequence: the frame's number in that incarnation, from 1.
+        :param sequence: the number of the frame in that incarnation, from 1.
         """
-        # Taken out and put back at the end, so that the first is the eldest.
+        # Reinserted at the end, so that the first entry is the least recently used.
         known = self._senders.pop(sender, None)
         if known is None or incarnation > known[0]:
             self._senders[sender] = (incarnation, sequence, 1)
-            self._drop_eldest()
+            self._evict_oldest()
             return True
         self._senders[sender] = known
         if incarnation < known[0]:
             return False
         return self._accept_in_window(sender, known, sequence)
 
-    def forget(self, sender: str) -> None:
-        """Drop what is known of a sender that is gone for good."""
+    def discard(self, sender: str) -> None:
+        """Discard the state of a sender that has left permanently."""
         self._senders.pop(sender, None)
 
-    def _drop_eldest(self) -> None:
+    def _evict_oldest(self) -> None:
         if len(self._senders) > MAX_SENDERS:
             del self._senders[next(iter(self._senders))]
 
--- a/savorychute/wire/schema_writer.py
+++ b/savorychute/wire/schema_writer.py
@@ -1,4 +1,4 @@
-"""The Cap'n Proto schema of the peer messages, written from their types."""
+"""Generation of the Cap'n Proto schema of the peer messages from their types."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 SCHEMA_PATH = Path(__file__).with_name('messages.capnp')
 
-HEAD = """\
+SCHEMA_HEADER = """\
 # Written by "savorychute schema" from the registered peer messages.
 @0xbf5147cbbecf40c1;
 
@@ -27,16 +27,16 @@
 
 
 def write_schema(messages: Mapping[int, type]) -> str:
-    """Return the schema of *messages* and of every record inside them.
+    """Return the schema of *messages* and of all records nested in them.
 
-    Structs appear by tag, each after the records that it contains, so that
-    the text depends on nothing but the types.
+    Structs are ordered by tag, each after the records that it contains, so that
+    the text depends only on the types.
 
     :param messages: NamedTuple classes by tag.
-    :raises TypeError: if a field has no form on the wire or if two records
+    :raises TypeError: if a field has no wire representation or if two records
         share a name.
     """
-    parts = [HEAD]
+    parts = [SCHEMA_HEADER]
     tags = {message: tag for tag, message in messages.items()}
     for record in collect_records(messages[tag] for tag in sorted(messages)):
         parts.append(_write_struct(record, tags.get(record)))
@@ -44,7 +44,7 @@
 
 
 def collect_records(roots: Iterable[type]) -> list[type]:
-    """Return *roots* and the records inside them, inner ones first.
+    """Return *roots* and the records nested in them, nested ones first.
 
     :raises TypeError: if two records share a name.
     """
@@ -55,10 +55,10 @@
 
 
 def _collect(record: type, found: dict[str, type]) -> None:
-    known = found.get(record.__name__)
-    if known is record:
+    existing = found.get(record.__name__)
+    if existing is record:
         return
-    if known is not None:
+    if existing is not None:
         raise TypeError(f'two records are called {record.__name__}')
     for shape in describe_fields(record):
         if shape.is_struct:
@@ -79,14 +79,14 @@
 
 def _write_field(number: int, shape: FieldShape, defaults: Mapping[str, object]) -> str:
     wire_type = shape.wire_type
-    if shape.repeated:
+    if shape.is_list:
         wire_type = f'List({wire_type})'
     default = _write_default(defaults.get(shape.name))
     return f'{to_camel_case(shape.name)} @{number} :{wire_type}{default};'
 
 
 def _write_default(value: object) -> str:
-    """Return the default, which stands in when an older sender omits the field."""
+    """Return the default, which applies if an older sender omits the field."""
     if isinstance(value, bool):
         return ' = true' if value else ''
     if isinstance(value, int | float) and value:
@@ -95,7 +95,7 @@
 
 
 def to_camel_case(name: str) -> str:
-    """Return *name* as Cap'n Proto spells field names.
+    """Return *name* in the spelling of Cap'n Proto's field names.
 
     :param name: a Python field name such as ``first_token_ms``.
     """
--- a/tests/test_audit/test_audit_trail.py
+++ b/tests/test_audit/test_audit_trail.py
@@ -1,4 +1,4 @@
-"""The audit trail keeps, writes and finds entries."""
+"""Recording, writing and searching of audit entries."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     return AuditEntry(AuditKind.AMENDMENT, item, operator, '1', '2', 'why', lasting)
 
 
-def settle(trail: AuditTrail, log: FakeLog, actions: list, now_ms: int) -> list:
-    """Carry out actions until only answers to operators are left."""
+def run_actions(trail: AuditTrail, log: FakeLog, actions: list, now_ms: int) -> list:
+    """Execute actions until only replies to operators are left."""
     replies = []
     while actions:
         action = actions.pop(0)
@@ -37,9 +37,9 @@
 
 
 def tick(trail: AuditTrail, log: FakeLog, now_ms: int) -> None:
-    """Let a few milliseconds pass, for the slot of an append to come."""
+    """Tick for a few milliseconds, until an append is due."""
     for later_ms in range(3):
-        settle(trail, log, trail.tick(now_ms + later_ms), now_ms + later_ms)
+        run_actions(trail, log, trail.tick(now_ms + later_ms), now_ms + later_ms)
 
 
 def entries_of(reply: OperatorReply) -> list:
@@ -47,7 +47,7 @@
 
 
 def make_trail(instance: str, settings: AuditSettings) -> AuditTrail:
-    """Return a trail whose appends wait a millisecond at most."""
+    """Return a trail whose appends wait at most one millisecond."""
     limits = LogBudgetSettings(log_appends_per_s=10_000, start_hold_ms=0)
     return AuditTrail(settings, instance, LogBudget(limits))
 
@@ -85,27 +85,27 @@
     assert [each.offset for each in trail.query(since_offset=1)] == [1]
 
 
-def test_passing_entries_stay_out_of_the_log(trail, log):
+def test_transient_entries_stay_out_of_the_log(trail, log):
     trail.record(make_entry('member:b', '', lasting=False), now_ms=1)
     tick(trail, log, 5_000)
     assert log.appends == 0
     assert len(trail.query(item='member:b')) == 1
 
 
-def test_search_finds_what_other_instances_wrote(trail, log):
+def test_search_finds_entries_of_other_instances(trail, log):
     trail.record(make_entry('contract:a'), now_ms=1)
     tick(trail, log, 2_000)
     log.append(AppendRecord('x', 'audit', b'garbage'))
     other = AuditTrail(AuditSettings(read_records=1), 'b.1')
     other.record(make_entry('contract:a', lasting=False), now_ms=3_000)
     query = AuditQuery(item='contract:a')
-    replies = settle(other, log, other.request('c1', query, 4_000), 4_000)
+    replies = run_actions(other, log, other.request('c1', query, 4_000), 4_000)
     assert [each['instance'] for each in entries_of(replies[0])] == ['a.1', 'b.1']
     assert replies[0].code is ResultCode.OK
 
 
-def test_batch_written_twice_is_shown_once(trail, log):
-    """The reply to an append is lost, and the batch is sent again."""
+def test_batch_written_twice_is_returned_once(trail, log):
+    """The response to an append is lost, and the batch is sent again."""
     log.lose_replies = True
     trail.record(make_entry('contract:a'), now_ms=1)
     tick(trail, log, 2_000)
@@ -114,29 +114,29 @@
     assert log.appends == 2
     other = AuditTrail(AuditSettings(), 'b.1')
     request = other.request('c1', AuditQuery(), 61_000)
-    assert len(entries_of(settle(other, log, request, 61_000)[0])) == 1
+    assert len(entries_of(run_actions(other, log, request, 61_000)[0])) == 1
 
 
-def test_search_during_an_outage_says_that_it_is_incomplete(trail, log):
+def test_search_during_an_outage_reports_the_log_as_unavailable(trail, log):
     log.is_up = False
     trail.record(make_entry('contract:a'), now_ms=1)
     request = trail.request('c1', AuditQuery(), 10)
-    reply = settle(trail, log, request, 10)[0]
+    reply = run_actions(trail, log, request, 10)[0]
     assert reply.code is ResultCode.LOG_UNAVAILABLE
     assert len(entries_of(reply)) == 1
 
 
-def test_search_without_an_answer_of_the_log_ends(trail):
+def test_search_without_a_response_of_the_log_ends(trail):
     assert trail.request('c1', AuditQuery(), 10)
     assert trail.tick(1_000) == []
     reply = trail.tick(4_000)[0]
     assert reply.code is ResultCode.LOG_UNAVAILABLE
 
 
-def test_long_outage_drops_the_oldest_and_counts_them(trail, log):
-    """The log is down for hours while the configuration's drains go on.
+def test_long_outage_drops_and_counts_the_oldest_entries(trail, log):
+    """The log is unavailable for hours while entries are still recorded.
 
-    Memory is bounded, so entries are given up, but never silently.
+    Memory is limited, so entries are dropped, but the drops must be counted.
     """
     log.is_up = False
     for number in range(20):
@@ -152,7 +152,7 @@
     assert kept[-1] == 'contract:19'
 
 
-def test_batches_keep_within_the_budget(log):
+def test_batches_stay_within_the_budget(log):
     budget = LogBudget(LogBudgetSettings(log_appends_per_s=10, start_hold_ms=0))
     trail = AuditTrail(AuditSettings(batch_delay_ms=0), 'a.1', budget)
     budget.set_members(10)
@@ -163,8 +163,8 @@
     assert 9 <= log.appends <= 11
 
 
-def test_full_answer_says_where_to_go_on(log):
-    """An operator asks for everything since the beginning."""
+def test_full_reply_states_the_next_offset(log):
+    """An operator requests all entries since offset 0."""
     settings = AuditSettings(batch_entries=2, max_results=3, read_records=1)
     trail = make_trail('a.1', settings)
     for number in range(8):
@@ -173,7 +173,7 @@
     seen, offset, complete = [], 0, False
     while not complete:
         query = AuditQuery(since_offset=offset)
-        reply = settle(trail, log, trail.request('c1', query, 99_000), 99_000)[0]
+        reply = run_actions(trail, log, trail.request('c1', query, 99_000), 99_000)[0]
         answer = msgspec.json.decode(reply.document)
         seen += [each['item'] for each in answer['entries']]
         assert offset < answer['next_offset']
--- a/tests/test_contracts/test_limits.py
+++ b/tests/test_contracts/test_limits.py
@@ -1,4 +1,4 @@
-"""Tests of the derivation of limits."""
+"""Tests for the derivation of limits."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     }
 
 
-def test_organisation_limits_are_the_contracts(document):
+def test_organisation_limits_equal_those_of_the_contract(document):
     limits = derive_limits(document)
 
     assert limits.organisation == 'kuttanad-pumps'
@@ -52,7 +52,7 @@
     assert limits.pool_share == 0.2
 
 
-def test_class_limits_follow_from_class_and_organisation(document):
+def test_class_limits_are_derived_from_class_and_organisation(document):
     classes = derive_limits(document).classes
 
     diagnosis = classes['breakdown-diagnosis']
--- a/tests/test_wire/test_message_codec.py
+++ b/tests/test_wire/test_message_codec.py
@@ -1,4 +1,4 @@
-"""Messages survive the wire, and nothing else gets through."""
+"""Encoding and decoding of messages, and refusal of invalid ones."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from savorychute.wire.schema_writer import write_schema
 
 
-def test_message_survives(codec, report):
+def test_message_round_trip(codec, report):
     decoded = codec.decode(codec.encode('a-1', 3, 9, report))
     assert decoded.message == report
     assert type(decoded.message) is type(report)
@@ -29,7 +29,7 @@
     assert decoded.sequence == 9
 
 
-def test_empty_lists_survive(codec, report):
+def test_empty_lists_round_trip(codec, report):
     bare = report._replace(entries=(), offsets=(), names=(), digest=b'')
     assert codec.decode(codec.encode('a', 0, 0, bare)).message == bare
 
@@ -50,15 +50,16 @@
         {'home': None},
     ],
 )
-def test_value_that_does_not_fit_is_refused(codec, report, change):
+def test_value_of_the_wrong_type_is_refused(codec, report, change):
     with pytest.raises(MessageError, match='does not fit'):
         codec.encode('a', 0, 0, report._replace(**change))
 
 
 def test_unknown_tag_is_refused(tmp_path, codec, report):
-    """A newer instance sends a message that this one has never heard of.
+    """A newer instance sends a message type that this instance does not know.
 
-    It is refused by itself; the connection's other messages are not harmed.
+    Only that message is refused; the other messages of the connection are not
+    affected.
     """
     path = tmp_path / 'older.capnp'
     path.write_text(write_schema({}))
@@ -69,8 +70,8 @@
 def test_missing_field_takes_its_default(tmp_path):
     """An instance of an older version sends a message without a newer field.
 
-    The receiver must see the field's default, not zero, or an upgrade would
-    change what old instances mean.
+    The receiver must see the field's default, not zero; otherwise an upgrade would
+    change the meaning of messages from old instances.
     """
 
     class Probe(NamedTuple):
@@ -110,11 +111,11 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(data=st.data())
-def test_damaged_message_raises_nothing_else(damaged_codec, data):
-    """An instance with a defect signs a message that is damaged.
+def test_damaged_message_raises_only_message_errors(damaged_codec, data):
+    """A faulty instance signs a damaged message.
 
-    The signature holds, so the decoder meets the damage.  The receiver must
-    refuse the message and live on, whatever the damage is.
+    The signature is valid, so the decoder reads the damaged bytes.  Whatever the
+    damage is, the receiver must refuse the message and continue to run.
     """
     codec, packed = damaged_codec
     damaged = bytearray(packed)
@@ -128,11 +129,11 @@
     assert type(decoded.message).__name__ in ('Report', 'Entry')
 
 
-def test_message_that_would_hold_up_the_loop_is_refused(codec, report):
-    """Packing shortens a long list of zeros to a few bytes.
+def test_message_that_would_block_the_loop_is_refused(codec, report):
+    """Packing compresses a long list of zeros to a few bytes.
 
-    A frame far below the bound on its size would then keep the receiver's
-    only thread busy for seconds, so the unpacked size is bounded too.
+    A frame far below the size limit could then keep the receiver's only thread
+    busy for seconds, so the unpacked size is limited too.
     """
     packed = codec.encode('a', 0, 0, report._replace(offsets=(0,) * 500_000))
     assert len(packed) < MAX_FRAME_BYTES / 10
@@ -140,7 +141,7 @@
         codec.decode(packed)
 
 
-def test_frame_beyond_the_bound_is_not_sent(monkeypatch, codec, report, keys):
+def test_oversized_frame_is_not_sent(monkeypatch, codec, report, keys):
     monkeypatch.setattr(message_codec, 'load_codec', lambda: codec)
     noise = random.Random(7).randbytes(MAX_FRAME_BYTES)
     with pytest.raises(MessageError, match='a Report of'):
--- a/tests/test_wire/test_peer_codec.py
+++ b/tests/test_wire/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""Two instances that talk, and a stranger who repeats what they say."""
+"""Messages between two instances, and refusal of replayed frames."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     assert decoded.message == report
 
 
-def test_repeated_frame_is_refused(pair, report):
-    """A stranger records a grant of credit and sends it again.
+def test_replayed_frame_is_refused(pair, report):
+    """An attacker records a grant of credit and replays it.
 
-    The instance would use an endpoint beyond what its home granted; the
-    frame's number shows that it was taken before.
+    The instance would use an endpoint beyond the credit granted by its home; the
+    frame's number shows that it was accepted before.
     """
     sender, receiver = pair
     frame = sender.encode('a-2', report)
@@ -55,17 +55,17 @@
     assert window.accept('a', 1, 6)
 
 
-def test_forgotten_sender_starts_anew():
+def test_discarded_sender_starts_again():
     window = ReplayWindow()
     assert window.accept('a', 9, 9)
-    window.forget('a')
+    window.discard('a')
     assert window.accept('a', 1, 1)
 
 
 def test_memory_of_senders_is_bounded():
-    """Instances are replaced all day, each under a name of its own.
+    """Instances are replaced all day, each under a new name.
 
-    The window of every one that ever was would stay in memory for good.
+    Without a limit the windows of all earlier instances would stay in memory.
     """
     window = ReplayWindow()
     for number in range(MAX_SENDERS + 1):
--- a/tests/test_wire/test_schema_writer.py
+++ b/tests/test_wire/test_schema_writer.py
@@ -1,4 +1,4 @@
-"""The committed schema is the one that the types give."""
+"""Generation of the schema, and whether the committed one is current."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
         assert codec._find_struct(tag).struct is not None
 
 
-def test_every_tag_is_in_the_range_of_its_part():
-    """Two parts, written side by side, take one tag for two messages.
+def test_every_tag_is_in_the_range_of_its_package():
+    """Two packages developed in parallel may use one tag for two messages.
 
-    The later import would fail, on that day or after a merge; ranges keep
-    them apart.
+    The later import would fail, possibly only after a merge; separate tag ranges
+    prevent this.
     """
-    strays = [
+    misplaced = [
         f'{message.__module__} {tag}'
         for tag, message in load_peer_messages().items()
         if tag // 10 != RANGES[message.__module__.split('.')[1]]
     ]
-    assert strays == []
+    assert misplaced == []
 
 
-def test_field_without_a_form_is_refused():
+def test_field_without_a_wire_representation_is_refused():
     class Wrong(NamedTuple):
         shares: dict[str, int]
 
@@ -54,7 +54,7 @@
         write_schema({900: Wrong})
 
 
-def test_two_records_of_one_name_are_refused():
+def test_two_records_with_one_name_are_refused():
     class Probe(NamedTuple):
         target: str
 
