--- a/savorychute/endpoints/__init__.py
+++ b/savorychute/endpoints/__init__.py
@@ -1,9 +1,9 @@
-"""Dialects of endpoints: how attempts become HTTP and back."""
+"""Dialects of endpoints: conversion between attempts and HTTP."""
 
 from __future__ import annotations
 
-from savorychute.endpoints.dialect import DIALECTS, AnswerReader, Dialect
+from savorychute.endpoints.dialect import DIALECTS, Dialect, ResponseReader
 from savorychute.endpoints.openai_engine import OpenAiEngine
 from savorychute.endpoints.plain_service import PlainService
 
-__all__ = ['DIALECTS', 'AnswerReader', 'Dialect', 'OpenAiEngine', 'PlainService']
+__all__ = ['DIALECTS', 'Dialect', 'OpenAiEngine', 'PlainService', 'ResponseReader']
--- a/savorychute/endpoints/chat_documents.py
+++ b/savorychute/endpoints/chat_documents.py
@@ -1,4 +1,4 @@
-"""The parts of the OpenAI-style documents that are read."""
+"""The fields of OpenAI-style documents that the router reads."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class ChatMessage(TypedDict):
-    """One message; other fields pass through unread."""
+    """One message; other fields are passed through unread."""
 
     role: str
     content: NotRequired[str | list[msgspec.Raw] | None]
 
 
 class ChatRequest(TypedDict):
-    """A caller's request; other fields pass through unread."""
+    """A caller's request; other fields are passed through unread."""
 
     model: str
     messages: list[ChatMessage]
@@ -24,20 +24,20 @@
 
 
 class ChatUsage(TypedDict):
-    """Tokens of a whole answer."""
+    """Token counts of a complete answer."""
 
     prompt_tokens: NotRequired[int]
     completion_tokens: NotRequired[int]
 
 
 class ChatCompletion(TypedDict):
-    """A whole answer; the choices pass through unread."""
+    """A complete answer; the choices are passed through unread."""
 
     usage: NotRequired[ChatUsage | None]
 
 
 class ChatDelta(TypedDict):
-    """The text that an event adds."""
+    """The text added by an event."""
 
     content: NotRequired[str | None]
 
--- a/savorychute/endpoints/dialect.py
+++ b/savorychute/endpoints/dialect.py
@@ -1,4 +1,4 @@
-"""The port between attempts and an endpoint's protocol."""
+"""The interface between attempts and an endpoint's protocol."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     from savorychute.inputs import Input, LoadReported, OrderFinished
 
 
-class AnswerReader(Protocol):
-    """Turns one attempt's HTTP response into inputs of the instance.
+class ResponseReader(Protocol):
+    """Converts one attempt's HTTP response into inputs of the instance.
 
     ``closed`` is true after the input that ends the attempt.
     """
@@ -24,57 +24,57 @@
     closed: bool
 
     def read_head(self, status: int, headers: dict[str, str]) -> Sequence[Input]:
-        """Return the inputs that the response's head brings."""
+        """Return the inputs that result from the response's head."""
         ...
 
     def read_data(self, data: bytes) -> Sequence[Input]:
-        """Return the inputs that a part of the body brings."""
+        """Return the inputs that result from a part of the body."""
         ...
 
     def read_end(self) -> Sequence[Input]:
-        """Return the inputs that the end of a whole response brings."""
+        """Return the inputs that result from the end of a complete response."""
         ...
 
     def read_failure(self, failure: CallFailure) -> Sequence[Input]:
-        """Return the inputs that a failed call brings."""
+        """Return the inputs that result from a failed call."""
         ...
 
 
 class Dialect(Protocol):
-    """One kind of endpoint; holds no state of its own."""
+    """The protocol of one kind of endpoint; stateless."""
 
     def build_attempt(
-        self, start: StartAttempt, passed: Sequence[tuple[str, str]]
+        self, start: StartAttempt, passed_headers: Sequence[tuple[str, str]]
     ) -> HttpRequest:
         """Return the request that starts or resumes an attempt.
 
         :param start: the attempt.
-        :param passed: headers of the caller that may go on to the endpoint.
+        :param passed_headers: the caller's headers that may be passed to the endpoint.
         """
         ...
 
-    def make_reader(self, start: StartAttempt) -> AnswerReader:
+    def make_reader(self, start: StartAttempt) -> ResponseReader:
         """Return the reader of the attempt's response."""
         ...
 
     def needs_fresh_connection(self, start: StartAttempt) -> bool:
-        """Return whether a kept connection is too great a risk."""
+        """Return whether the attempt must not reuse an idle connection."""
         ...
 
     def build_cancel(self, start: StartAttempt, keep: bool) -> HttpRequest | None:
-        """Return the request that stops an attempt, if closing is not enough."""
+        """Return the request that stops an attempt, or None if closing suffices."""
         ...
 
     def build_poll(self, poll: PollEndpoint) -> HttpRequest | None:
-        """Return the request for a load report, if there are any."""
+        """Return the request for a load report, or None if it is not supported."""
         ...
 
     def read_load(self, endpoint: str, body: bytes) -> LoadReported | None:
-        """Return the load report, or none if it cannot be read."""
+        """Return the load report, or None if it is malformed."""
         ...
 
     def build_order(self, order: SendOrder) -> HttpRequest | None:
-        """Return the request that carries an order, if orders are taken."""
+        """Return the request that sends an order, or None if it is not supported."""
         ...
 
     def read_order(self, order: SendOrder, status: int, body: bytes) -> OrderFinished:
--- a/savorychute/endpoints/whole_reader.py
+++ b/savorychute/endpoints/document_reader.py
@@ -1,4 +1,4 @@
-"""Reading an answer of an engine that is one document."""
+"""Reader of an engine's answer that is a single document."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
     from savorychute.http.call_failure import CallFailure
     from savorychute.inputs import Input
 
-ANSWER_BOUND_BYTES = 4 * 1024 * 1024
+MAX_ANSWER_BYTES = 4 * 1024 * 1024
 NOT_FOUND_STATUS = 404
 
 _completion_decoder = msgspec.json.Decoder(ChatCompletion)
 
 
-class WholeReader:
-    """Holds the document until it is whole, up to a bound.
+class DocumentReader:
+    """Buffers the document until it is complete, up to ``MAX_ANSWER_BYTES``.
 
-    A document that broke off is a failure of which the caller has seen
-    nothing, so an idempotent request can be tried elsewhere.
+    If the document breaks off, the caller has received nothing of it, so an
+    idempotent request can be retried at another endpoint.
 
     :param start: the attempt.
     """
@@ -48,7 +48,7 @@
         self.closed = False
 
     def read_head(self, status: int, headers: dict[str, str]) -> Sequence[Input]:
-        """Return the start, or the failure that the status tells."""
+        """Return the start of the answer, or the failure indicated by the status."""
         attempt_id = self._start.attempt_id
         if is_refusal(status, headers):
             self.closed = True
@@ -65,19 +65,19 @@
         return [AttemptStarted(attempt_id, status, content_type, stream_id)]
 
     def read_data(self, data: bytes) -> Sequence[Input]:
-        """Keep a part; return a failure if the document is too large."""
+        """Buffer a part; return a failure if the document is too large."""
         if self.closed:
             return []
         self._size_bytes += len(data)
-        if self._size_bytes > ANSWER_BOUND_BYTES:
+        if self._size_bytes > MAX_ANSWER_BYTES:
             self.closed = True
-            reason = f'answer larger than {ANSWER_BOUND_BYTES} bytes'
+            reason = f'answer larger than {MAX_ANSWER_BYTES} bytes'
             return [describe_fault(self._start.attempt_id, reason)]
         self._parts.append(data)
         return []
 
     def read_end(self) -> Sequence[Input]:
-        """Return the whole document and the end."""
+        """Return the complete document and the end of the attempt."""
         if self.closed:
             return []
         self.closed = True
@@ -90,7 +90,7 @@
         ]
 
     def read_failure(self, failure: CallFailure) -> Sequence[Input]:
-        """Return the failure, unless the attempt has ended already."""
+        """Return the failure, unless the attempt has already ended."""
         if self.closed:
             return []
         self.closed = True
--- a/savorychute/endpoints/openai_engine.py
+++ b/savorychute/endpoints/openai_engine.py
@@ -1,4 +1,4 @@
-"""Model engines that speak the OpenAI-style protocol with extensions."""
+"""Model engines with the OpenAI-style protocol and extensions."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from savorychute.endpoints.chat_documents import LoadDocument, OrderDocument
 from savorychute.endpoints.dialect import DIALECTS
+from savorychute.endpoints.document_reader import DocumentReader
 from savorychute.endpoints.stream_reader import StreamReader
-from savorychute.endpoints.whole_reader import WholeReader
 from savorychute.http.http_request import HttpRequest
 from savorychute.inputs import LoadReported, OrderFinished
 
@@ -18,7 +18,7 @@
     from collections.abc import Sequence
 
     from savorychute.actions import PollEndpoint, SendOrder, StartAttempt
-    from savorychute.endpoints.dialect import AnswerReader
+    from savorychute.endpoints.dialect import ResponseReader
 
 JSON_HEADER = ('content-type', 'application/json')
 OK_STATUS = 200
@@ -32,7 +32,7 @@
 
 
 class ResumeBody(TypedDict):
-    """Where a resumed stream goes on."""
+    """The position from which a stream is resumed."""
 
     offset: int
 
@@ -53,17 +53,17 @@
 
 
 class OpenAiEngine:
-    """Attempts as chat completions; streams that resume and cancel."""
+    """Sends attempts as chat completions, and resumes and cancels their streams."""
 
     def build_attempt(
         self,
         start: StartAttempt,
-        passed: Sequence[tuple[str, str]],  # noqa: ARG002
+        passed_headers: Sequence[tuple[str, str]],  # noqa: ARG002
     ) -> HttpRequest:
-        """Return the chat completion, or the resume of its stream.
+        """Return the request for a chat completion, or for resuming its stream.
 
         :param start: the attempt.
-        :param passed: not used; the body is a document of the router's own.
+        :param passed_headers: not used, because the router writes the body itself.
         """
         headers = [
             JSON_HEADER,
@@ -84,24 +84,26 @@
             'POST', '/v1/chat/completions', tuple(headers), _write_body(start)
         )
 
-    def make_reader(self, start: StartAttempt) -> AnswerReader:
-        """Return a reader of events, or of one whole document.
+    def make_reader(self, start: StartAttempt) -> ResponseReader:
+        """Return a reader of a stream of events, or of one document.
 
         :param start: the attempt.
         """
         if start.stream:
             return StreamReader(start)
-        return WholeReader(start)
+        return DocumentReader(start)
 
     def needs_fresh_connection(self, start: StartAttempt) -> bool:  # noqa: ARG002
-        """Return false: a lost attempt can be asked for by its stream id."""
+        """Return False: a lost attempt can be looked up by its stream id."""
         return False
 
     def build_cancel(self, start: StartAttempt, keep: bool) -> HttpRequest | None:
-        """Return the cancel of a stream; the engine keeps it over a close.
+        """Return the request that cancels a stream.
+
+        Closing the connection is not enough, because the engine then keeps the stream.
 
         :param start: the attempt.
-        :param keep: whether it may be resumed later.
+        :param keep: whether the stream may be resumed later.
         """
         if not start.stream or not start.stream_id:
             return None
@@ -115,14 +117,14 @@
     def build_poll(self, poll: PollEndpoint) -> HttpRequest | None:
         """Return the request for load and cache events.
 
-        :param poll: which events were seen.
+        :param poll: contains the position of the last cache event that was read.
         """
         return HttpRequest('GET', f'/v1/load?cursor={poll.cache_cursor}')
 
     def read_load(self, endpoint: str, body: bytes) -> LoadReported | None:
-        """Return the load report, or none if it is malformed.
+        """Return the load report, or None if it is malformed.
 
-        :param endpoint: whose it is.
+        :param endpoint: the reporting endpoint.
         :param body: the JSON document.
         """
         try:
@@ -145,9 +147,9 @@
         )
 
     def build_order(self, order: SendOrder) -> HttpRequest | None:
-        """Return the request that carries an order.
+        """Return the request that sends an order.
 
-        :param order: with its fencing number.
+        :param order: the order, including its fencing number.
         """
         body = OrderBody(
             verb=order.verb,
@@ -162,7 +164,7 @@
     def read_order(self, order: SendOrder, status: int, body: bytes) -> OrderFinished:
         """Return the outcome of an order.
 
-        :param order: what was asked.
+        :param order: the order that was sent.
         :param status: the response's status.
         :param body: the response's document.
         """
@@ -184,7 +186,7 @@
 
 
 def _write_body(start: StartAttempt) -> bytes:
-    """Return the caller's document with the router's own fields set."""
+    """Return the caller's document with the fields that the router sets."""
     fields = _body_decoder.decode(start.body)
     fields['model'] = msgspec.Raw(msgspec.json.encode(start.model))
     fields['priority'] = msgspec.Raw(msgspec.json.encode(start.priority))
--- a/savorychute/endpoints/plain_service.py
+++ b/savorychute/endpoints/plain_service.py
@@ -1,4 +1,4 @@
-"""Plain services: requests and answers passed as they are."""
+"""Plain services, whose requests and responses are passed through unchanged."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from collections.abc import Sequence
 
     from savorychute.actions import PollEndpoint, SendOrder, StartAttempt
-    from savorychute.endpoints.dialect import AnswerReader
+    from savorychute.endpoints.dialect import ResponseReader
     from savorychute.http.call_failure import CallFailure
     from savorychute.inputs import Input, LoadReported
 
@@ -30,34 +30,36 @@
 
 
 class PlainService:
-    """Any method and path; offsets and counts are bytes."""
+    """Sends requests with any method and path; offsets and counts are in bytes."""
 
     def build_attempt(
-        self, start: StartAttempt, passed: Sequence[tuple[str, str]]
+        self, start: StartAttempt, passed_headers: Sequence[tuple[str, str]]
     ) -> HttpRequest:
         """Return the caller's request.
 
         :param start: the attempt.
-        :param passed: the caller's headers that go along.
+        :param passed_headers: the caller's headers that are passed on.
         """
         headers = [
             ('x-attempt-id', start.attempt_id),
             ('x-timeout-ms', str(start.timeout_ms)),
         ]
-        return HttpRequest(start.method, start.path, (*headers, *passed), start.body)
+        return HttpRequest(
+            start.method, start.path, (*headers, *passed_headers), start.body
+        )
 
-    def make_reader(self, start: StartAttempt) -> AnswerReader:
-        """Return a reader that passes bytes on.
+    def make_reader(self, start: StartAttempt) -> ResponseReader:
+        """Return a reader that passes the response's bytes through.
 
         :param start: the attempt.
         """
-        return PassingReader(start)
+        return PassthroughReader(start)
 
     def needs_fresh_connection(self, start: StartAttempt) -> bool:
-        """Return true for calls that may change something.
+        """Return True for calls that may change state.
 
-        A kept connection that the service closes just as it is reused leaves
-        the outcome of such a call unknown, though it never ran.
+        If the service closes an idle connection just as it is reused, the outcome of
+        such a call is unknown although it did not run.
 
         :param start: the attempt.
         """
@@ -68,11 +70,11 @@
         start: StartAttempt,  # noqa: ARG002
         keep: bool,  # noqa: ARG002
     ) -> HttpRequest | None:
-        """Return none; closing the connection is all there is."""
+        """Return None, because closing the connection is the only way to cancel."""
         return None
 
     def build_poll(self, poll: PollEndpoint) -> HttpRequest | None:  # noqa: ARG002
-        """Return none; plain services report no load."""
+        """Return None, because plain services do not report their load."""
         return None
 
     def read_load(
@@ -80,11 +82,11 @@
         endpoint: str,  # noqa: ARG002
         body: bytes,  # noqa: ARG002
     ) -> LoadReported | None:
-        """Return none; plain services report no load."""
+        """Return None, because plain services do not report their load."""
         return None
 
     def build_order(self, order: SendOrder) -> HttpRequest | None:  # noqa: ARG002
-        """Return none; plain services take no orders."""
+        """Return None, because plain services do not accept orders."""
         return None
 
     def read_order(
@@ -93,12 +95,12 @@
         status: int,  # noqa: ARG002
         body: bytes,  # noqa: ARG002
     ) -> OrderFinished:
-        """Return that the order was refused."""
+        """Return the outcome 'refused'."""
         return OrderFinished(order.order_id, order.endpoint, 'refused')
 
 
-class PassingReader:
-    """Passes an answer on as it comes.
+class PassthroughReader:
+    """Passes a response through as it arrives.
 
     :param start: the attempt.
     """
@@ -111,7 +113,7 @@
         self.closed = False
 
     def read_head(self, status: int, headers: dict[str, str]) -> Sequence[Input]:
-        """Return the start, or the refusal."""
+        """Return the start of the response, or a refusal."""
         attempt_id = self._start.attempt_id
         if is_refusal(status, headers):
             self.closed = True
@@ -120,7 +122,7 @@
         return [AttemptStarted(attempt_id, status, content_type, '')]
 
     def read_data(self, data: bytes) -> Sequence[Input]:
-        """Return the bytes with their place."""
+        """Return the bytes with their offset."""
         if self.closed:
             return []
         offset = self._offset
@@ -128,14 +130,14 @@
         return [AttemptChunk(self._start.attempt_id, offset, len(data), data)]
 
     def read_end(self) -> Sequence[Input]:
-        """Return the end of a whole answer."""
+        """Return the end of a complete response."""
         if self.closed:
             return []
         self.closed = True
         return [AttemptEnded(self._start.attempt_id, self._offset)]
 
     def read_failure(self, failure: CallFailure) -> Sequence[Input]:
-        """Return the failure, unless the attempt has ended already."""
+        """Return the failure, unless the attempt has already ended."""
         if self.closed:
             return []
         self.closed = True
--- a/savorychute/endpoints/prompt_blocks.py
+++ b/savorychute/endpoints/prompt_blocks.py
@@ -1,7 +1,7 @@
-"""What the router learns from a prompt: its length and its prefixes.
+"""Length estimates and prefix hashes of prompts.
 
-The hashes must be those that engines put into their cache events: one for
-each full block of the rendered prompt, each covering all blocks before it.
+The hashes must equal those in the engines' cache events: one for each full
+block of the rendered prompt, each covering all blocks before it as well.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 CHARS_PER_TOKEN = 4
 BLOCK_CHARS = 256
-BLOCKS_KEPT = 64
-HASH_BITS_KEPT = (1 << 62) - 1
+MAX_BLOCKS = 64
+HASH_MASK = (1 << 62) - 1
 
 
 def render_messages(messages: Sequence[ChatMessage]) -> str:
-    """Return the messages as the one text that an engine reads.
+    """Return the messages as the single text that an engine reads.
 
     :param messages: the request's messages.
     """
@@ -30,7 +30,7 @@
 
 
 def estimate_tokens(prompt: str) -> int:
-    """Return about how many tokens a prompt has.
+    """Return the estimated number of tokens of a prompt.
 
     :param prompt: the rendered text.
     """
@@ -38,16 +38,16 @@
 
 
 def hash_prefixes(prompt: str) -> tuple[int, ...]:
-    """Return the hashes of the prompt's first blocks, at most a bound.
+    """Return the hashes of the prompt's first blocks, up to ``MAX_BLOCKS``.
 
     :param prompt: the rendered text.
     """
-    chain = xxhash.xxh64()
+    hasher = xxhash.xxh64()
     hashes = []
-    end = min(len(prompt), BLOCKS_KEPT * BLOCK_CHARS)
+    end = min(len(prompt), MAX_BLOCKS * BLOCK_CHARS)
     for start in range(0, end - BLOCK_CHARS + 1, BLOCK_CHARS):
-        chain.update(prompt[start : start + BLOCK_CHARS].encode('utf-8', 'replace'))
-        hashes.append(chain.intdigest() & HASH_BITS_KEPT)
+        hasher.update(prompt[start : start + BLOCK_CHARS].encode('utf-8', 'replace'))
+        hashes.append(hasher.intdigest() & HASH_MASK)
     return tuple(hashes)
 
 
--- a/savorychute/endpoints/refusals.py
+++ b/savorychute/endpoints/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals that prove that nothing ran."""
+"""Failed attempts, and refusals that prove that the request did not run."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 def is_refusal(status: int, headers: dict[str, str]) -> bool:
     """Return whether a response proves that its request did not start.
 
-    A bare 503 proves nothing: a gateway in between may send it after the
-    endpoint has begun.
+    A 503 without the header proves nothing: an intermediate gateway may send it
+    after the endpoint has started the request.
     """
     return status in REFUSAL_STATUSES and headers.get(NOT_STARTED_HEADER) == '1'
 
@@ -51,7 +51,7 @@
 
 
 def describe_fault(attempt_id: str, reason: str) -> AttemptFailed:
-    """Return the failure of an attempt whose answer is no good."""
+    """Return the failure of an attempt whose response is invalid or an error."""
     return AttemptFailed(
         attempt_id=attempt_id,
         sent=True,
--- a/savorychute/endpoints/stream_reader.py
+++ b/savorychute/endpoints/stream_reader.py
@@ -1,4 +1,4 @@
-"""Reading a streamed answer of an engine."""
+"""Reader of an engine's streamed answer."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import msgspec
 
 from savorychute.endpoints.chat_documents import ChatChunk
+from savorychute.endpoints.document_reader import DocumentReader
 from savorychute.endpoints.refusals import (
     describe_failure,
     describe_fault,
     describe_refusal,
     is_refusal,
 )
-from savorychute.endpoints.whole_reader import WholeReader
 from savorychute.http.sse_reader import EventTooLargeError, SseReader
 from savorychute.inputs import AttemptChunk, AttemptEnded, AttemptStarted
 
@@ -33,42 +33,42 @@
 
 
 class StreamReader:
-    """Passes each event's text on with the offset that the engine gave it.
+    """Passes on each event's text with the offset that the engine assigned.
 
-    The whole answer is marked by ``[DONE]`` alone.  A connection that closes
-    in order before it, as after a crash of a process in front of the engine,
-    is a failure.
+    Only ``[DONE]`` marks a complete answer.  If the connection is closed cleanly
+    before it, as a proxy may do after the engine has crashed, the attempt has
+    failed.
 
     :param start: the attempt.
     """
 
-    __slots__ = ('_events', '_start', '_whole', 'closed', 'next_offset')
+    __slots__ = ('_document_reader', '_events', '_start', 'closed', 'next_offset')
 
     def __init__(self, start: StartAttempt) -> None:
         self._start = start
         self._events = SseReader()
-        self._whole: WholeReader | None = None
+        self._document_reader: DocumentReader | None = None
         self.next_offset = max(0, start.resume_offset)
         self.closed = False
 
     def read_head(self, status: int, headers: dict[str, str]) -> Sequence[Input]:
-        """Return the start, or leave an error to the reader of documents."""
+        """Return the start of the answer, or let a document reader handle an error."""
         if is_refusal(status, headers):
             self.closed = True
             return [describe_refusal(self._start.attempt_id, status, headers)]
         content_type = headers.get('content-type', '')
         if status != OK_STATUS or not content_type.startswith(EVENT_STREAM_TYPE):
-            self._whole = WholeReader(self._start)
-            return self._follow_whole(self._whole.read_head(status, headers))
+            self._document_reader = DocumentReader(self._start)
+            return self._update_closed(self._document_reader.read_head(status, headers))
         stream_id = headers.get('x-stream-id', self._start.stream_id)
         return [AttemptStarted(self._start.attempt_id, status, content_type, stream_id)]
 
     def read_data(self, data: bytes) -> Sequence[Input]:
-        """Return the chunks that *data* completes."""
+        """Return the chunks completed by *data*."""
         if self.closed:
             return []
-        if self._whole is not None:
-            return self._follow_whole(self._whole.read_data(data))
+        if self._document_reader is not None:
+            return self._update_closed(self._document_reader.read_data(data))
         inputs: list[Input] = []
         try:
             for event in self._events.feed(data):
@@ -81,16 +81,16 @@
         return inputs
 
     def read_end(self) -> Sequence[Input]:
-        """Return a failure unless the answer was whole."""
+        """Return a failure, unless the answer is complete."""
         if self.closed:
             return []
-        if self._whole is not None:
-            return self._follow_whole(self._whole.read_end())
+        if self._document_reader is not None:
+            return self._update_closed(self._document_reader.read_end())
         self.closed = True
         return [describe_fault(self._start.attempt_id, 'ended without [DONE]')]
 
     def read_failure(self, failure: CallFailure) -> Sequence[Input]:
-        """Return the failure, unless the attempt has ended already."""
+        """Return the failure, unless the attempt has already ended."""
         if self.closed:
             return []
         self.closed = True
@@ -110,8 +110,8 @@
         self.next_offset = offset + count
         return AttemptChunk(attempt_id, offset, count, _read_text(chunk))
 
-    def _follow_whole(self, inputs: Sequence[Input]) -> Sequence[Input]:
-        self.closed = self._whole is not None and self._whole.closed
+    def _update_closed(self, inputs: Sequence[Input]) -> Sequence[Input]:
+        self.closed = self._document_reader is not None and self._document_reader.closed
         return inputs
 
 
--- a/tests/test_endpoints/test_openai_engine.py
+++ b/tests/test_endpoints/test_openai_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the dialect of model engines."""
+"""Tests for the dialect of model engines."""
 
 from __future__ import annotations
 
@@ -109,11 +109,10 @@
     ]
 
 
-def test_stream_that_ends_without_its_mark_has_failed():
-    """Engine's front ends in order.
+def test_stream_without_end_marker_has_failed():
+    """A proxy closes the response cleanly after the engine has crashed.
 
-    A process in front of the engine closes the response in order after the
-    engine crashed.  Without the mark the answer is not whole.
+    Without the end marker the answer is not complete.
     """
     inputs = read([event(0, 'air')])
 
@@ -128,11 +127,11 @@
         (b'id: x\ndata: {}\n\n', "invalid literal for int() with base 10: 'x'"),
     ],
 )
-def test_event_that_is_no_good_fails_the_attempt(part, reason):
+def test_invalid_event_fails_the_attempt(part, reason):
     assert read([part])[-1] == fault(reason)
 
 
-def test_what_follows_the_end_is_not_read():
+def test_data_after_the_end_is_ignored():
     inputs = read([b'data: [DONE]\n\n' + event(0, 'late'), event(1, 'later')])
 
     assert inputs[1:] == [AttemptEnded('a1', 0)]
@@ -155,19 +154,19 @@
         (500, {'x-not-started': '1'}, fault('status 500')),
     ],
 )
-def test_only_a_proof_makes_a_refusal(status, headers, failed):
+def test_refusal_requires_the_not_started_header(status, headers, failed):
     assert read([b'why'], status=status, headers=headers) == [failed]
-    whole = START._replace(stream=False)
-    assert read([b'why'], whole, status, headers) == [failed]
+    document_start = START._replace(stream=False)
+    assert read([b'why'], document_start, status, headers) == [failed]
 
 
-def test_unknown_stream_is_no_proof_that_nothing_ran():
+def test_unknown_stream_is_not_a_refusal():
     resumed = START._replace(resume_offset=5)
 
     assert read([], resumed, 404, {}) == [fault('the engine has no such stream')]
 
 
-def test_engines_own_4xx_is_an_answer():
+def test_4xx_of_the_engine_is_an_answer():
     inputs = read([b'{"error"', b':1}'], status=400, headers={'content-type': 'x'})
 
     assert inputs == [
@@ -177,7 +176,7 @@
     ]
 
 
-def test_document_is_held_until_it_is_whole():
+def test_document_is_buffered_until_it_is_complete():
     start = START._replace(stream=False)
     body = b'{"choices":[],"usage":{"completion_tokens":7}}'
     reader = ENGINE.make_reader(start)
@@ -191,7 +190,7 @@
     ]
 
 
-def test_broken_connection_is_told_from_one_that_sent_nothing():
+def test_broken_connection_differs_from_one_that_sent_nothing():
     for sent, broken in ((False, False), (True, True)):
         reader = ENGINE.make_reader(START)
         failure = CallFailure(sent, broken, 'why')
@@ -210,7 +209,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=100)
 @given(st.binary(max_size=200))
-def test_load_report_that_is_no_good_is_none(body):
+def test_invalid_load_report_is_none(body):
     assert ENGINE.read_load('e1', body) is None
 
 
--- a/tests/test_endpoints/test_prompt_blocks.py
+++ b/tests/test_endpoints/test_prompt_blocks.py
@@ -1,4 +1,4 @@
-"""Tests of what is learned from prompts."""
+"""Tests for rendering and hashing of prompts."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from savorychute.endpoints.prompt_blocks import (
     BLOCK_CHARS,
-    BLOCKS_KEPT,
+    MAX_BLOCKS,
     hash_prefixes,
     render_messages,
 )
@@ -16,7 +16,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=50)
 @given(st.text(max_size=2_000))
-def test_hashes_are_those_of_the_stand_in_engine(prompt):
+def test_hashes_equal_those_of_the_simulated_engine(prompt):
     assert hash_prefixes(prompt) == hash_blocks(prompt)
 
 
@@ -29,7 +29,7 @@
 
 
 def test_hashes_are_bounded():
-    assert len(hash_prefixes('a' * BLOCK_CHARS * 500)) == BLOCKS_KEPT
+    assert len(hash_prefixes('a' * BLOCK_CHARS * 500)) == MAX_BLOCKS
 
 
 def test_lone_surrogate_and_missing_content_are_rendered():
