--- a/savorychute/application.py
+++ b/savorychute/application.py
@@ -1,4 +1,4 @@
-"""The object that extensions get."""
+"""The object that is passed to extensions."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
     An extension is a module with a function ``setup(application)``.  It
     registers variants with the registries' decorators when it is imported, and
-    connects to events when it is set up.
+    connects to events in ``setup``.
 
-    :param settings: of the instance.
-    :param instance: all parts, assembled.
-    :param log: where its lines go.
+    :param settings: the settings of the instance.
+    :param instance: the instance.
+    :param log: the log of the instance.
     """
 
     def __init__(
@@ -33,15 +33,15 @@
         self.log = log
 
     def connect(self, name: str, callback: Callable[[Any], None]) -> None:
-        """Call *callback* at each event of this name.
+        """Call *callback* for each event of this name.
 
         :param name: one of :data:`savorychute.events.EVENT_NAMES`.
-        :param callback: takes the event's typed payload.
+        :param callback: receives the event's typed payload.
         """
         self.instance.events.connect(name, callback)
 
     def set_up_extensions(self) -> None:
-        """Set up the extensions that the settings name, in that order."""
+        """Set up the extensions listed in the settings, in that order."""
         for name in self.settings.extensions:
             module = importlib.import_module(name)
             module.setup(self)
--- a/savorychute/clock.py
+++ b/savorychute/clock.py
@@ -1,4 +1,4 @@
-"""Clocks that count milliseconds."""
+"""Clocks with millisecond resolution."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
     """A source of monotonic time."""
 
     def now_ms(self) -> int:
-        """Return milliseconds since an arbitrary, fixed point."""
+        """Return milliseconds since an arbitrary fixed point in time."""
         ...
 
 
 class WallClock(Protocol):
-    """The time of day, which may be wrong and may jump."""
+    """A source of wall-clock time, which may be wrong and may jump."""
 
     def wall_ms(self) -> int:
-        """Return milliseconds since the start of 1970, as this host knows them."""
+        """Return milliseconds since the start of 1970 according to this host."""
         ...
 
 
 class SystemWallClock:
-    """The host's time of day."""
+    """The host's wall clock."""
 
     def wall_ms(self) -> int:
         """Return milliseconds since the start of 1970."""
@@ -34,10 +34,11 @@
 
 
 class SystemClock:
-    """The host's monotonic clock, counting time spent suspended.
+    """The host's monotonic clock, including time spent suspended.
 
-    A lease holder that was suspended must see that its lease has lapsed.
-    ``CLOCK_MONOTONIC`` stops during a suspend, ``CLOCK_BOOTTIME`` does not.
+    A lease holder that was suspended must detect that its lease has lapsed.
+    ``CLOCK_MONOTONIC`` stops while the host is suspended, ``CLOCK_BOOTTIME`` does
+    not.
     """
 
     def now_ms(self) -> int:
@@ -46,17 +47,17 @@
 
 
 class ManualClock:
-    """A clock that stands still until it is told to move."""
+    """A clock that only advances when it is set."""
 
     def __init__(self, start_ms: int = 0) -> None:
         self._now_ms = start_ms
 
     def now_ms(self) -> int:
-        """Return the time that was set last."""
+        """Return the time that was last set."""
         return self._now_ms
 
     def advance_to(self, now_ms: int) -> None:
-        """Move the clock forward; an earlier time leaves it where it is.
+        """Advance the clock; an earlier time has no effect.
 
         :param now_ms: the new time.
         """
--- a/savorychute/cmd/reference_pages.py
+++ b/savorychute/cmd/reference_pages.py
@@ -19,7 +19,7 @@
 from savorychute.result_code import ResultCode
 from savorychute.settings.setting import REQUIRED
 from savorychute.settings.table import SETTINGS
-from savorychute.util.label_bound import MAX_LABEL_VALUES
+from savorychute.util.label_limiter import MAX_LABEL_VALUES
 from savorychute.util.rst_table import format_table, format_title
 
 if TYPE_CHECKING:
--- a/savorychute/config.py
+++ b/savorychute/config.py
@@ -1,4 +1,4 @@
-"""The settings, for those who embed the package."""
+"""Public interface of the settings, for programs that embed the package."""
 
 from __future__ import annotations
 
--- a/savorychute/daemon/main.py
+++ b/savorychute/daemon/main.py
@@ -16,7 +16,7 @@
 from savorychute.daemon.tls import keep_reloading
 from savorychute.host_sample import HostSample
 from savorychute.instance import Instance
-from savorychute.logs import InstanceLog, LogLevel, capture_libraries, open_log
+from savorychute.logs import InstanceLog, LogLevel, capture_library_logs, open_log
 from savorychute.metrics import Metrics
 from savorychute.settings.part_settings import (
     make_host_settings,
@@ -48,7 +48,7 @@
     log = InstanceLog(settings.instance, LogLevel[settings.log_level.upper()])
     with ExitStack() as stack:
         stack.enter_context(open_log(sys.stdout.buffer))
-        stack.enter_context(capture_libraries(log))
+        stack.enter_context(capture_library_logs(log))
         asyncio.run(_serve(settings, log))
     return EXIT_OK
 
@@ -85,7 +85,7 @@
         return instance
 
     async with run_host(make_host_settings(settings), make, clock) as host:
-        telemetry.sample_from(
+        telemetry.set_gauge_sources(
             lambda: made[0].status(clock.now_ms()), lambda: sample_host(host)
         )
         host.metrics = telemetry.render
--- a/savorychute/errors.py
+++ b/savorychute/errors.py
@@ -11,9 +11,9 @@
 
 
 class SavorychuteError(Exception):
-    """Base of all exceptions of this package.
+    """Base class of all exceptions of this package.
 
-    :param message: lower-case text that names the value and the place.
+    :param message: lower-case text that names the value and its location.
     """
 
     code = ResultCode.BAD_FIELD
@@ -24,7 +24,7 @@
 
 
 class UnknownVariantError(SavorychuteError):
-    """A registry has no variant of that name."""
+    """A registry has no variant with that name."""
 
     code = ResultCode.UNKNOWN_VARIANT
 
@@ -33,7 +33,7 @@
 
 
 class SettingsError(SavorychuteError):
-    """A settings file has faults, all of them listed.
+    """A settings file has faults; all of them are listed.
 
     :param faults: one line each, with file, line, value and expectation.
     """
@@ -46,7 +46,7 @@
 
 
 class InvalidChangeError(SavorychuteError):
-    """A configuration change breaks a rule."""
+    """A configuration change violates a rule."""
 
     code = ResultCode.INVALID_CHANGE
 
@@ -64,10 +64,10 @@
 
 
 class RequestError(SavorychuteError):
-    """A caller's request is at fault.
+    """A caller's request is invalid or refused.
 
-    :param code: the numbered reason.
-    :param message: what is wrong, naming value and place.
+    :param code: the result code.
+    :param message: a description that names the value and its location.
     """
 
     def __init__(self, code: ResultCode, message: str) -> None:
@@ -82,11 +82,11 @@
 
 
 class IllegalTransitionError(SavorychuteError):
-    """A state machine was told to make a transition that it does not have.
+    """A state machine was asked for a transition that it does not allow.
 
-    :param request_id: whose life it is.
-    :param before: the present state.
-    :param after: the state asked for.
+    :param request_id: the request whose state machine it is.
+    :param before: the current state.
+    :param after: the requested state.
     """
 
     def __init__(self, request_id: str, before: str, after: str) -> None:
--- a/savorychute/events.py
+++ b/savorychute/events.py
@@ -25,8 +25,8 @@
 class EventManager:
     """Callbacks by event name.
 
-    Callbacks run in the order in which they were connected, on the loop that
-    drives the instance.  They must not block.
+    Callbacks run in the order in which they were connected, on the event loop of
+    the instance.  They must not block.
     """
 
     def __init__(self) -> None:
@@ -38,13 +38,13 @@
         """Call *callback* each time the event is emitted.
 
         :param name: one of :data:`EVENT_NAMES`.
-        :param callback: takes the event's payload as its one argument.
+        :param callback: receives the event's payload as its only argument.
         :raises KeyError: if there is no such event.
         """
         self._callbacks[name].append(callback)
 
     def emit(self, name: str, payload: object) -> None:
-        """Call what is connected to the event.
+        """Call the callbacks that are connected to the event.
 
         :param name: one of :data:`EVENT_NAMES`.
         :param payload: the typed message that describes the event.
--- a/savorychute/gateway/daemon/run_gateway.py
+++ b/savorychute/gateway/daemon/run_gateway.py
@@ -18,7 +18,7 @@
 from savorychute.gateway.platform_adapter import PLATFORMS
 from savorychute.gateway.settings.table import GATEWAY_SCHEMA
 from savorychute.http.client_pool import PoolSettings, open_pool
-from savorychute.logs import InstanceLog, LogLevel, capture_libraries, open_log
+from savorychute.logs import InstanceLog, LogLevel, capture_library_logs, open_log
 from savorychute.settings.settings_file import read_schema
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
     log = InstanceLog(settings.instance, LogLevel[settings.log_level.upper()])
     with ExitStack() as stack:
         stack.enter_context(open_log(sys.stdout.buffer))
-        stack.enter_context(capture_libraries(log))
+        stack.enter_context(capture_library_logs(log))
         asyncio.run(_serve(path, settings, log, listeners or {}))
     return EXIT_OK
 
--- a/savorychute/host_sample.py
+++ b/savorychute/host_sample.py
@@ -1,4 +1,4 @@
-"""What a host counts on its sockets."""
+"""Counters of a host's sockets."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class HostSample(NamedTuple):
-    """Totals since the start, and the connections open now."""
+    """Totals since the start, and the number of open connections."""
 
     open_connections: int = 0
     peer_sent_bytes: int = 0
--- a/savorychute/logs.py
+++ b/savorychute/logs.py
@@ -1,14 +1,15 @@
-"""Logs as JSON lines, in which no token and no prompt can appear.
+"""Logs as JSON lines that never contain tokens or prompts.
 
 A line has the fields of eliot (``timestamp``, ``task_uuid``, ``task_level``,
-``message_type``), then ``level``, ``instance``, ``request_id`` and those of
-:data:`savorychute.log_fields.FIELDS` that the event has.  Three guards keep secrets out:
-
-* A field that is not in the table is dropped: no field carries a body, a
-  header, a query or the text of a foreign exception.
-* A string is kept only if it looks like an identifier: prompt text has blanks.
-* A string whose SHA-256 is a known token's digest is dropped, so that a
-  token sent as, say, the name of a class stays out too.
+``message_type``), then ``level``, ``instance``, ``request_id`` and the event's
+fields, which must be in :data:`savorychute.log_fields.FIELDS`.  Three checks keep
+secrets out:
+
+* A field that is not in the table is dropped: no field contains a body, a
+  header, a query or the text of an exception from other code.
+* A string is removed unless it looks like an identifier: prompts contain blanks.
+* A string whose SHA-256 is the digest of a known token is removed, for example a
+  token that was sent as the name of a class.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 
 class LogLevel(IntEnum):
-    """How much a line matters."""
+    """The severity of a line."""
 
     DEBUG = 10
     INFO = 20
@@ -45,9 +46,9 @@
 
 
 class InstanceLog:
-    """What one instance logs.
+    """The log of one instance.
 
-    :param instance: the instance's name, on every line.
+    :param instance: the instance's name, included in every line.
     :param level: the least severe level that is written.
     """
 
@@ -56,23 +57,24 @@
         self.level = level
         self._token_hashes: frozenset[str] = frozenset()
 
-    def protect(self, token_hashes: Iterable[str]) -> None:
-        """Replace the digests of tokens that must not appear.
+    def set_token_hashes(self, token_hashes: Iterable[str]) -> None:
+        """Set the digests of tokens that must not appear in the log.
 
-        :param token_hashes: SHA-256 in hex, of organisations and operators.
+        :param token_hashes: hex SHA-256 digests of the tokens of organisations and
+            operators; they replace the previous ones.
         """
         self._token_hashes = frozenset(token_hashes)
 
     def debug(self, event: str, request_id: str = '', **fields: Value) -> None:
-        """Log a step that matters only when a defect is sought."""
+        """Log a step that is only relevant for debugging."""
         self.write(LogLevel.DEBUG, event, request_id, **fields)
 
     def info(self, event: str, request_id: str = '', **fields: Value) -> None:
-        """Log something that operators follow."""
+        """Log an event of normal operation."""
         self.write(LogLevel.INFO, event, request_id, **fields)
 
     def warning(self, event: str, request_id: str = '', **fields: Value) -> None:
-        """Log something that may need an operator."""
+        """Log an event that may require an operator's attention."""
         self.write(LogLevel.WARNING, event, request_id, **fields)
 
     def error(self, event: str, request_id: str = '', **fields: Value) -> None:
@@ -84,10 +86,11 @@
     ) -> None:
         """Log one line.
 
-        :param level: how much it matters.
+        :param level: the severity.
         :param event: a constant name, the line's ``message_type``.
-        :param request_id: the request that it belongs to, or empty.
-        :param fields: those of :data:`savorychute.log_fields.FIELDS`; others are dropped.
+        :param request_id: the request that the event belongs to, or empty.
+        :param fields: fields of :data:`~savorychute.log_fields.FIELDS`; others are
+            dropped.
         """
         if level < self.level:
             return
@@ -104,7 +107,7 @@
 
     def _clean(self, value: Value) -> Value:
         if not isinstance(value, str):
-            # Bytes or an object would be written by its text: refuse both.
+            # Bytes and other objects would be written as text, so they are removed.
             return value if isinstance(value, int | float | None) else REMOVED
         if not IDENTIFIER.fullmatch(value):
             return REMOVED
@@ -115,13 +118,13 @@
         return value
 
 
-class LibraryHandler(logging.Handler):
-    """Passes on what libraries log, without its text.
+class LibraryLogHandler(logging.Handler):
+    """Forwards log records of libraries without their text.
 
-    The text of asyncio's reports holds the representations of callbacks and
-    exceptions, and with them pieces of requests.
+    The text of asyncio's records contains representations of callbacks and
+    exceptions, which may include parts of requests.
 
-    :param log: where the lines go.
+    :param log: the log to write to.
     """
 
     def __init__(self, log: InstanceLog) -> None:
@@ -129,7 +132,7 @@
         self._log = log
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Log the library, the level and the type of the exception."""
+        """Log the library's name, the level and the type of the exception."""
         kind = record.exc_info[0] if record.exc_info else None
         level = min(max(record.levelno // 10 * 10, LogLevel.DEBUG), LogLevel.ERROR)
         self._log.write(
@@ -142,9 +145,9 @@
 
 @contextmanager
 def open_log(file: IO[bytes]) -> Iterator[None]:
-    """Write the lines of all instances of this process to *file*.
+    """Write the log lines of all instances of this process to *file*.
 
-    :param file: open for bytes; stays open.
+    :param file: a file opened in binary mode; it is not closed.
     """
     destination = LogWriter(file)
     add_destinations(destination)
@@ -156,9 +159,9 @@
 
 
 @contextmanager
-def capture_libraries(log: InstanceLog) -> Iterator[None]:
-    """Pass what libraries log through *log* instead of standard error."""
-    handler = LibraryHandler(log)
+def capture_library_logs(log: InstanceLog) -> Iterator[None]:
+    """Write log records of libraries to *log* instead of standard error."""
+    handler = LibraryLogHandler(log)
     root = logging.getLogger()
     before = root.handlers[:]
     root.handlers[:] = [handler]
--- a/savorychute/member_address.py
+++ b/savorychute/member_address.py
@@ -1,4 +1,4 @@
-"""Where an instance is."""
+"""The address of an instance."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class MemberAddress(NamedTuple):
-    """One instance's name, place and ports.
+    """An instance's name, location and ports.
 
-    ``incarnation`` is larger at each start of the same name, so that news of
-    an earlier run is told from news of this one.
+    ``incarnation`` increases with each start under the same name, so that updates of
+    an earlier run can be distinguished from those of the current run.
     """
 
     instance: str
--- a/savorychute/metric_row.py
+++ b/savorychute/metric_row.py
@@ -1,4 +1,4 @@
-"""One row of the table of metrics."""
+"""A row of the table of metrics."""
 
 from __future__ import annotations
 
--- a/savorychute/metric_table.py
+++ b/savorychute/metric_table.py
@@ -1,4 +1,4 @@
-"""The one table of metrics."""
+"""The table of all metrics."""
 
 from __future__ import annotations
 
--- a/savorychute/metrics.py
+++ b/savorychute/metrics.py
@@ -1,4 +1,4 @@
-"""What an instance measures, rendered for ``/metrics``."""
+"""Metrics of an instance, rendered for ``/metrics``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from savorychute.metric_table import BUCKETS_MS, METRICS
 from savorychute.util.bucket_counts import BucketCounts
-from savorychute.util.label_bound import OTHER, LabelBound
+from savorychute.util.label_limiter import OTHER, LabelLimiter
 
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
@@ -27,13 +27,13 @@
     """The metrics of one instance.
 
     :param instance: the instance's name, a label of every series.
-    :param rows: what is measured.
+    :param rows: the definitions of the metrics.
     """
 
     def __init__(self, instance: str, rows: Sequence[MetricRow] = METRICS) -> None:
         self._registry = Registry()
         self._collectors: dict[str, Any] = {}
-        self._bounds: dict[str, LabelBound] = {}
+        self._limiters: dict[str, LabelLimiter] = {}
         self._histograms: dict[str, dict[str, BucketCounts]] = {}
         for row in rows:
             self._add(row, instance)
@@ -50,21 +50,21 @@
         self._collectors[row.name] = kind(PREFIX + row.name, row.doc, **arguments)
 
     def count(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Add to a counter.
+        """Increase a counter.
 
         :param name: a counter of :data:`savorychute.metric_table.METRICS`.
-        :param amount: not negative.
-        :param labels: a value for each of its labels; ``class`` as ``class_name``.
+        :param amount: the increase, not negative.
+        :param labels: a value for each label; ``class`` is passed as ``class_name``.
         """
         collector = self._collectors[name]
         collector.add(self._label(collector, labels), amount)
 
-    def raise_to(self, name: str, total: float, **labels: str) -> None:
-        """Bring a counter up to a total that is counted elsewhere.
+    def set_total(self, name: str, total: float, **labels: str) -> None:
+        """Set a counter to a total that is counted elsewhere.
 
         :param name: a counter of :data:`savorychute.metric_table.METRICS`.
-        :param total: never less than before.
-        :param labels: a value for each of its labels.
+        :param total: the total, not less than the previous one.
+        :param labels: a value for each label.
         """
         collector = self._collectors[name]
         collector.set(self._label(collector, labels), total)
@@ -73,14 +73,14 @@
         """Set a gauge.
 
         :param name: a gauge of :data:`savorychute.metric_table.METRICS`.
-        :param value: the present value.
-        :param labels: a value for each of its labels.
+        :param value: the current value.
+        :param labels: a value for each label.
         """
         collector = self._collectors[name]
         collector.set(self._label(collector, labels), value)
 
     def clear(self, name: str) -> None:
-        """Forget a gauge's series, so that one that has gone does not stay.
+        """Remove all series of a gauge, so that obsolete ones are no longer reported.
 
         :param name: a gauge of :data:`savorychute.metric_table.METRICS`.
         """
@@ -90,16 +90,16 @@
         """Add observations to a histogram.
 
         :param name: a histogram of :data:`savorychute.metric_table.METRICS`.
-        :param value_ms: the duration observed.
-        :param tier: its one label.
-        :param count: how many observations had this value.
+        :param value_ms: the observed duration.
+        :param tier: the value of the histogram's only label.
+        :param count: the number of observations with this value.
         """
         by_tier = self._histograms[name]
         label = str(tier)
-        found = by_tier.get(label)
-        if found is None:
-            found = by_tier.setdefault(label, BucketCounts(BUCKETS_MS))
-        found.observe(value_ms, count)
+        histogram = by_tier.get(label)
+        if histogram is None:
+            histogram = by_tier.setdefault(label, BucketCounts(BUCKETS_MS))
+        histogram.observe(value_ms, count)
 
     def finish_request(
         self,
@@ -112,12 +112,12 @@
     ) -> None:
         """Count a request that ended.
 
-        :param organisation: whose it was.
-        :param class_name: its class.
-        :param code: how it ended.
-        :param ran: what the caller was told.
-        :param target_met: whether its latency target was met, None without one.
-        :param weight: what it counts for goodput, 0 if it was not answered.
+        :param organisation: the caller's organisation.
+        :param class_name: the class of the request.
+        :param code: the result code.
+        :param ran: whether the request ran, as reported to the caller.
+        :param target_met: whether the latency target was met, None without a target.
+        :param weight: the contribution to goodput, 0 if it was not answered.
         """
         self.count(
             'requests_total',
@@ -143,7 +143,7 @@
             )
 
     def render(self, accept: Sequence[str] = ()) -> tuple[bytes, Mapping[str, str]]:
-        """Return the body and the headers of an answer to ``/metrics``.
+        """Return the body and the headers of a response to ``/metrics``.
 
         :param accept: the values of the request's ``Accept`` headers.
         """
@@ -161,23 +161,25 @@
         except KeyError:
             collector.observe(labels, 0)
             published = collector.get_value(labels)
-        below = 0
+        cumulative = 0
         for bound, count in zip(published.buckets, histogram.counts, strict=True):
-            below += count
-            published.buckets[bound] = below
+            cumulative += count
+            published.buckets[bound] = cumulative
         published.sum = histogram.total
-        published.observations = below
+        published.observations = cumulative
 
     def _label(self, collector: Any, labels: dict[str, str]) -> dict[str, str]:
-        bounded = {
-            _spell(name): self._bounds.setdefault(name, LabelBound()).admit(str(value))
+        limited = {
+            _label_name(name): self._limiters.setdefault(name, LabelLimiter()).admit(
+                str(value)
+            )
             for name, value in labels.items()
         }
-        # Values that are few each can still be many in combination.
-        if len(collector.values) >= MAX_SERIES and bounded not in collector.values:
-            return dict.fromkeys(bounded, OTHER)
-        return bounded
+        # The number of combinations can be large although each label is limited.
+        if len(collector.values) >= MAX_SERIES and limited not in collector.values:
+            return dict.fromkeys(limited, OTHER)
+        return limited
 
 
-def _spell(name: str) -> str:
+def _label_name(name: str) -> str:
     return 'class' if name == 'class_name' else name
--- a/savorychute/platforms/__init__.py
+++ b/savorychute/platforms/__init__.py
@@ -1,4 +1,4 @@
-"""Ports to the platform: its log and its list of instances."""
+"""Interfaces to the platform: its log and its list of instances."""
 
 from __future__ import annotations
 
--- a/savorychute/platforms/http_listing.py
+++ b/savorychute/platforms/http_listing.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances over HTTP."""
+"""Access to the platform's list of instances over HTTP."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class MemberDocument(TypedDict):
-    """One instance on the list."""
+    """An instance in the list."""
 
     instance: str
     incarnation: int
@@ -30,7 +30,7 @@
 
 
 class ListingDocument(TypedDict):
-    """The list."""
+    """The list of instances."""
 
     live: list[MemberDocument]
     leaving: list[str]
@@ -40,16 +40,16 @@
 
 
 class HttpListing:
-    """The list as one JSON document."""
+    """Reads the list as a JSON document."""
 
     def build_fetch(self) -> HttpRequest:
         """Return the request for the list."""
         return HttpRequest('GET', '/instances')
 
     def read_listing(self, response: HttpResponse) -> ListingFetched:
-        """Return the list of a response; not ``ok`` if it cannot be read.
+        """Return the list in a response; not ``ok`` if it is malformed.
 
-        :param response: the whole response.
+        :param response: the complete response.
         """
         if response.status != OK_STATUS:
             return ListingFetched(ok=False)
--- a/savorychute/platforms/http_log.py
+++ b/savorychute/platforms/http_log.py
@@ -1,4 +1,4 @@
-"""The platform's log over HTTP."""
+"""Access to the platform's log over HTTP."""
 
 from __future__ import annotations
 
@@ -26,20 +26,20 @@
 
 
 class AppendedDocument(TypedDict):
-    """The answer to an append."""
+    """The response to an append."""
 
     offset: int
 
 
 class RecordDocument(TypedDict):
-    """One record of a read."""
+    """A record in the response to a read."""
 
     offset: int
     payload_base64: str
 
 
 class RecordsDocument(TypedDict):
-    """The answer to a read."""
+    """The response to a read."""
 
     first_offset: int
     end_offset: int
@@ -51,12 +51,12 @@
 
 
 class HttpLog:
-    """Appends by POST and reads by GET on a stream's records."""
+    """Appends records with POST requests and reads them with GET requests."""
 
     def build_append(self, action: AppendRecord) -> HttpRequest:
         """Return the request that appends a record.
 
-        :param action: stream and payload.
+        :param action: the stream and the payload.
         """
         headers = (('content-type', 'application/octet-stream'),)
         return HttpRequest('POST', _path(action.stream), headers, action.payload)
@@ -64,13 +64,13 @@
     def finish_append(
         self, action: AppendRecord, response: HttpResponse
     ) -> AppendFinished:
-        """Return the outcome that a response tells.
+        """Return the outcome indicated by a response.
 
-        A success whose document cannot be read is ``unknown``, so that the
-        record is looked up instead of being appended once more.
+        A success with a malformed document is ``unknown``, so that the record is
+        looked up instead of being appended again.
 
-        :param action: what was asked.
-        :param response: the whole response.
+        :param action: the append.
+        :param response: the complete response.
         """
         outcome = 'unknown'
         offset = -1
@@ -87,8 +87,8 @@
     def fail_append(self, action: AppendRecord, failure: CallFailure) -> AppendFinished:
         """Return the outcome of a call without a response.
 
-        :param action: what was asked.
-        :param failure: whether a byte was sent.
+        :param action: the append.
+        :param failure: the failure, including whether any byte was sent.
         """
         outcome = 'unknown' if failure.sent else 'refused'
         return AppendFinished(action.append_id, action.stream, outcome)
@@ -96,16 +96,16 @@
     def build_read(self, action: ReadRecords) -> HttpRequest:
         """Return the request that reads records.
 
-        :param action: stream, first offset and bound.
+        :param action: the stream, the first offset and the maximum number of records.
         """
         query = f'from={action.from_offset}&max={action.max_records}'
         return HttpRequest('GET', f'{_path(action.stream)}?{query}')
 
     def finish_read(self, action: ReadRecords, response: HttpResponse) -> RecordsRead:
-        """Return the records of a response.
+        """Return the records in a response.
 
-        :param action: what was asked.
-        :param response: the whole response.
+        :param action: the read.
+        :param response: the complete response.
         """
         if response.status != OK_STATUS:
             return RecordsRead(action.stream, ok=False)
--- a/savorychute/platforms/listing_port.py
+++ b/savorychute/platforms/listing_port.py
@@ -1,4 +1,4 @@
-"""The port to the platform's list of instances."""
+"""The interface to the platform's list of instances."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class ListingPort(Protocol):
-    """How the list is fetched; holds no state of its own."""
+    """Fetches the list over HTTP; stateless."""
 
     def build_fetch(self) -> HttpRequest:
         """Return the request for the list."""
         ...
 
     def read_listing(self, response: HttpResponse) -> ListingFetched:
-        """Return the list of a response."""
+        """Return the list in a response."""
         ...
 
 
--- a/savorychute/platforms/log_port.py
+++ b/savorychute/platforms/log_port.py
@@ -1,4 +1,4 @@
-"""The port to the platform's append-only log."""
+"""The interface to the platform's append-only log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LogPort(Protocol):
-    """How appends and reads become HTTP; holds no state of its own."""
+    """Converts appends and reads to and from HTTP; stateless."""
 
     def build_append(self, action: AppendRecord) -> HttpRequest:
         """Return the request that appends a record."""
@@ -24,7 +24,7 @@
     def finish_append(
         self, action: AppendRecord, response: HttpResponse
     ) -> AppendFinished:
-        """Return the outcome that a response tells."""
+        """Return the outcome indicated by a response."""
         ...
 
     def fail_append(self, action: AppendRecord, failure: CallFailure) -> AppendFinished:
@@ -36,7 +36,7 @@
         ...
 
     def finish_read(self, action: ReadRecords, response: HttpResponse) -> RecordsRead:
-        """Return the records of a response."""
+        """Return the records in a response."""
         ...
 
 
--- a/savorychute/ran.py
+++ b/savorychute/ran.py
@@ -6,7 +6,7 @@
 
 
 class Ran(StrEnum):
-    """What a caller is told about the execution of its request."""
+    """The execution state of a request, as reported to the caller."""
 
     NOT_RUN = 'not-run'
     UNKNOWN = 'unknown'
--- a/savorychute/registry.py
+++ b/savorychute/registry.py
@@ -1,4 +1,4 @@
-"""Registries of named variants, filled by decorators."""
+"""Registries of named variants, populated by decorators."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 class Registry(Generic[T]):
     """The variants of one behaviour, by name.
 
-    :param kind: what the variants are, for error messages.
+    :param kind: a noun for the variants, used in error messages.
     """
 
     def __init__(self, kind: str) -> None:
@@ -25,7 +25,7 @@
     def register(self, name: str) -> Callable[[T], T]:
         """Return a decorator that registers its target under *name*.
 
-        :param name: the name that settings and command lines use.
+        :param name: the name used in settings and on command lines.
         """
 
         def add(variant: T) -> T:
@@ -39,7 +39,7 @@
     def get(self, name: str) -> T:
         """Return the variant called *name*.
 
-        :raises UnknownVariantError: if there is none.
+        :raises UnknownVariantError: if there is no such variant.
         """
         try:
             return self._variants[name]
--- a/savorychute/result_code.py
+++ b/savorychute/result_code.py
@@ -1,4 +1,4 @@
-"""The numbered result codes that callers and operators see."""
+"""Numbered result codes for callers and operators."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class ResultCode(Enum):
-    """A numbered outcome: number, HTTP status, and what it means.
+    """A numbered result: number, HTTP status and meaning.
 
-    Numbers are never reused.  1xxx: the request is at fault, 2xxx: the
-    system refuses work, 3xxx: the outcome of work, 4xxx: configuration,
-    5xxx: settings and command line, 6xxx: between instances.
+    Numbers are never reused.  1xxx: invalid requests, 2xxx: refused work, 3xxx:
+    outcomes of work, 4xxx: configuration, 5xxx: settings and command line, 6xxx:
+    messages between instances.
     """
 
     OK = (0, HTTPStatus.OK, 'answered')
--- a/savorychute/telemetry.py
+++ b/savorychute/telemetry.py
@@ -1,4 +1,4 @@
-"""An instance's events as log lines and metrics."""
+"""Log lines and metrics for an instance's events."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 class Telemetry:
     """Connects an instance's events to its log and its metrics.
 
-    :param log: where lines go.
-    :param metrics: what counts.
-    :param token_hashes: digests of operators' tokens, which never get logged.
+    :param log: the log of the instance.
+    :param metrics: the metrics of the instance.
+    :param token_hashes: digests of operators' tokens, which must not be logged.
     """
 
     def __init__(
@@ -44,39 +44,39 @@
         self._organisation_hashes: dict[str, frozenset[str]] = {}
         self._read_status: Callable[[], StatusDocument] | None = None
         self._read_host: Callable[[], HostSample] | None = None
-        self._log.protect(self._operator_hashes)
+        self._log.set_token_hashes(self._operator_hashes)
 
     def watch(self, events: EventManager) -> None:
-        """Connect to every event that is logged or counted.
+        """Connect to all events that are logged or counted.
 
-        :param events: those of one instance.
+        :param events: the events of the instance.
         """
-        events.connect('request-received', self._receive_request)
-        events.connect('request-finished', self._finish_request)
-        events.connect('configuration-applied', self._apply_change)
-        events.connect('member-changed', self._change_member)
-        events.connect('endpoint-ejected', self._eject_endpoint)
-        events.connect('endpoint-readmitted', self._readmit_endpoint)
-        events.connect('request-quarantined', self._quarantine_request)
-        events.connect('instance-leaving', self._leave)
-
-    def sample_from(
+        events.connect('request-received', self._log_request)
+        events.connect('request-finished', self._record_request)
+        events.connect('configuration-applied', self._record_change)
+        events.connect('member-changed', self._record_member_change)
+        events.connect('endpoint-ejected', self._record_ejection)
+        events.connect('endpoint-readmitted', self._log_readmission)
+        events.connect('request-quarantined', self._record_quarantine)
+        events.connect('instance-leaving', self._log_leaving)
+
+    def set_gauge_sources(
         self,
         read_status: Callable[[], StatusDocument],
         read_host: Callable[[], HostSample] | None = None,
     ) -> None:
-        """Say where gauges are read whenever metrics are rendered.
+        """Set the functions that provide values of gauges when metrics are rendered.
 
-        :param read_status: returns the instance's state in figures.
-        :param read_host: returns what the host counts on its sockets.
+        :param read_status: returns the instance's status.
+        :param read_host: returns the counters of the host's sockets.
         """
         self._read_status = read_status
         self._read_host = read_host
 
     def render(self, accept: str) -> MetricsText:
-        """Return the metrics of this moment.
+        """Return the current metrics.
 
-        :param accept: the content types that the caller takes.
+        :param accept: the content types that the caller accepts.
         """
         if self._read_status is not None:
             self._sample_status(self._read_status())
@@ -85,7 +85,7 @@
         body, headers = self._metrics.render([accept] if accept else [])
         return MetricsText(headers['Content-Type'], body)
 
-    def _receive_request(self, request: CallerRequest) -> None:
+    def _log_request(self, request: CallerRequest) -> None:
         self._log.debug(
             'request-received',
             request.request_id,
@@ -95,7 +95,7 @@
             bytes=len(request.body),
         )
 
-    def _finish_request(self, outcome: RequestOutcome) -> None:
+    def _record_request(self, outcome: RequestOutcome) -> None:
         self._log.info(
             'request-finished',
             outcome.request_id,
@@ -112,16 +112,16 @@
 
     def _count_request(self, outcome: RequestOutcome) -> None:
         metrics = self._metrics
-        # An answer that is kept for its key and given again has no attempt; it
-        # was counted when it ran.
-        answered = outcome.code is ResultCode.OK and outcome.attempts > 0
+        # A stored answer that is returned again for its key has no attempt; it was
+        # counted when the request ran.
+        is_answered = outcome.code is ResultCode.OK and outcome.attempts > 0
         metrics.finish_request(
             outcome.organisation,
             outcome.class_name,
             outcome.code,
             outcome.ran,
             outcome.target_met,
-            outcome.weight if answered else 0.0,
+            outcome.weight if is_answered else 0.0,
         )
         tier = str(outcome.tier)
         metrics.count('attempts_total', outcome.attempts, tier=tier)
@@ -134,10 +134,10 @@
             gaps = outcome.tokens - 1
             metrics.observe('token_gap_ms', outcome.token_gap_ms, outcome.tier, gaps)
 
-    def _apply_change(self, change: AppliedChange) -> None:
+    def _record_change(self, change: AppliedChange) -> None:
         kind, _, name = change.item.partition(':')
         if kind == CONTRACT_KIND:
-            self._protect_organisation(name, change)
+            self._set_organisation_hashes(name, change)
         self._metrics.count('configuration_changes_total', kind=kind)
         self._log.info(
             'configuration-applied',
@@ -148,16 +148,18 @@
             record_id=change.record_id,
         )
 
-    def _protect_organisation(self, organisation: str, change: AppliedChange) -> None:
+    def _set_organisation_hashes(
+        self, organisation: str, change: AppliedChange
+    ) -> None:
         hashes: Iterable[str] = ()
         if change.document is not None:
             hashes = cast('ContractDocument', change.document)['token_hashes']
         self._organisation_hashes[organisation] = frozenset(hashes)
-        self._log.protect(
+        self._log.set_token_hashes(
             self._operator_hashes.union(*self._organisation_hashes.values())
         )
 
-    def _change_member(self, change: MemberChange) -> None:
+    def _record_member_change(self, change: MemberChange) -> None:
         self._metrics.count('member_changes_total', state=change.to_state)
         self._log.info(
             'member-changed',
@@ -167,18 +169,18 @@
             to_state=change.to_state,
         )
 
-    def _eject_endpoint(self, change: EndpointChange) -> None:
+    def _record_ejection(self, change: EndpointChange) -> None:
         self._metrics.count('endpoint_ejections_total')
         self._log.warning('endpoint-ejected', endpoint=change.endpoint)
 
-    def _readmit_endpoint(self, change: EndpointChange) -> None:
+    def _log_readmission(self, change: EndpointChange) -> None:
         self._log.info('endpoint-readmitted', endpoint=change.endpoint)
 
-    def _quarantine_request(self, entry: AuditEntry) -> None:
+    def _record_quarantine(self, entry: AuditEntry) -> None:
         self._metrics.count('quarantines_total')
         self._log.warning('request-quarantined', item=entry.item)
 
-    def _leave(self, address: MemberAddress) -> None:
+    def _log_leaving(self, address: MemberAddress) -> None:
         self._log.info('instance-leaving', incarnation=address.incarnation)
 
     def _sample_status(self, status: StatusDocument) -> None:
@@ -199,6 +201,6 @@
     def _sample_host(self, sample: HostSample) -> None:
         metrics = self._metrics
         metrics.set('open_connections', sample.open_connections)
-        metrics.raise_to('peer_sent_bytes_total', sample.peer_sent_bytes)
-        metrics.raise_to('peer_dropped_total', sample.peer_dropped)
-        metrics.raise_to('peer_rejected_total', sample.peer_rejected)
+        metrics.set_total('peer_sent_bytes_total', sample.peer_sent_bytes)
+        metrics.set_total('peer_dropped_total', sample.peer_dropped)
+        metrics.set_total('peer_rejected_total', sample.peer_rejected)
--- a/savorychute/util/__init__.py
+++ b/savorychute/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers without a part of their own."""
+"""Small helpers used by several packages."""
--- a/savorychute/util/bucket_counts.py
+++ b/savorychute/util/bucket_counts.py
@@ -1,4 +1,4 @@
-"""Counts of values by bucket."""
+"""Histogram counts by bucket."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class BucketCounts:
-    """A histogram whose observation costs one bisection.
+    """A histogram that records an observation with one bisection.
 
-    :param bounds: the buckets' upper bounds, ascending; one more bucket is
-        for what is above all of them.
+    :param bounds: the buckets' upper bounds in ascending order; one more bucket
+        counts values above all of them.
     """
 
     def __init__(self, bounds: Sequence[float]) -> None:
--- a/savorychute/util/label_bound.py
+++ b/savorychute/util/label_limiter.py
@@ -1,4 +1,4 @@
-"""A bound on the values of a label."""
+"""A limit on the number of values of a label."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 OTHER = 'other'
 
 
-class LabelBound:
-    """Keeps the number of a label's values bounded.
+class LabelLimiter:
+    """Limits the number of distinct values of a label.
 
-    An organisation that makes up names must not make the instance's memory grow:
-    past the bound every new value counts as ``other``.
+    An organisation that sends arbitrary names must not increase the instance's
+    memory without limit: beyond the limit every new value counts as ``other``.
 
-    :param limit: how many values are told apart.
+    :param limit: the maximum number of distinct values.
     """
 
     def __init__(self, limit: int = MAX_LABEL_VALUES) -> None:
@@ -20,7 +20,7 @@
         self._known: set[str] = set()
 
     def admit(self, value: str) -> str:
-        """Return *value*, or ``other`` if there are too many already."""
+        """Return *value*, or ``other`` if it is new and the limit is reached."""
         if value in self._known:
             return value
         if len(self._known) >= self._limit:
--- a/savorychute/util/rst_table.py
+++ b/savorychute/util/rst_table.py
@@ -1,4 +1,4 @@
-"""Tables of reStructuredText."""
+"""Formatting of reStructuredText tables and titles."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def format_table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
     """Return a simple table.
 
-    :param head: the titles of the columns.
-    :param rows: the cells; the first one of a row must not be empty.
+    :param head: the column titles.
+    :param rows: the cells; the first cell of a row must not be empty.
     """
     widths = [
         max(len(row[column]) for row in (head, *rows)) for column in range(len(head))
@@ -25,15 +25,15 @@
 
 
 def format_title(title: str, mark: str = '=') -> str:
-    """Return a heading and the blank line after it.
+    """Return a heading followed by a blank line.
 
     :param title: the text.
-    :param mark: what it is underlined with.
+    :param mark: the character of the underline.
     """
     return f'{title}\n{mark * len(title)}\n\n'
 
 
 def _format_row(row: Sequence[str], widths: Sequence[int]) -> str:
-    # An empty cell at the end would leave blanks that editors strip.
+    # An empty last cell would leave trailing blanks, which editors strip.
     cells = [cell.ljust(width) for cell, width in zip(row, widths, strict=True)]
     return '  '.join(cells).rstrip()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What holds for all tests."""
+"""Configuration for all tests."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 def discard(message):
-    """Drop a log line that no test asked for."""
+    """Discard a log line that no test has requested."""
     del message
 
 
-# Without any destination eliot keeps lines and gives them to the first one that
-# is added: a test would see those of tests that happened to run before it.
+# Without a destination eliot buffers lines and passes them to the first destination
+# that is added, so a test would see the lines of tests that ran before it.
 add_destinations(discard)
 
-# Hypothesis draws from the constants of all modules that are loaded.  If a test loaded
-# some, the examples of a law would depend on which tests the same worker ran before.
+# Hypothesis draws from the constants of all loaded modules.  If tests loaded modules,
+# the examples would depend on which tests the same worker ran before.
 load_all(savorychute)
 load_all(benches)
--- a/tests/test_application.py
+++ b/tests/test_application.py
@@ -1,4 +1,4 @@
-"""Tests of the application and its extensions."""
+"""Tests for the application and its extensions."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 @pytest.fixture
 def extension(monkeypatch):
     module = types.ModuleType(NAME)
-    module.seen = []
+    module.received = []
     module.setup = lambda application: application.connect(
-        'request-finished', module.seen.append
+        'request-finished', module.received.append
     )
     monkeypatch.setitem(sys.modules, NAME, module)
     return module
 
 
-def test_extension_hears_of_finished_requests(extension):
+def test_extension_receives_finished_requests(extension):
     settings = build_settings({**DOCUMENT, 'extensions': [NAME]})
     solo = Solo(contracts=[make_contract()], endpoints=[make_engine('engine-1')])
     log = InstanceLog('entry-1')
@@ -52,10 +52,10 @@
     solo.deliver(AttemptStarted(attempt_id, 200, 'text/event-stream', 's'))
     solo.deliver(AttemptEnded(attempt_id, 0))
 
-    assert [outcome.request_id for outcome in extension.seen] == ['r1']
+    assert [outcome.request_id for outcome in extension.received] == ['r1']
 
 
 @pytest.mark.parametrize('name', ['no_such_module_anywhere', 'json'])
-def test_module_that_is_no_extension_is_refused(name):
+def test_invalid_extension_module_is_refused(name):
     with pytest.raises(SettingsError, match=name):
         build_settings({**DOCUMENT, 'extensions': [name]})
--- a/tests/test_platforms/test_http_platform.py
+++ b/tests/test_platforms/test_http_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's log and list over HTTP."""
+"""Tests for the platform's log and list over HTTP."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 
 
 @pytest.mark.parametrize('sent, outcome', [(True, 'unknown'), (False, 'refused')])
-def test_lost_reply_is_unknown_only_if_the_append_was_sent(sent, outcome):
-    """Lost reply.
+def test_lost_response_is_unknown_only_if_the_append_was_sent(sent, outcome):
+    """The log stores a record, but its response is lost.
 
-    The log takes the record and its reply is lost.  Called refused, the record
-    would be appended again; called appended, nobody would look it up.
+    If the append counted as refused, the record would be appended again; if it
+    counted as appended, the record would not be looked up.
     """
     failure = CallFailure(sent, sent, 'why')
 
@@ -89,7 +89,7 @@
         ),
     ],
 )
-def test_records_that_cannot_be_read_are_no_answer(response):
+def test_malformed_records_are_not_ok(response):
     assert LOG.finish_read(READ, response) == RecordsRead('audit', ok=False)
 
 
@@ -104,5 +104,5 @@
 @pytest.mark.parametrize(
     'response', [respond(500), respond(200, b'{"live": [{}], "leaving": []}')]
 )
-def test_list_that_cannot_be_read_is_no_answer(response):
+def test_malformed_list_is_not_ok(response):
     assert not LISTING.read_listing(response).ok
--- a/tests/test_plumbing/test_log_writer.py
+++ b/tests/test_plumbing/test_log_writer.py
@@ -1,4 +1,4 @@
-"""A log that nobody reads holds nothing up."""
+"""A log whose reader stops does not block the instance."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def pipe():
-    """Open a pipe; return its reading end and a file for its writing end."""
+    """Open a pipe; return its read end and a file for its write end."""
     reading, writing = os.pipe()
     os.set_blocking(reading, False)
     with os.fdopen(writing, 'wb', buffering=0) as file:
@@ -41,15 +41,15 @@
     assert read_lines(reading) == [MESSAGE]
 
 
-def test_reader_that_stops_holds_nothing_up(pipe):
-    """Whoever collects the log is stopped, and the pipe fills.
+def test_stopped_reader_does_not_block_the_writer(pipe):
+    """The process that reads the log stops, and the pipe fills up.
 
-    A plain write would wait: the instance would answer neither callers nor
-    probes, and its peers would take it for dead.  Nothing waits here; when
-    the reader goes on, it gets whole lines and the number of lost ones.
+    A blocking write would stall the instance, so that it answers neither callers
+    nor probes and its peers declare it dead.  The writer must not block; when the
+    reader resumes, it gets complete lines and the number of lost ones.
     """
     reading, file = pipe
-    writer = LogWriter(file, max_waiting_bytes=10_000)
+    writer = LogWriter(file, max_buffered_bytes=10_000)
     total = 5_000
     for number in range(total):
         writer({**MESSAGE, 'count': number})
@@ -64,10 +64,10 @@
     assert lost > 0
 
 
-def test_reader_that_goes_away_stops_nothing():
-    """Whoever collects the log dies, and every write to the pipe fails.
+def test_exited_reader_does_not_stop_the_writer():
+    """The process that reads the log exits, and every write to the pipe fails.
 
-    The instance must go on answering callers; its log is lost.
+    The instance must continue to answer callers; its log is lost.
     """
     reading, writing = os.pipe()
     with os.fdopen(writing, 'wb', buffering=0) as file:
@@ -78,7 +78,7 @@
         assert writer.dropped == 3
 
 
-def test_line_that_is_too_long_is_counted():
+def test_too_long_line_is_dropped_and_counted():
     file = io.BytesIO()
     writer = LogWriter(file)
     writer({'message_type': 'x' * 5_000})
@@ -87,7 +87,7 @@
     assert lines == [{'message_type': DROPPED_EVENT, 'count': 1}, MESSAGE]
 
 
-def test_unknown_object_is_written_by_its_type():
+def test_unknown_object_is_written_as_its_type():
     file = io.BytesIO()
     LogWriter(file)({'value': io.StringIO('a prompt')})
     assert json.loads(file.getvalue()) == {'value': 'StringIO'}
--- a/tests/test_plumbing/test_logs.py
+++ b/tests/test_plumbing/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines can be followed by request, and hold no secret."""
+"""Log lines can be traced by request, and contain no secrets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     REMOVED,
     InstanceLog,
     LogLevel,
-    capture_libraries,
+    capture_library_logs,
     open_log,
 )
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def lines():
-    """Collect the lines that are written during a test."""
+    """Return a function that returns the lines written during the test."""
     file = io.BytesIO()
     with open_log(file):
         yield lambda: [json.loads(line) for line in file.getvalue().splitlines()]
@@ -45,15 +45,15 @@
     assert (line['organisation'], line['tier']) == ('malanadu', 0)
 
 
-def test_one_request_is_followed_over_two_instances(lines):
+def test_request_is_traced_over_two_instances(lines):
     InstanceLog('a-1').info('request-redirected', 'q-1')
     InstanceLog('a-2').info('request-received', 'q-1')
     InstanceLog('a-2').info('request-received', 'q-2')
-    followed = [line['instance'] for line in lines() if line['request_id'] == 'q-1']
-    assert followed == ['a-1', 'a-2']
+    traced = [line['instance'] for line in lines() if line['request_id'] == 'q-1']
+    assert traced == ['a-1', 'a-2']
 
 
-def test_level_of_the_settings_decides(lines):
+def test_lines_below_the_level_are_dropped(lines):
     log = InstanceLog('a-1', LogLevel.WARNING)
     log.debug('one')
     log.info('two')
@@ -70,11 +70,11 @@
 def test_token_in_a_harmless_field_is_removed(lines):
     """A caller mixes up two headers and sends its token as its class.
 
-    The refusal is logged with the unknown class, so the log would hold a
-    token that works.  Its digest is known, so the value is removed.
+    The refusal is logged with the unknown class, so the log would contain a valid
+    token.  Its digest is known, so the value is removed.
     """
     log = InstanceLog('a-1')
-    log.protect([hashlib.sha256(TOKEN.encode()).hexdigest()])
+    log.set_token_hashes([hashlib.sha256(TOKEN.encode()).hexdigest()])
     log.info('request-refused', TOKEN, class_name=TOKEN, organisation='malanadu')
     [line] = lines()
     assert TOKEN not in json.dumps(line)
@@ -87,10 +87,10 @@
     field=st.sampled_from(sorted(FIELDS)),
     words=st.lists(st.text(min_size=1, max_size=8), min_size=2, max_size=9),
 )
-def test_text_never_gets_through(field, words):
-    """An endpoint's error repeats the prompt, and a part logs it as a reason.
+def test_text_with_blanks_is_removed(field, words):
+    """An endpoint's error contains the prompt, and it is logged as a reason.
 
-    No field lets through anything with a blank in it.
+    No field may contain a string with blanks.
     """
     prompt = ' '.join(words)
     file = io.BytesIO()
@@ -104,13 +104,13 @@
     assert lines()[0]['reason'] == REMOVED
 
 
-def test_libraries_log_no_text(lines):
-    """A callback fails and asyncio logs the callback's whole representation.
+def test_library_records_are_logged_without_text(lines):
+    """A callback fails and asyncio logs the callback's representation.
 
-    With it would go the request that the callback holds.
+    The log would then contain the request that the callback refers to.
     """
     log = InstanceLog('a-1')
-    with capture_libraries(log):
+    with capture_library_logs(log):
         try:
             raise ValueError('the prompt')
         except ValueError:
@@ -124,18 +124,18 @@
     )
 
 
-def test_no_part_logs_a_field_that_would_be_dropped():
-    """Somebody logs a new field and never sees it: the filter drops it.
+def test_all_logged_fields_are_in_the_table():
+    """A new field is logged but not in the table, so the filter drops it.
 
-    The table of fields has to be extended with it, or the call mended.
+    Either the table of fields must be extended, or the call corrected.
     """
-    strays = []
+    unknown = []
     for path in Path(savorychute.__file__).parent.rglob('*.py'):
         for node in ast.walk(ast.parse(path.read_text('utf-8'))):
             if isinstance(node, ast.Call) and is_log_call(node.func):
                 names = {keyword.arg for keyword in node.keywords if keyword.arg}
-                strays += [f'{path.name}: {name}' for name in names - set(FIELDS)]
-    assert strays == []
+                unknown += [f'{path.name}: {name}' for name in names - set(FIELDS)]
+    assert unknown == []
 
 
 def is_log_call(called: ast.expr) -> bool:
--- a/tests/test_plumbing/test_metrics.py
+++ b/tests/test_plumbing/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics are rendered for Prometheus, and stay bounded."""
+"""Metrics are rendered for Prometheus, and their number is limited."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from savorychute.metrics import MAX_SERIES, Metrics
 from savorychute.ran import Ran
 from savorychute.result_code import ResultCode
-from savorychute.util.label_bound import MAX_LABEL_VALUES
+from savorychute.util.label_limiter import MAX_LABEL_VALUES
 
 
 @pytest.fixture
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def samples(metrics):
-    """Return the value of each series that is rendered."""
+    """Return a function that returns the value of each rendered series."""
 
     def read() -> dict[str, float]:
         text = metrics.render()[0].decode()
@@ -28,19 +28,19 @@
     return read
 
 
-def test_finished_request_counts_once_everywhere(metrics, samples):
+def test_finished_request_is_counted_once_in_each_metric(metrics, samples):
     metrics.finish_request('malanadu', 'diagnosis', ResultCode.OK, Ran.RAN, True, 2.5)
-    where = 'class="diagnosis"'
+    labels = 'class="diagnosis"'
     assert samples() == {
-        f'savorychute_requests_total{{{where},code="0",instance="a-1",'
+        f'savorychute_requests_total{{{labels},code="0",instance="a-1",'
         'organisation="malanadu",ran="ran"}': 1,
-        f'savorychute_targets_total{{{where},instance="a-1",met="true",'
+        f'savorychute_targets_total{{{labels},instance="a-1",met="true",'
         'organisation="malanadu"}': 1,
-        f'savorychute_goodput_total{{{where},instance="a-1",organisation="malanadu"}}': 2.5,
+        f'savorychute_goodput_total{{{labels},instance="a-1",organisation="malanadu"}}': 2.5,
     }
 
 
-def test_refusal_without_a_target_counts_no_target(metrics, samples):
+def test_refusal_without_a_target_does_not_count_a_target(metrics, samples):
     metrics.finish_request('a', 'b', ResultCode.OVERLOADED, Ran.NOT_RUN)
     [only] = samples()
     assert 'code="2001"' in only
@@ -62,11 +62,11 @@
         assert list(at.values()) == [1, 2, 2, 3, 3, 4]
 
 
-def test_made_up_names_do_not_grow_the_memory(metrics, samples):
+def test_arbitrary_names_do_not_increase_memory_without_limit(metrics, samples):
     """An organisation sends a new class name with every request.
 
-    Each one would be a series of its own, kept until the restart, until the
-    instance has no memory left.
+    Without a limit each name would add a series that is kept until a restart, and
+    the instance would run out of memory.
     """
     for number in range(5_000):
         metrics.finish_request('a', f'c-{number}', ResultCode.OVERLOADED, Ran.NOT_RUN)
@@ -75,7 +75,7 @@
     assert sum(read.values()) == 5_000
 
 
-def test_combinations_are_bounded_too(metrics, samples):
+def test_combinations_are_limited_too(metrics, samples):
     for organisation in range(60):
         for name in range(60):
             metrics.count(
--- a/tests/test_plumbing/test_telemetry.py
+++ b/tests/test_plumbing/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Events of an instance show up as log lines and metrics."""
+"""Events of an instance are written as log lines and metrics."""
 
 from __future__ import annotations
 
@@ -57,13 +57,13 @@
 @pytest.fixture
 def telemetry(events):
     file = io.BytesIO()
-    watcher = Telemetry(InstanceLog('a-1', LogLevel.DEBUG), Metrics('a-1'))
-    watcher.watch(events)
+    telemetry = Telemetry(InstanceLog('a-1', LogLevel.DEBUG), Metrics('a-1'))
+    telemetry.watch(events)
     with open_log(file):
-        watcher.read_lines = lambda: [
+        telemetry.read_lines = lambda: [
             json.loads(line) for line in file.getvalue().splitlines()
         ]
-        yield watcher
+        yield telemetry
 
 
 def read_metrics(telemetry):
@@ -78,8 +78,8 @@
     assert line['request_id'] == 'q-1'
     assert (line['organisation'], line['code'], line['ran']) == ('malanadu', 0, 'ran')
     read = read_metrics(telemetry)
-    where = 'class="diagnosis",instance="a-1",organisation="malanadu"'
-    assert read[f'goodput_total{{{where}}}'] == 2
+    labels = 'class="diagnosis",instance="a-1",organisation="malanadu"'
+    assert read[f'goodput_total{{{labels}}}'] == 2
     tier = 'instance="a-1",tier="0"'
     assert read[f'attempts_total{{{tier}}}'] == 2
     assert read[f'wasted_tokens_total{{{tier}}}'] == 7
@@ -103,11 +103,11 @@
     assert any('code="2001"' in name for name in read)
 
 
-def test_kept_answer_counts_once_for_goodput(events, telemetry):
-    """A caller loses the answer to a booking and asks again by the same key.
+def test_stored_answer_counts_once_for_goodput(events, telemetry):
+    """A caller loses the answer to a booking and retries with the same key.
 
-    It gets the kept answer.  Counted again, lost connections would look like
-    useful work.
+    It gets the stored answer.  If that were counted again, lost connections would
+    increase the goodput.
     """
     events.emit('request-finished', ANSWERED)
     events.emit('request-finished', ANSWERED._replace(attempts=0, tokens=0))
@@ -116,10 +116,10 @@
     assert goodput == 2
 
 
-def test_new_contract_protects_its_token(events, telemetry):
-    """A contract with a new token comes into force while an instance runs.
+def test_token_of_a_new_contract_is_not_logged(events, telemetry):
+    """A contract with a new token is applied while an instance runs.
 
-    From then on the token must stay out of the log, without a restart.
+    From then on, without a restart, the token must not appear in the log.
     """
     digest = hashlib.sha256(b'fresh-token').hexdigest()
     document = {'organisation': 'hooghly', 'token_hashes': [digest]}
@@ -143,7 +143,7 @@
 
 def test_gauges_are_read_when_rendered(telemetry):
     status = dict(STATUS)
-    telemetry.sample_from(lambda: status, lambda: HostSample(5, 4_096, 0, 2))
+    telemetry.set_gauge_sources(lambda: status, lambda: HostSample(5, 4_096, 0, 2))
     read = read_metrics(telemetry)
     assert read['queued_requests{instance="a-1",pool="llama",tier="0"}'] == 4
     assert read['configuration_offset{instance="a-1"}'] == 17
@@ -152,6 +152,6 @@
     assert not any('queued_requests' in name for name in read_metrics(telemetry))
 
 
-def test_no_watched_event_is_misspelt(events, telemetry):
-    watched = {name for name, calls in events._callbacks.items() if calls}
-    assert len(watched) == 8
+def test_all_connected_events_exist(events, telemetry):
+    connected = {name for name, calls in events._callbacks.items() if calls}
+    assert len(connected) == 8
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Tests of registries."""
+"""Tests for registries."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from savorychute.registry import Registry
 
 
-def test_unknown_variant_names_the_known_ones():
+def test_unknown_variant_error_lists_the_known_ones():
     registry: Registry[str] = Registry('router')
     registry.register('predicted')('variant')
 
@@ -16,7 +16,7 @@
         registry.get('x')
 
 
-def test_second_registration_of_a_name_is_refused():
+def test_duplicate_registration_is_refused():
     registry: Registry[str] = Registry('router')
     registry.register('predicted')('variant')
 
