--- a/savorychute/leases/lease_manager.py
+++ b/savorychute/leases/lease_manager.py
@@ -73,7 +73,7 @@
         self.holder = f'{instance}.{rng.getrandbits(HOLDER_BITS):012x}'
         self._table = LeaseTable()
         self._wanted: dict[str, None] = {}
-        self._sent: dict[str, SentClaim] = {}
+        self._sent_claims: dict[str, SentClaim] = {}
         self._claim_at_ms: dict[str, int] = {}
         self._hold_until_ms: dict[str, int] = {}
         self._fencing: dict[str, int] = {}
@@ -192,14 +192,14 @@
             return []
         if finished.outcome == 'refused':
             claim_id = finished.append_id.removeprefix(LEASE_APPEND_PREFIX)
-            self._sent.pop(claim_id, None)
+            self._sent_claims.pop(claim_id, None)
             return []
         self._next_read_ms = now_ms
         return self._read(now_ms)
 
     def _apply_term(self, term: LeaseTerm, now_ms: int) -> None:
         name = term.name
-        claim = self._sent.pop(term.claim_id, None)
+        claim = self._sent_claims.pop(term.claim_id, None)
         self._claim_at_ms.pop(name, None)
         if claim is None or term.released:
             if term.holder != self.holder and name in self._hold_until_ms:
@@ -242,7 +242,7 @@
         timeout_ms = CLAIM_TIMEOUT_POLLS * self._settings.poll_interval_ms
         return any(
             claim.name == name and now_ms - claim.sent_ms < timeout_ms
-            for claim in self._sent.values()
+            for claim in self._sent_claims.values()
         )
 
     def _is_free(self, name: str, now_ms: int) -> bool:
@@ -262,15 +262,15 @@
         duration_ms = record['duration_ms']
         claim = SentClaim(record['claim_id'], name, now_ms, duration_ms)
         self._drop_expired_claims(now_ms)
-        self._sent[claim.claim_id] = claim
+        self._sent_claims[claim.claim_id] = claim
         self._claim_at_ms.pop(name, None)
         self._budget.take('lease', now_ms)
         return [self._append(record)]
 
     def _drop_expired_claims(self, now_ms: int) -> None:
-        self._sent = {
+        self._sent_claims = {
             claim_id: claim
-            for claim_id, claim in self._sent.items()
+            for claim_id, claim in self._sent_claims.items()
             if now_ms - claim.sent_ms < claim.duration_ms
         }
 
@@ -301,7 +301,7 @@
         self._changes.append(LeaseChange(name, change, fencing, why))
 
     def _read(self, now_ms: int) -> list[Action]:
-        if not self._wanted and not self._sent:
+        if not self._wanted and not self._sent_claims:
             return []
         if self._read_sent_ms is not None:
             if now_ms - self._read_sent_ms < self._settings.read_timeout_ms:
--- a/savorychute/leases/lease_record.py
+++ b/savorychute/leases/lease_record.py
@@ -48,10 +48,12 @@
         record = _DECODER.decode(payload)
     except (msgspec.MsgspecError, RecursionError):
         return None
-    is_known = record['kind'] in (CLAIM_KIND, RELEASE_KIND)
-    is_named = 0 < len(record['name']) <= MAX_NAME_CHARACTERS
-    is_held = 0 < len(record['holder']) <= MAX_NAME_CHARACTERS
-    is_bounded = 0 < record['duration_ms'] <= MAX_DURATION_MS
-    if not (is_known and is_named and is_held and is_bounded):
+    is_valid_kind = record['kind'] in (CLAIM_KIND, RELEASE_KIND)
+    has_valid_name = 0 < len(record['name']) <= MAX_NAME_CHARACTERS
+    has_valid_holder = 0 < len(record['holder']) <= MAX_NAME_CHARACTERS
+    has_valid_duration = 0 < record['duration_ms'] <= MAX_DURATION_MS
+    if not (
+        is_valid_kind and has_valid_name and has_valid_holder and has_valid_duration
+    ):
         return None
     return record
--- a/savorychute/leases/order_handler.py
+++ b/savorychute/leases/order_handler.py
@@ -40,7 +40,7 @@
         self._settings = settings
         self._leases = leases
         self._endpoints: Mapping[str, EndpointDocument] = {}
-        self._sent: dict[str, SentOrder] = {}
+        self._sent_orders: dict[str, SentOrder] = {}
         self._completed: dict[tuple[str, str], SentOrder] = {}
         self._reported_models: dict[str, ReportedModels] = {}
         self._results: deque[OrderResult] = deque(maxlen=settings.max_order_history)
@@ -74,7 +74,7 @@
 
         :param lease: the lease's name.
         """
-        return sum(order.request.lease == lease for order in self._sent.values())
+        return sum(order.request.lease == lease for order in self._sent_orders.values())
 
     def request_order(
         self, request: OrderRequest, now_ms: int
@@ -92,7 +92,7 @@
 
         :param finished: the response.
         """
-        order = self._sent.pop(finished.order_id, None)
+        order = self._sent_orders.pop(finished.order_id, None)
         if order is None:
             return []
         if finished.outcome == 'fenced':
@@ -131,11 +131,11 @@
             self._observed_since_ms = now_ms
         late = [
             order
-            for order in self._sent.values()
+            for order in self._sent_orders.values()
             if now_ms - order.sent_ms >= self._settings.order_timeout_ms
         ]
         for order in late:
-            del self._sent[order.request.order_id]
+            del self._sent_orders[order.request.order_id]
             self._record_completion(order, False, now_ms)
         return [self._finish(order, 'unknown') for order in late]
 
@@ -150,7 +150,7 @@
         if document is None:
             return [self._finish(order, 'refused')]
         self._completed.pop((request.endpoint, request.target), None)
-        self._sent[request.order_id] = order
+        self._sent_orders[request.order_id] = order
         reported = self._reported_models.get(request.endpoint)
         return [
             SendOrder(
@@ -195,7 +195,7 @@
         own_targets = {target for name, target in self._completed if name == endpoint}
         own_targets |= {
             order.request.target
-            for order in self._sent.values()
+            for order in self._sent_orders.values()
             if order.request.endpoint == endpoint
         }
         changed = (previous.models ^ reported.models) - own_targets
--- a/savorychute/logs.py
+++ b/savorychute/logs.py
@@ -94,7 +94,7 @@
         """
         if level < self.level:
             return
-        kept = {
+        cleaned = {
             name: self._clean(value) for name, value in fields.items() if name in FIELDS
         }
         eliot.log_message(
@@ -102,7 +102,7 @@
             level=level.name.lower(),
             instance=self.instance,
             request_id=self._clean(request_id),
-            **kept,
+            **cleaned,
         )
 
     def _clean(self, value: Value) -> Value:
@@ -133,13 +133,13 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Log the library's name, the level and the type of the exception."""
-        kind = record.exc_info[0] if record.exc_info else None
+        exception_type = record.exc_info[0] if record.exc_info else None
         level = min(max(record.levelno // 10 * 10, LogLevel.DEBUG), LogLevel.ERROR)
         self._log.write(
             LogLevel(level),
             'library-logged',
             logger=record.name,
-            error=kind.__name__ if kind else '',
+            error=exception_type.__name__ if exception_type else '',
         )
 
 
@@ -163,9 +163,9 @@
     """Write log records of libraries to *log* instead of standard error."""
     handler = LibraryLogHandler(log)
     root = logging.getLogger()
-    before = root.handlers[:]
+    previous_handlers = root.handlers[:]
     root.handlers[:] = [handler]
     try:
         yield
     finally:
-        root.handlers[:] = before
+        root.handlers[:] = previous_handlers
--- a/savorychute/membership/discovery.py
+++ b/savorychute/membership/discovery.py
@@ -41,14 +41,16 @@
     :param loads: the known loads of the region's instances.
     """
     usable = [m for m in view.alive if m.instance not in view.suspects]
-    near = [m for m in usable if m.region == view.own.region]
-    far = [m for m in usable if m.region != view.own.region]
-    count = min(len(near), max(settings.min_seats, seats))
-    ranked = choose_homes(organisation, near, len(near))
-    mean = _mean_load(near, loads or {})
+    local_members = [m for m in usable if m.region == view.own.region]
+    remote_members = [m for m in usable if m.region != view.own.region]
+    count = min(len(local_members), max(settings.min_seats, seats))
+    ranked = choose_homes(organisation, local_members, len(local_members))
+    mean = _mean_load(local_members, loads or {})
     chosen = _skip_busy(ranked, count, settings, loads or {}, mean, rng)
     rng.shuffle(chosen)
-    chosen.extend(choose_homes(organisation, far, _count_far(settings, len(chosen))))
+    chosen.extend(
+        choose_homes(organisation, remote_members, _count_remote(settings, len(chosen)))
+    )
     lifetime_ms = rng.randint(settings.min_lifetime_ms, settings.max_lifetime_ms)
     return DiscoveryAnswer(tuple(chosen), lifetime_ms)
 
@@ -86,5 +88,5 @@
     return sum(known) / len(known) if known else 0.0
 
 
-def _count_far(settings: DiscoverySettings, near_seats: int) -> int:
-    return settings.far_seats + max(0, settings.min_seats - near_seats)
+def _count_remote(settings: DiscoverySettings, local_seats: int) -> int:
+    return settings.far_seats + max(0, settings.min_seats - local_seats)
--- a/savorychute/membership/membership.py
+++ b/savorychute/membership/membership.py
@@ -172,7 +172,7 @@
         if isinstance(message, Ack):
             return self._handle_ack(message, now_ms)
         if isinstance(message, PingRequest):
-            return self._prober.relay(message, self._ping_of, now_ms)
+            return self._prober.relay(message, self._build_ping, now_ms)
         if isinstance(message, RelayedAck):
             self._apply((message.target,), 'answered another member', now_ms)
             self._prober.record_ack(message.target.address.instance, message.sequence)
@@ -197,7 +197,7 @@
         self._compensate_for_pause(now_ms)
         actions: list[Action] = []
         actions.extend(self._fetch_listing(now_ms))
-        actions.extend(self._prober.tick(self._own.address, self._ping_of, now_ms))
+        actions.extend(self._prober.tick(self._own.address, self._build_ping, now_ms))
         for update in self._prober.pop_state_updates(now_ms):
             self._apply((update,), 'no answer', now_ms)
         actions.extend(self._send_gossip(now_ms))
@@ -292,7 +292,7 @@
             return updates
         return (record.update, *updates)
 
-    def _ping_of(self, sequence: int, target: MemberAddress, now_ms: int) -> Ping:
+    def _build_ping(self, sequence: int, target: MemberAddress, now_ms: int) -> Ping:
         updates = self._updates_for(MemberUpdate(target), now_ms)
         return Ping(
             sequence,
@@ -349,7 +349,7 @@
             return []
         listed = [address for address in dead if address.instance in self._listed]
         target = self._rng.choice(listed or dead)
-        return [send_to(target, self._ping_of(0, target, now_ms))]
+        return [send_to(target, self._build_ping(0, target, now_ms))]
 
     def _fetch_listing(self, now_ms: int) -> list[Action]:
         if self._next_listing_ms is not None and now_ms < self._next_listing_ms:
--- a/savorychute/membership/prober.py
+++ b/savorychute/membership/prober.py
@@ -135,7 +135,7 @@
         self._relays[self._sequence] = Relay(
             request.origin.address, request.sequence, now_ms
         )
-        return [self._ping(request.target, make_ping, now_ms)]
+        return [self._build_ping_action(request.target, make_ping, now_ms)]
 
     def extend_waits(self, gap_ms: int) -> None:
         """Extend the wait for an acknowledgement after a pause of this instance.
@@ -168,10 +168,10 @@
             return []
         self._sequence += 1
         self._probe = Probe(self._sequence, target, now_ms)
-        return [self._ping(target, make_ping, now_ms)]
+        return [self._build_ping_action(target, make_ping, now_ms)]
 
     def _next_target(self, own: MemberAddress) -> MemberAddress | None:
-        self._schedule_new(own)
+        self._schedule_new_members(own)
         for _ in range(2):
             while self._round:
                 record = self._table.get(self._round.pop())
@@ -179,10 +179,10 @@
                     return record.update.address
             self._scheduled.clear()
             self._seen_version = -1
-            self._schedule_new(own)
+            self._schedule_new_members(own)
         return None
 
-    def _schedule_new(self, own: MemberAddress) -> None:
+    def _schedule_new_members(self, own: MemberAddress) -> None:
         """Insert new members into the current round at random positions.
 
         If they waited for the next round, members that were all replaced at the
@@ -260,7 +260,7 @@
             for helper in self._rng.sample(helpers, count)
         ]
 
-    def _ping(
+    def _build_ping_action(
         self, target: MemberAddress, make_ping: MakePing, now_ms: int
     ) -> SendPeer:
         ping = make_ping(self._sequence, target, now_ms)
--- a/savorychute/membership/region_map.py
+++ b/savorychute/membership/region_map.py
@@ -61,17 +61,17 @@
 
     def digest_targets(self) -> list[MemberAddress]:
         """Return the members to compare tables with now."""
-        near = self.members().get(self._address.region)
-        targets = [self._rng.choice(near)] if near else []
+        local_members = self.members().get(self._address.region)
+        targets = [self._rng.choice(local_members)] if local_members else []
         if self.is_representative():
             targets.extend(self._remote_targets())
         return targets
 
     def gossip_targets(self) -> list[MemberAddress]:
         """Return the members to send new updates to."""
-        near = self.members().get(self._address.region, [])
-        count = min(self._settings.gossip_fanout, len(near))
-        targets = self._rng.sample(near, count)
+        local_members = self.members().get(self._address.region, [])
+        count = min(self._settings.gossip_fanout, len(local_members))
+        targets = self._rng.sample(local_members, count)
         if self.is_representative():
             targets.extend(self._remote_targets())
         return targets
@@ -79,9 +79,9 @@
     def announcement_targets(self) -> list[MemberAddress]:
         """Return the members to notify when this instance joins or leaves."""
         members = self.members()
-        near = members.get(self._address.region, [])
-        count = min(2 * self._settings.gossip_fanout, len(near))
-        targets = self._rng.sample(near, count)
+        local_members = members.get(self._address.region, [])
+        count = min(2 * self._settings.gossip_fanout, len(local_members))
+        targets = self._rng.sample(local_members, count)
         for region in members:
             if region != self._address.region:
                 targets.append(self._rng.choice(self._representatives[region]))
