--- a/savorychute/instance/parts.py
+++ b/savorychute/instance/parts.py
@@ -13,8 +13,8 @@
 from savorychute.events import EventManager
 from savorychute.instance.directory import Directory
 from savorychute.instance.request_table import RequestTable
-from savorychute.leases.lease_keeper import LeaseKeeper
-from savorychute.leases.order_desk import OrderDesk
+from savorychute.leases.lease_manager import LeaseManager
+from savorychute.leases.order_handler import OrderHandler
 from savorychute.limits import OrganisationLimiter
 from savorychute.membership import Membership
 from savorychute.recovery import Ejector, LeavingBroadcaster, Quarantine, RetryBudget
@@ -48,8 +48,8 @@
     leaving: LeavingBroadcaster
     quarantine: Quarantine
     keys: KeyManager
-    leases: LeaseKeeper
-    orders: OrderDesk
+    leases: LeaseManager
+    orders: OrderHandler
 
 
 def assemble_parts(
@@ -73,7 +73,7 @@
     audit = settings.audit._replace(epoch_offset_ms=epoch_offset_ms)
     keys = KeyManager(settings.keys, address, make_rng())
     keys.set_wall_clock(epoch_offset_ms, 0)
-    leases = LeaseKeeper(settings.leases, name, make_rng(), log_budget)
+    leases = LeaseManager(settings.leases, name, make_rng(), log_budget)
     endpoint_table = EndpointTable(
         settings.routing, make_rng(), address.failure_domain, address.region
     )
@@ -104,5 +104,5 @@
         quarantine=Quarantine(settings.quarantine, name, make_rng()),
         keys=keys,
         leases=leases,
-        orders=OrderDesk(settings.leases, leases),
+        orders=OrderHandler(settings.leases, leases),
     )
--- a/savorychute/instance/placement_handler.py
+++ b/savorychute/instance/placement_handler.py
@@ -111,7 +111,7 @@
             verb=order.verb,
             target=order.target,
             why=order.why,
-            repeat=False,
+            resend=False,
         )
         self._open_orders[order_id] = order
         actions = self._lease_handler.request_order(request, now_ms)
