--- a/benches/capacity_roles/configuration_role.py
+++ b/benches/capacity_roles/configuration_role.py
@@ -27,7 +27,7 @@
 from savorychute.clock import MS_PER_S
 from savorychute.configuration.amendment_record import AMENDMENT_KIND, AmendmentRecord
 from savorychute.configuration.fold import ConfigurationFold
-from savorychute.configuration.keeper import ConfigurationKeeper
+from savorychute.configuration.manager import ConfigurationManager
 from savorychute.configuration.record_codec import encode_record
 from savorychute.configuration.settings import ConfigurationSettings
 from savorychute.inputs.log_record import LogRecord
@@ -61,7 +61,7 @@
         log: FakeLog,
         rng: Random,
     ) -> None:
-        self.keeper = ConfigurationKeeper(ConfigurationSettings(), own, rng)
+        self.keeper = ConfigurationManager(ConfigurationSettings(), own, rng)
         self._view = make_view(own, alive)
         self._log = log
 
--- a/benches/configuration_rig.py
+++ b/benches/configuration_rig.py
@@ -10,7 +10,7 @@
 from savorychute.actions.operator_reply import OperatorReply
 from savorychute.actions.read_records import ReadRecords
 from savorychute.actions.send_peer import SendPeer
-from savorychute.configuration.keeper import ConfigurationKeeper
+from savorychute.configuration.manager import ConfigurationManager
 from savorychute.configuration.settings import ConfigurationSettings
 from savorychute.inputs.append_finished import AppendFinished
 from savorychute.inputs.log_record import LogRecord
@@ -145,7 +145,7 @@
         self.log = FakeLog()
         self.now_ms = 0
         self.addresses: dict[str, MemberAddress] = {}
-        self.keepers: dict[str, ConfigurationKeeper] = {}
+        self.keepers: dict[str, ConfigurationManager] = {}
         self.views: dict[str, MemberView] = {}
         self.applied: list[Applied] = []
         self.replies: dict[str, OperatorReply] = {}
@@ -166,7 +166,7 @@
         address = MemberAddress(name, incarnation, region, domain, name, 1, 2)
         self.addresses[name] = address
         rng = random.Random(self.rng.random())
-        keeper = ConfigurationKeeper(self.settings, address, rng)
+        keeper = ConfigurationManager(self.settings, address, rng)
         self.keepers[name] = keeper
         self._refresh()
         self.after(rng.randrange(self.tick_ms), lambda: self._tick(name, keeper))
@@ -227,7 +227,7 @@
             for name, address in self.addresses.items()
         }
 
-    def _tick(self, name: str, keeper: ConfigurationKeeper) -> None:
+    def _tick(self, name: str, keeper: ConfigurationManager) -> None:
         if self.keepers.get(name) is not keeper:
             return
         self.perform(name, keeper.tick(self.views[name], {}, self.now_ms))
@@ -258,7 +258,7 @@
         self.perform(action.instance, actions)
 
     def _read(
-        self, name: str, keeper: ConfigurationKeeper, action: ReadRecords
+        self, name: str, keeper: ConfigurationManager, action: ReadRecords
     ) -> None:
         self.reads += 1
         if name in self.log_is_cut_from:
@@ -274,7 +274,7 @@
         self.after(self.log_latency_ms, answer)
 
     def _append(
-        self, name: str, keeper: ConfigurationKeeper, action: AppendRecord
+        self, name: str, keeper: ConfigurationManager, action: AppendRecord
     ) -> None:
         finished = AppendFinished(action.append_id, action.stream, 'unknown')
         if self.late_append_ms:
--- a/savorychute/audit/audit_trail.py
+++ b/savorychute/audit/audit_trail.py
@@ -145,7 +145,7 @@
             return []
         if self._sent_ms and now_ms - self._sent_ms < self._settings.retry_ms:
             return []
-        if not self._budget.take('audit', now_ms):
+        if not self._budget.acquire('audit', now_ms):
             return []
         self._sent_ms = now_ms
         record = AuditRecord(batch_id=self._batch_id(), entries=self._sent)
--- a/savorychute/configuration/__init__.py
+++ b/savorychute/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: a fold over the platform's log, spread between instances."""
+"""The configuration: a fold over the platform's log, replicated by all instances."""
--- a/savorychute/configuration/amendment_check.py
+++ b/savorychute/configuration/amendment_check.py
@@ -1,4 +1,4 @@
-"""Check a proposed document."""
+"""Validation of a proposed document."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 def convert_document(name: ItemName, document: Mapping[str, Any]) -> Document:
-    """Return the document with checked types, after all rules of its own.
+    """Validate a document on its own and return it with checked types.
 
-    Nothing but the document decides, so an instance that is behind may refuse
-    an invalid document without a trip through the log.
+    The result depends on the document alone, so an instance whose state is stale
+    can still refuse an invalid document without appending it to the log.
 
     :param name: the item that the document is for.
-    :param document: as it was read from JSON.
-    :raises InvalidChangeError: if it breaks a rule; lists the faults.
+    :param document: the decoded JSON.
+    :raises InvalidChangeError: if it breaks a rule; the message lists the faults.
     """
     faults = check_name(name.kind, name.name)
     is_contract = name.kind == CONTRACT
@@ -63,7 +63,7 @@
     """Return the document as canonical JSON.
 
     :param document: as :func:`convert_document` returned it.
-    :raises InvalidChangeError: if it is larger than a document may be.
+    :raises InvalidChangeError: if it exceeds :data:`MAX_DOCUMENT_BYTES`.
     """
     encoded = msgspec.json.encode(document, order='deterministic')
     if len(encoded) > MAX_DOCUMENT_BYTES:
@@ -74,10 +74,10 @@
 
 
 def raise_faults(faults: list[str]) -> None:
-    """Raise if there are faults.
+    """Raise an error if there are any faults.
 
-    :param faults: one line each.
-    :raises InvalidChangeError: with the first few of them.
+    :param faults: one line for each fault.
+    :raises InvalidChangeError: with the first :data:`MAX_FAULTS_SHOWN` faults.
     """
     if faults:
         raise InvalidChangeError('; '.join(faults[:MAX_FAULTS_SHOWN]))
--- a/savorychute/configuration/amendment_record.py
+++ b/savorychute/configuration/amendment_record.py
@@ -1,4 +1,4 @@
-"""An operator's change of one item, as the log keeps it."""
+"""The log record of an operator's change to one item."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     ``base_version`` is the version of the item that the operator saw, 0 for an
     item that does not exist.  ``seen_offset`` is the last offset that the
     proposing instance had folded.  ``document`` is None to remove the item.
-    ``at_ms`` is the proposer's wall-clock time since the epoch; it is shown to
-    operators and decides nothing.
+    ``at_ms`` is the proposer's wall-clock time since the epoch; it is only shown
+    to operators and does not affect whether the change is accepted.
     """
 
     kind: str
--- a/savorychute/configuration/applied_change.py
+++ b/savorychute/configuration/applied_change.py
@@ -1,4 +1,4 @@
-"""A change of the configuration that is now in force."""
+"""A change of the configuration that has come into force."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class AppliedChange(NamedTuple):
-    """One item's step from a version to a later one.
+    """The change of one item from one version to a later one.
 
-    ``document`` is None if the item was removed.  After a state was adopted
-    whole, ``operator``, ``record_id`` and ``why`` are those of the last
-    amendment if it is still remembered, and else empty.  ``instance`` is the
-    one that proposed the change, empty if the state was adopted whole; it
-    alone writes the change to what must last.
+    ``document`` is None if the item was removed.  If the change results from
+    adopting a whole state, ``operator``, ``record_id`` and ``why`` are those of the
+    last amendment if its verdict is still remembered, and otherwise empty.
+    ``instance`` is the instance that proposed the change, empty if a whole state
+    was adopted; only that instance writes the change to durable records.
     """
 
     item: str
--- a/savorychute/configuration/spreader.py
+++ b/savorychute/configuration/broadcaster.py
@@ -1,4 +1,4 @@
-"""Tell other instances of news, and pull what is missing from them."""
+"""Push updates to other instances, and pull missing records from them."""
 
 from __future__ import annotations
 
@@ -17,70 +17,70 @@
     from savorychute.actions.send_peer import SendPeer
     from savorychute.configuration.configuration_store import ConfigurationStore
     from savorychute.configuration.settings import ConfigurationSettings
-    from savorychute.configuration.snapshot_watch import SnapshotWatch
+    from savorychute.configuration.snapshot_monitor import SnapshotMonitor
     from savorychute.membership.member_view import MemberView
 
 MAX_PUSHED_RECORDS = 8
-NEWS_NOTICES = 2
-LOOK_INTERVAL_MS = 100
-"""How often the offsets on the membership's pings are looked through."""
+NOTICES_AFTER_CHANGE = 2
+PULL_CHECK_INTERVAL_MS = 100
+"""How often the offsets in membership pings are checked."""
 
 
-class Spreader:
+class Broadcaster:
     """Rumour mongering with anti-entropy.
 
     Demers et al., "Epidemic Algorithms for Replicated Database Maintenance"
-    (1987).  Whoever learns something new pushes it once to a few members, which
-    reaches nearly all within a few hops; regular notices to one member each
-    find the rest, as do the offsets on the membership's pings.
-
-    :param settings: intervals and bounds.
-    :param store: what this instance has.
-    :param watch: the age of the newest snapshot.
-    :param rng: chooses members and spreads notices.
+    (1987).  An instance that receives new records pushes them once to a few members,
+    which reaches nearly all members within a few hops.  Regular notices to one
+    member at a time reach the rest, as do the offsets in membership pings.
+
+    :param settings: intervals and limits.
+    :param store: the configuration that this instance holds.
+    :param snapshot_monitor: tracks the age of the newest snapshot.
+    :param rng: chooses members and randomises the times of notices.
     """
 
     def __init__(
         self,
         settings: ConfigurationSettings,
         store: ConfigurationStore,
-        watch: SnapshotWatch,
+        snapshot_monitor: SnapshotMonitor,
         rng: random.Random,
     ) -> None:
         self._settings = settings
         self._store = store
-        self._watch = watch
+        self._snapshot_monitor = snapshot_monitor
         self._rng = rng
         self.offsets = PeerOffsets()
         self.divergences = 0
         self._started_ms: int | None = None
         self._notice_due_ms = 0
-        self._look_due_ms = 0
-        self._news_until_ms = 0
+        self._pull_check_due_ms = 0
+        self._recent_change_until_ms = 0
         self._pushed_offset = store.offset
-        self._asked: str | None = None
-        self._asked_ms = 0
+        self._pull_target: str | None = None
+        self._pull_sent_ms = 0
 
     def tick(
         self, view: MemberView, gossiped: Mapping[str, int], ready: bool, now_ms: int
     ) -> list[SendPeer]:
-        """Return notices and pulls that are due.
+        """Return the notices and pulls that are due.
 
-        :param view: the members.
-        :param gossiped: offsets that came with the membership's pings.
-        :param ready: whether this instance may tell its offset.
+        :param view: the current members.
+        :param gossiped: offsets by instance, from membership pings.
+        :param ready: whether this instance may announce its offset.
         """
         actions = self._send_notices(view, ready, now_ms)
-        if now_ms >= self._look_due_ms:
-            self._look_due_ms = now_ms + LOOK_INTERVAL_MS
+        if now_ms >= self._pull_check_due_ms:
+            self._pull_check_due_ms = now_ms + PULL_CHECK_INTERVAL_MS
             actions += self.pull(view, gossiped, now_ms)
         return actions
 
     def notice(self, ready: bool, now_ms: int) -> OffsetNotice:
-        """Return what to tell of this instance.
+        """Return the notice about this instance.
 
-        An instance that is starting says that it has nothing, lest another one
-        that starts takes its unfinished state for the newest.
+        An instance that is starting announces that it has no state; otherwise
+        another starting instance could treat its incomplete state as the newest.
 
         :param ready: whether this instance has finished starting.
         """
@@ -89,28 +89,30 @@
         return OffsetNotice(
             self._store.offset,
             self._store.fold.state.digest,
-            self._watch.offset,
-            self._watch.age_ms(now_ms),
+            self._snapshot_monitor.offset,
+            self._snapshot_monitor.age_ms(now_ms),
         )
 
-    def push_news(self, view: MemberView, ready: bool, now_ms: int) -> list[SendPeer]:
-        """Return pushes of what was folded since the last call.
+    def push_updates(
+        self, view: MemberView, ready: bool, now_ms: int
+    ) -> list[SendPeer]:
+        """Return pushes of the records that were folded since the last call.
 
-        A little news goes out whole.  Much at once means that this instance
-        catches up on what others mostly have, so it only tells its offset.
+        A few records are pushed whole.  Many records at once mean that this instance
+        is catching up with the others, so it announces only its offset.
 
-        :param view: the members.
+        :param view: the current members.
         :param ready: whether this instance has finished starting.
         """
         offset = self._store.offset
         if not ready or offset == self._pushed_offset:
             return []
-        records = self._store.ring.take_after(
+        records = self._store.ring.read_after(
             self._pushed_offset, self._settings.push_bytes
         )
         self._pushed_offset = offset
-        self._news_until_ms = now_ms + self._settings.news_ms
-        self._hurry_notice(now_ms)
+        self._recent_change_until_ms = now_ms + self._settings.news_ms
+        self._schedule_early_notice(now_ms)
         peers = choose_peers(view, self._settings.push_fanout, self._rng)
         is_whole = bool(records) and records[-1].offset == offset
         if is_whole and len(records) <= MAX_PUSHED_RECORDS:
@@ -122,39 +124,39 @@
     def pull(
         self, view: MemberView, gossiped: Mapping[str, int], now_ms: int
     ) -> list[SendPeer]:
-        """Return a pull if another instance is ahead and none is under way.
+        """Return a pull if another instance is ahead and no pull is in progress.
 
-        One that does not answer in time is forgotten, so the next pull goes to
-        another one.
+        The offset of an instance that does not respond in time is discarded, so the
+        next pull goes to another instance.
 
-        :param view: the members.
-        :param gossiped: offsets that came with the membership's pings.
+        :param view: the current members.
+        :param gossiped: offsets by instance, from membership pings.
         """
-        if self._asked is not None:
-            if now_ms - self._asked_ms < self._settings.pull_timeout_ms:
+        if self._pull_target is not None:
+            if now_ms - self._pull_sent_ms < self._settings.pull_timeout_ms:
                 return []
-            self.offsets.forget(self._asked)
-            self._asked = None
+            self.offsets.discard(self._pull_target)
+            self._pull_target = None
         own_offset = self._store.offset
         peer = self.offsets.choose_ahead(view, gossiped, own_offset, self._rng)
         if peer is None:
             return []
-        self._asked = peer.instance
-        self._asked_ms = now_ms
+        self._pull_target = peer.instance
+        self._pull_sent_ms = now_ms
         return [send_to(peer, RecordsRequest(own_offset))]
 
-    def answered(self, instance: str) -> None:
-        """Note that an instance answered a pull."""
-        if self._asked == instance:
-            self._asked = None
+    def record_answer(self, instance: str) -> None:
+        """Record that an instance responded to a pull."""
+        if self._pull_target == instance:
+            self._pull_target = None
 
     def compare(self, notice: OffsetNotice) -> None:
-        """Count a notice that shows two states at one offset.
+        """Count a notice that shows a different state at the own offset.
 
-        It cannot happen as long as all instances fold by the same rules.  If
-        it does, it must not stay unseen.
+        This cannot happen as long as all instances fold by the same rules.  If it
+        does, operators must see it.
 
-        :param notice: from another instance.
+        :param notice: a notice from another instance.
         """
         state = self._store.fold.state
         if notice.offset == state.offset and notice.digest != state.digest:
@@ -167,7 +169,7 @@
             self._started_ms = self._notice_due_ms = now_ms
         if now_ms < self._notice_due_ms:
             return []
-        interval_ms, count = self._pace(ready, now_ms)
+        interval_ms, count = self._notice_rate(ready, now_ms)
         self._notice_due_ms = now_ms + round(
             interval_ms * self._rng.uniform(0.75, 1.25)
         )
@@ -175,22 +177,22 @@
         notice = self.notice(ready, now_ms)
         return [send_to(peer, notice) for peer in peers]
 
-    def _hurry_notice(self, now_ms: int) -> None:
+    def _schedule_early_notice(self, now_ms: int) -> None:
         interval_ms = self._settings.news_notice_interval_ms
         latest_ms = now_ms + round(interval_ms * self._rng.uniform(0.75, 1.25))
         self._notice_due_ms = min(self._notice_due_ms, latest_ms)
 
-    def _pace(self, ready: bool, now_ms: int) -> tuple[int, int]:
-        """Return the time to the next notices, and how many to send.
+    def _notice_rate(self, ready: bool, now_ms: int) -> tuple[int, int]:
+        """Return the interval to the next notices, and how many to send.
 
-        The pushes of a change miss about one member in fifty when a tenth of
-        all messages is lost.  Until the change is old, everybody asks around
-        more often, so that none of those waits long.
+        The pushes of a change miss about one member in fifty when a tenth of all
+        messages is lost.  While the change is recent, all members send notices more
+        often, so that the missed members receive it soon.
         """
         settings = self._settings
         started_ms = self._started_ms or 0
         if not ready and now_ms - started_ms < settings.join_wait_ms:
             return settings.join_notice_interval_ms, settings.push_fanout
-        if now_ms < self._news_until_ms:
-            return settings.news_notice_interval_ms, NEWS_NOTICES
+        if now_ms < self._recent_change_until_ms:
+            return settings.news_notice_interval_ms, NOTICES_AFTER_CHANGE
         return settings.notice_interval_ms, 1
--- a/savorychute/configuration/configuration_state.py
+++ b/savorychute/configuration/configuration_state.py
@@ -14,12 +14,12 @@
 
 
 class ConfigurationState:
-    """All documents, their versions, and the offset up to which they hold.
+    """All documents, their versions, and the offset of the last folded record.
 
     An item's version is one more than the offset of the amendment that set it,
-    so versions only go up, also when an item is removed and entered again.
-    ``digest`` is the exclusive or of one hash for each item; two instances at
-    the same offset must have the same.
+    so versions only increase, even if an item is removed and added again.
+    ``digest`` is the exclusive or of one hash per item; two instances at the same
+    offset must have the same digest.
     """
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
         :param version: its new version.
         :param encoded: its document as canonical JSON.
         """
-        self._drop_hash(name)
+        self._remove_from_digest(name)
         self._table(name).put(name.name, encoded)
         self.versions[str(name)] = version
         self.digest ^= _hash_item(str(name), version, encoded)
@@ -70,11 +70,11 @@
 
         :param name: the item.
         """
-        self._drop_hash(name)
+        self._remove_from_digest(name)
         self._table(name).remove(name.name)
         del self.versions[str(name)]
 
-    def _drop_hash(self, name: ItemName) -> None:
+    def _remove_from_digest(self, name: ItemName) -> None:
         encoded = self._table(name).encoded(name.name)
         if encoded is not None:
             self.digest ^= _hash_item(str(name), self.versions[str(name)], encoded)
@@ -86,5 +86,5 @@
 
 
 def _hash_item(item: str, version: int, encoded: bytes) -> int:
-    head = f'{item}\n{version}\n'.encode()
-    return int(xxhash.xxh3_64_intdigest(head + encoded)) & DIGEST_MASK
+    prefix = f'{item}\n{version}\n'.encode()
+    return int(xxhash.xxh3_64_intdigest(prefix + encoded)) & DIGEST_MASK
--- a/savorychute/configuration/configuration_store.py
+++ b/savorychute/configuration/configuration_store.py
@@ -1,4 +1,4 @@
-"""The fold with what goes with it: recent records, and changes to hand on."""
+"""The fold, with the recent records and the changes not yet consumed."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 
 
 class ConfigurationStore:
-    """What this instance has of the configuration.
+    """The configuration as this instance holds it.
 
-    :param ring_bytes: how many bytes of records to keep for others.
+    :param ring_bytes: how many bytes of records to retain for other instances.
     """
 
     def __init__(self, ring_bytes: int) -> None:
         self.fold = ConfigurationFold()
         self.ring = RecordRing(ring_bytes)
-        self.rejected = 0
-        self.repeated = 0
-        self.adopted = 0
+        self.rejected_count = 0
+        self.repeated_count = 0
+        self.adopted_count = 0
         self._changes: list[AppliedChange] = []
         self._steps: list[FoldStep] = []
 
     @property
     def offset(self) -> int:
-        """The last offset that was folded, -1 for none."""
+        """The last offset that was folded, -1 if there is none."""
         return self.fold.state.offset
 
     def apply(self, record: LogRecord) -> bool:
-        """Fold a record, unless it is not the next one.
+        """Fold a record if its offset is the next one.
 
-        :param record: from the log or from another instance.
-        :returns: whether it was folded.
+        :param record: a record from the log or from another instance.
+        :returns: whether the record was folded.
         """
         if record.offset != self.offset + 1:
             return False
@@ -52,19 +52,19 @@
         if step.change is not None:
             self._changes.append(step.change)
         if step.verdict is not None and not step.verdict.accepted:
-            self.rejected += 1
-        self.repeated += step.repeated
+            self.rejected_count += 1
+        self.repeated_count += step.repeated
         return True
 
     def adopt(self, data: bytes, offset: int) -> bool:
-        """Take over an encoded state if it is later than the own.
+        """Adopt an encoded state if it is later than the own state.
 
-        A peer that is behind and a snapshot that was overtaken both show as
-        an older offset; taking it would take back a change that is in force.
+        The state of a peer that is behind and an obsolete snapshot both have an
+        older offset; adopting one would revert a change that is in force.
 
         :param data: the compressed state.
-        :param offset: the offset that it was announced with.
-        :returns: whether it was taken.
+        :param offset: the offset that was announced for the state.
+        :returns: whether the state was adopted.
         """
         try:
             state, verdicts = decode_state(data)
@@ -75,17 +75,17 @@
         before = self.fold.state
         self.fold.adopt(state, verdicts)
         self.ring.clear()
-        self.adopted += 1
+        self.adopted_count += 1
         self._changes += self._differences(before, state)
         return True
 
     def take_changes(self) -> list[AppliedChange]:
-        """Return the changes since the last call."""
+        """Return and clear the changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
     def take_steps(self) -> list[FoldStep]:
-        """Return what the records did that were folded since the last call."""
+        """Return and clear the fold steps since the last call."""
         steps, self._steps = self._steps, []
         return steps
 
--- a/savorychute/configuration/contract_rules.py
+++ b/savorychute/configuration/contract_rules.py
@@ -1,4 +1,4 @@
-"""Rules of a single contract."""
+"""Validation rules of a single contract."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 def check_contract(document: ContractDocument) -> list[str]:
-    """Return what is wrong with a contract, one line for each fault.
+    """Return the faults of a contract, one line for each.
 
-    :param document: a contract whose fields have the right types.
+    :param document: a contract whose fields have the correct types.
     """
     return [
         *check_name('organisation', document['organisation']),
@@ -57,21 +57,21 @@
 
 
 def _check_class(document: ClassDocument) -> list[str]:
-    place = f'classes.{document["name"]}'
+    path = f'classes.{document["name"]}'
     faults = [
-        *check_between(f'{place}.tier', document['tier'], 0, MAX_TIER),
-        *check_positive(f'{place}.timeout_ms', document['timeout_ms'], MAX_MS),
-        *check_positive(f'{place}.weight', document['weight']),
+        *check_between(f'{path}.tier', document['tier'], 0, MAX_TIER),
+        *check_positive(f'{path}.timeout_ms', document['timeout_ms'], MAX_MS),
+        *check_positive(f'{path}.weight', document['weight']),
         *check_between(
-            f'{place}.minimum_share', document.get('minimum_share', 0.0), 0, 1
+            f'{path}.minimum_share', document.get('minimum_share', 0.0), 0, 1
         ),
         *check_positive(
-            f'{place}.first_token_target_ms', document['first_token_target_ms'], MAX_MS
+            f'{path}.first_token_target_ms', document['first_token_target_ms'], MAX_MS
         ),
         *check_positive(
-            f'{place}.token_gap_target_ms', document['token_gap_target_ms'], MAX_MS
+            f'{path}.token_gap_target_ms', document['token_gap_target_ms'], MAX_MS
         ),
     ]
     if document['first_token_target_ms'] > document['timeout_ms']:
-        faults.append(f'{place}: the target is later than the timeout')
+        faults.append(f'{path}: the target is later than the timeout')
     return faults
--- a/savorychute/configuration/document_rules.py
+++ b/savorychute/configuration/document_rules.py
@@ -1,7 +1,7 @@
-"""Rules that a document must keep whatever else is configured.
+"""Validation rules of a document that are independent of other configuration.
 
-The fold applies them, so they are part of what every instance must decide
-alike: no rule may depend on settings, clocks or installed extensions.
+The fold applies them, and all instances must reach the same result: no rule may
+depend on settings, clocks or installed extensions.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 MAX_MS = 24 * 3_600_000
 MAX_COUNT = 2**53
 SHARE_UNITS = 10**9
-"""Shares are added as integer billionths, so that no order of addition matters."""
+"""Shares are added as integer billionths, so that their order is irrelevant."""
 
 ENDPOINT_STATES = ('active', 'draining', 'retired')
 SERVICE_PREFIX = 'service:'
@@ -30,26 +30,26 @@
 
 
 def share_units(share: float) -> int:
-    """Return a share in billionths.
+    """Convert a share to billionths.
 
-    :param share: between 0 and 1.
+    :param share: a number between 0 and 1.
     """
     return round(share * SHARE_UNITS)
 
 
 def unknown_fields(document: Mapping[str, Any], document_type: type) -> list[str]:
-    """Return the document's fields that its type does not have.
+    """Return the fields of a document that its type does not define.
 
-    :param document: as it was read.
-    :param document_type: a TypedDict.
+    :param document: the decoded JSON.
+    :param document_type: the TypedDict of the document.
     """
     return sorted(set(document) - set(document_type.__annotations__))
 
 
 def check_name(field: str, value: str) -> list[str]:
-    """Return faults of a name.
+    """Return the faults of a name.
 
-    :param field: where it stands.
+    :param field: the path of the field.
     :param value: the name.
     """
     if len(value) > MAX_NAME_CHARACTERS or not _NAME.fullmatch(value):
@@ -61,9 +61,9 @@
 
 
 def check_names(field: str, values: Iterable[str]) -> list[str]:
-    """Return faults of a list of names, each of which may stand once.
+    """Return the faults of a list of names, which must not contain duplicates.
 
-    :param field: where the list stands.
+    :param field: the path of the field.
     :param values: the names.
     """
     faults: list[str] = []
@@ -77,9 +77,9 @@
 
 
 def check_models(field: str, values: Iterable[str]) -> list[str]:
-    """Return faults of a list of models.
+    """Return the faults of a list of models.
 
-    :param field: where the list stands.
+    :param field: the path of the field.
     :param values: the names of the models.
     """
     models = list(values)
@@ -91,7 +91,7 @@
 
 
 def check_token_hashes(values: Iterable[str]) -> list[str]:
-    """Return faults of a contract's token hashes.
+    """Return the faults of a contract's token hashes.
 
     :param values: hex SHA-256 digests.
     """
@@ -107,26 +107,28 @@
     return faults
 
 
-def check_between(field: str, value: float, least: float, most: float) -> list[str]:
+def check_between(
+    field: str, value: float, minimum: float, maximum: float
+) -> list[str]:
     """Return a fault if *value* is outside the range or not finite.
 
-    :param field: where the value stands.
+    :param field: the path of the field.
     :param value: the value.
-    :param least: the smallest that is allowed.
-    :param most: the largest that is allowed.
+    :param minimum: the smallest allowed value.
+    :param maximum: the largest allowed value.
     """
-    if math.isfinite(value) and least <= value <= most:
+    if math.isfinite(value) and minimum <= value <= maximum:
         return []
-    return [f'{field}: {value} is not between {least} and {most}']
+    return [f'{field}: {value} is not between {minimum} and {maximum}']
 
 
-def check_positive(field: str, value: float, most: float = MAX_COUNT) -> list[str]:
-    """Return a fault unless *value* is above 0 and finite.
+def check_positive(field: str, value: float, maximum: float = MAX_COUNT) -> list[str]:
+    """Return a fault unless *value* is above 0, finite and at most *maximum*.
 
-    :param field: where the value stands.
+    :param field: the path of the field.
     :param value: the value.
-    :param most: the largest that is allowed.
+    :param maximum: the largest allowed value.
     """
-    if math.isfinite(value) and 0 < value <= most:
+    if math.isfinite(value) and 0 < value <= maximum:
         return []
-    return [f'{field}: {value} is not above 0 and at most {most}']
+    return [f'{field}: {value} is not above 0 and at most {maximum}']
--- a/savorychute/configuration/document_table.py
+++ b/savorychute/configuration/document_table.py
@@ -1,4 +1,4 @@
-"""Documents by name, kept as bytes."""
+"""Documents by name, stored as encoded JSON."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class DocumentTable(Mapping[str, D], Generic[D]):
-    """A read-only mapping that decodes a document at each look-up.
+    """A read-only mapping that decodes a document at each lookup.
 
-    A decoded contract takes about ten times the memory of its bytes, and most
-    are looked up only when they change.  Callers on the request path keep what
-    they derive from a document, not the document.
+    A decoded contract takes about ten times the memory of its JSON, and most are
+    looked up only when they change.  Code on the request path stores the values
+    that it derives from a document, not the document.
 
-    :param document_type: the TypedDict to decode to.
+    :param document_type: the TypedDict of the decoded documents.
     """
 
     def __init__(self, document_type: type[D]) -> None:
@@ -48,5 +48,5 @@
         self._encoded[name] = encoded
 
     def remove(self, name: str) -> None:
-        """Forget the document of *name*, which must exist."""
+        """Remove the document of *name*, which must exist."""
         del self._encoded[name]
--- a/savorychute/configuration/endpoint_rules.py
+++ b/savorychute/configuration/endpoint_rules.py
@@ -1,4 +1,4 @@
-"""Rules of a single endpoint."""
+"""Validation rules of a single endpoint."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 def check_endpoint(document: EndpointDocument) -> list[str]:
-    """Return what is wrong with an endpoint, one line for each fault.
+    """Return the faults of an endpoint, one line for each.
 
-    Whether this build knows the dialect is not checked: instances of two
-    versions would decide differently.
+    The function does not check whether this build supports the dialect, because
+    instances of two versions would then reach different results.
 
-    :param document: an endpoint whose fields have the right types.
+    :param document: an endpoint whose fields have the correct types.
     """
     faults = [
         *check_name('endpoint', document['endpoint']),
@@ -50,11 +50,12 @@
 def check_transition(
     before: EndpointDocument | None, after: EndpointDocument | None
 ) -> list[str]:
-    """Return why an endpoint may not go from one document to the next.
+    """Return the reasons why an endpoint cannot change to the new document.
 
-    Retired is final: instances may already have dropped what they knew of the
-    endpoint.  To use it again, it is removed and entered anew.  One that is
-    not retired is not removed, because work may still run there.
+    The state ``retired`` is final, because instances may already have discarded
+    their state of the endpoint.  To use the endpoint again, an operator removes it
+    and adds it anew.  An endpoint that is not retired cannot be removed, because
+    work may still be running there.
 
     :param before: the document in force, None for a new endpoint.
     :param after: the proposed document, None to remove the endpoint.
--- a/savorychute/configuration/fold.py
+++ b/savorychute/configuration/fold.py
@@ -1,4 +1,4 @@
-"""The fold: records in, configuration out, the same on every instance."""
+"""The deterministic fold of log records into the configuration."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
 
 
 class FoldStep(NamedTuple):
-    """What the record at ``offset`` did.
+    """The effect of the record at ``offset``.
 
-    ``verdict`` is None for a snapshot and for the repetition of a record.
+    ``verdict`` is None for a snapshot and for a repeated record.
     """
 
     offset: int
@@ -63,24 +63,24 @@
         """Apply the record that follows the last one.
 
         :param record: the record at the next offset.
-        :raises ValueError: if it is at any other offset; a gap would make this
-            instance differ from all others for good.
+        :raises ValueError: if the record has any other offset; a gap would make
+            the state of this instance differ permanently from that of all others.
         """
         if record.offset != self.state.offset + 1:
             raise ValueError(f'{record.offset} does not follow {self.state.offset}')
-        step = self._step(record)
+        step = self._fold_record(record)
         self.state.offset = record.offset
-        self.verdicts.forget_before(record.offset - REMEMBERED_OFFSETS)
+        self.verdicts.discard_before(record.offset - REMEMBERED_OFFSETS)
         if step.verdict is not None:
             self.verdicts.add(step.verdict)
         return step
 
     def adopt(self, state: ConfigurationState, verdicts: VerdictMemory) -> None:
-        """Take over a state whole.
+        """Replace the whole state.
 
-        :param state: that of a later offset.
-        :param verdicts: the verdicts that belong to it.
-        :raises ValueError: if it is not later than the state in force.
+        :param state: the state at a later offset.
+        :param verdicts: the verdicts that belong to the state.
+        :raises ValueError: if *state* is not later than the state in force.
         """
         if state.offset <= self.state.offset:
             raise ValueError(f'{state.offset} is not after {self.state.offset}')
@@ -90,16 +90,17 @@
         for document in state.contracts.values():
             self.pool.add(document)
 
-    def _step(self, record: LogRecord) -> FoldStep:
+    def _fold_record(self, record: LogRecord) -> FoldStep:
         decoded = decode_record(record.payload)
         if decoded is None:
             return FoldStep(record.offset, verdict=_reject_unreadable(record.offset))
         if decoded['kind'] != AMENDMENT_KIND:
             return FoldStep(record.offset, snapshot=cast('SnapshotRecord', decoded))
         amendment = cast('AmendmentRecord', decoded)
-        # An append whose reply was lost may be sent again, and both may be in
-        # the log.  The second has no effect: its id is remembered, and one so
-        # late that the id may be forgotten is rejected as too old below.
+        # If the reply to an append is lost, the record may be appended again and
+        # appear twice in the log.  The second record has no effect because its id is
+        # remembered; one so late that its id may have been discarded is rejected
+        # below as too old.
         if self.verdicts.find(amendment['record_id'][:MAX_ID_CHARACTERS]) is not None:
             return FoldStep(record.offset, repeated=True)
         try:
@@ -107,7 +108,7 @@
         except InvalidChangeError as error:
             return FoldStep(
                 record.offset,
-                verdict=self._judge(
+                verdict=self._make_verdict(
                     amendment, record.offset, error.code, error.message
                 ),
             )
@@ -116,14 +117,14 @@
             code = ResultCode.VERSION_CONFLICT
             return FoldStep(
                 record.offset,
-                verdict=self._judge(amendment, record.offset, code, message),
+                verdict=self._make_verdict(amendment, record.offset, code, message),
             )
-        verdict = self._judge(amendment, record.offset, ResultCode.OK, '')
+        verdict = self._make_verdict(amendment, record.offset, ResultCode.OK, '')
         verdict = verdict._replace(version=change.to_version)
         return FoldStep(record.offset, verdict=verdict, change=change)
 
     def _amend(self, amendment: AmendmentRecord, offset: int) -> AppliedChange | None:
-        """Apply the amendment, or return None if its base is not in force."""
+        """Apply the amendment, or return None if its base version is not in force."""
         _check_texts(amendment, offset)
         name = parse_item(amendment['item'])
         if name is None:
@@ -157,7 +158,7 @@
                 check_transition(self.state.endpoints.get(name.name), endpoint)
             )
         self.state.put(name, offset + 1, encoded)
-        return _describe(amendment, document, offset)
+        return _make_change(amendment, document, offset)
 
     def _remove(
         self, name: ItemName, amendment: AmendmentRecord, offset: int
@@ -169,9 +170,9 @@
         else:
             raise_faults(check_transition(self.state.endpoints[name.name], None))
         self.state.remove(name)
-        return _describe(amendment, None, offset)
+        return _make_change(amendment, None, offset)
 
-    def _judge(
+    def _make_verdict(
         self, amendment: AmendmentRecord, offset: int, code: ResultCode, message: str
     ) -> Verdict:
         item = amendment['item'][:MAX_ITEM_CHARACTERS]
@@ -215,7 +216,7 @@
         raise InvalidChangeError('proposed too many records ago')
 
 
-def _describe(
+def _make_change(
     amendment: AmendmentRecord,
     document: ContractDocument | EndpointDocument | None,
     offset: int,
--- a/savorychute/configuration/item_name.py
+++ b/savorychute/configuration/item_name.py
@@ -9,7 +9,7 @@
 
 
 class ItemName(NamedTuple):
-    """The kind of an item, and the organisation or endpoint that it is about."""
+    """The kind of an item, and the name of its organisation or endpoint."""
 
     kind: str
     name: str
@@ -19,10 +19,10 @@
 
 
 def parse_item(text: str) -> ItemName | None:
-    """Return the parts of ``contract:<organisation>`` or ``endpoint:<name>``.
+    """Parse ``contract:<organisation>`` or ``endpoint:<name>``.
 
     :param text: the item as operators write it.
-    :returns: None if it is neither.
+    :returns: the name, or None if *text* has neither form.
     """
     kind, _, name = text.partition(':')
     if kind not in (CONTRACT, ENDPOINT) or not name:
--- a/savorychute/configuration/log_budget.py
+++ b/savorychute/configuration/log_budget.py
@@ -1,4 +1,4 @@
-"""How many appends an instance may cause."""
+"""The number of log appends that an instance may send."""
 
 from __future__ import annotations
 
@@ -7,22 +7,27 @@
 
 MS_PER_S = 1_000
 URGENT_USES = frozenset({'amendment', 'lease', 'claim'})
-"""Uses that are never made to wait: a person, a lease or a request hangs on
-each.  They push the instance's next slot back, so that the others pay."""
+"""Uses that never wait, because an operator, a lease or a request depends on each.
 
+They postpone the instance's next slot, so that the other uses compensate for them.
+"""
 
-TURN_PATIENCE_MS = 5_000
-"""How long a use whose turn has come may leave it, longer than any tick."""
+
+TURN_TIMEOUT_MS = 5_000
+"""How long a use may leave its turn unused before the next use has its turn.
+
+This is longer than the interval between any two ticks.
+"""
 
 
 class LogBudgetSettings(NamedTuple):
-    """The system's part of the log.
+    """The share of the log's capacity that the system may use.
 
-    :param log_appends_per_s: what the log takes from everybody.
-    :param share: the part of it that the whole system may use.
-    :param max_debt_appends: how many slots urgent uses may push back.
-    :param start_hold_ms: how long an instance lets others appear in its view
-        before it takes a part for itself.
+    :param log_appends_per_s: the capacity of the log for all its clients.
+    :param share: the share of this capacity that the whole system may use.
+    :param max_debt_appends: by how many slots urgent uses can postpone the others.
+    :param start_hold_ms: how long a starting instance waits for others to appear in
+        its view before it uses its own share.
     """
 
     log_appends_per_s: float = 300.0
@@ -32,18 +37,18 @@
 
 
 class LogBudget:
-    """Slots of time, one append each, that recur at the instance's own phase.
+    """Periodic time slots for one append each, at a random phase per instance.
 
-    No instance asks another: with *n* members each has an *n*-th of the
-    system's appends.  Nothing is saved up for later.  A token bucket would be
+    Instances do not coordinate: with *n* members each may use an *n*-th of the
+    system's appends.  Unused slots do not accumulate.  A token bucket would be
     full on all instances when a failure makes all of them append at once, and
-    the log would get them all in one second; with slots at phases drawn at
-    random it gets them evenly over one period.
+    the log would receive all these appends within one second; with slots at random
+    phases it receives them evenly over one period.
 
-    An instance that is cut off counts fewer members and takes a larger part,
-    up to what its view allows.
+    A partitioned instance counts fewer members and uses a larger share,
+    according to its view.
 
-    :param settings: rates and bounds.
+    :param settings: rates and limits.
     """
 
     def __init__(self, settings: LogBudgetSettings) -> None:
@@ -52,34 +57,34 @@
         self._phase = 0.0
         self._started_ms: int | None = None
         self._slot_ms: float | None = None
-        self._earliest_ms = 0.0
+        self._earliest_slot_ms = 0.0
         self._queue: list[str] = []
         self.appends_by_use: dict[str, int] = {}
 
     @property
     def appends_per_s(self) -> float:
-        """This instance's part, in appends a second."""
+        """This instance's share, in appends per second."""
         settings = self._settings
         return settings.log_appends_per_s * settings.share / self._members
 
     def set_members(self, count: int) -> None:
-        """Divide by the number of members that are alive, with this one.
+        """Set the number of alive members that share the system's appends.
 
-        :param count: at least 1; less counts as 1.
+        :param count: the members including this one; less than 1 counts as 1.
         """
         self._members = max(1, count)
 
     def set_phase(self, phase: float) -> None:
-        """Choose where in the period the slots are.
+        """Set the position of the slots within the period.
 
-        :param phase: drawn at random from 0 to 1.
+        :param phase: a random number from 0 to 1.
         """
         self._phase = phase
 
-    def take(self, use: str, now_ms: int) -> bool:
+    def acquire(self, use: str, now_ms: int) -> bool:
         """Return whether an append may be sent now, and count it if so.
 
-        A use that is told to wait asks again at each tick.
+        A use that has to wait calls this again at each tick.
 
         :param use: ``amendment``, ``lease``, ``claim``, ``snapshot`` or
             ``audit``.
@@ -87,8 +92,8 @@
         if self._started_ms is None:
             self._started_ms = now_ms
         if use in URGENT_USES:
-            self._push_back(now_ms)
-        elif not self._wait_turn(use, now_ms):
+            self._postpone_next_slot(now_ms)
+        elif not self._try_turn(use, now_ms):
             return False
         self.appends_by_use[use] = self.appends_by_use.get(use, 0) + 1
         return True
@@ -97,20 +102,20 @@
     def _period_ms(self) -> float:
         return MS_PER_S / self.appends_per_s
 
-    def _push_back(self, now_ms: int) -> None:
+    def _postpone_next_slot(self, now_ms: int) -> None:
         latest_ms = now_ms + self._settings.max_debt_appends * self._period_ms
-        self._earliest_ms = max(self._earliest_ms, now_ms) + self._period_ms
-        self._earliest_ms = min(self._earliest_ms, latest_ms)
+        self._earliest_slot_ms = max(self._earliest_slot_ms, now_ms) + self._period_ms
+        self._earliest_slot_ms = min(self._earliest_slot_ms, latest_ms)
 
-    def _wait_turn(self, use: str, now_ms: int) -> bool:
+    def _try_turn(self, use: str, now_ms: int) -> bool:
         self._drop_missed_turn(now_ms)
         if use not in self._queue:
             self._queue.append(use)
-        held_ms = (self._started_ms or 0) + self._settings.start_hold_ms
-        if now_ms < held_ms:
+        hold_until_ms = (self._started_ms or 0) + self._settings.start_hold_ms
+        if now_ms < hold_until_ms:
             return False
         if self._slot_ms is None:
-            self._slot_ms = self._find_slot(max(now_ms, self._earliest_ms))
+            self._slot_ms = self._find_slot(max(now_ms, self._earliest_slot_ms))
         if self._queue[0] != use or now_ms < self._slot_ms:
             return False
         self._queue.pop(0)
@@ -118,13 +123,13 @@
         return True
 
     def _drop_missed_turn(self, now_ms: int) -> None:
-        """Let the next use have its turn if the first no longer asks."""
-        if self._slot_ms is not None and now_ms > self._slot_ms + TURN_PATIENCE_MS:
+        """Give the turn to the next use if the first no longer calls ``acquire``."""
+        if self._slot_ms is not None and now_ms > self._slot_ms + TURN_TIMEOUT_MS:
             self._queue.pop(0)
             self._slot_ms = None
 
     def _find_slot(self, after_ms: float) -> float:
-        """Return the first slot after a time."""
+        """Return the time of the first slot after *after_ms*."""
         period_ms = self._period_ms
         periods = math.floor(after_ms / period_ms - self._phase) + 1
         return (periods + self._phase) * period_ms
--- a/savorychute/configuration/log_follower.py
+++ b/savorychute/configuration/log_follower.py
@@ -11,29 +11,34 @@
 if TYPE_CHECKING:
     from savorychute.configuration.configuration_store import ConfigurationStore
     from savorychute.configuration.log_reader import LogReader
-    from savorychute.configuration.snapshot_watch import SnapshotWatch
+    from savorychute.configuration.snapshot_monitor import SnapshotMonitor
     from savorychute.inputs.log_record import LogRecord
     from savorychute.inputs.records_read import RecordsRead
 
-READS_BEHIND = 3
-"""How many answers in a row must end before the own offset to be believed; a
-single one may have been overtaken by news from another instance."""
+MIN_READS_BEHIND = 3
+"""Consecutive reads that must end before the own offset until the log counts as behind.
+
+A single read may be outdated by records that another instance pushed meanwhile.
+"""
 
 
 class LogFollower:
-    """Folds what the log answers, and finds a snapshot where records are gone.
+    """Folds the records read from the log, and uses a snapshot for expired ones.
 
-    :param store: what this instance has.
-    :param reader: the reads.
-    :param watch: the age of the newest snapshot.
+    :param store: the configuration that this instance holds.
+    :param reader: schedules the reads.
+    :param snapshot_monitor: tracks the age of the newest snapshot.
     """
 
     def __init__(
-        self, store: ConfigurationStore, reader: LogReader, watch: SnapshotWatch
+        self,
+        store: ConfigurationStore,
+        reader: LogReader,
+        snapshot_monitor: SnapshotMonitor,
     ) -> None:
         self._store = store
         self._reader = reader
-        self._watch = watch
+        self._snapshot_monitor = snapshot_monitor
         self._assembler = SnapshotAssembler()
         self._scan_offset: int | None = None
         self.end_reached = False
@@ -43,10 +48,11 @@
     def log_is_behind(self) -> bool:
         """Whether the log ends before records that are in force.
 
-        A log that lost its end gives their offsets again.  The new records are
-        not folded, since versions would go down; operators must know.
+        A log that lost its newest records assigns their offsets again.  The new
+        records are not folded, since versions would decrease; operators must be
+        informed.
         """
-        return self._reads_behind >= READS_BEHIND
+        return self._reads_behind >= MIN_READS_BEHIND
 
     @property
     def next_offset(self) -> int:
@@ -56,12 +62,12 @@
         return self._store.offset + 1
 
     def records_read(self, read: RecordsRead, now_ms: int) -> None:
-        """Take in an answer of the log.
+        """Handle a response of the log to a read.
 
-        An answer may be late and start anywhere; only a record that follows
+        A response may be late and start at any offset; only a record that follows
         the last one is folded.
 
-        :param read: the answer.
+        :param read: the response.
         """
         if not self._reader.finish(read, now_ms):
             return
@@ -77,13 +83,13 @@
         if self._store.offset + 1 >= read.end_offset:
             self.end_reached = True
         elif self.next_offset != before:
-            self._reader.hurry(now_ms)
+            self._reader.read_at_once(now_ms)
 
     def _scan(self, read: RecordsRead, now_ms: int) -> None:
-        """Look for a snapshot that stands for the records that are gone.
+        """Look for a snapshot that replaces the expired records.
 
-        Shows at the start of an instance on an old log, and on one that heard
-        nothing for longer than the log keeps records.
+        This is needed when an instance starts on an old log, and when it received
+        nothing for longer than the retention of the log.
         """
         if self._scan_offset is None:
             self._assembler.clear()
@@ -97,19 +103,21 @@
                 self._scan_offset = None
                 return
 
-    def _adopt_from(self, record: LogRecord, first_kept: int, now_ms: int) -> bool:
+    def _adopt_from(
+        self, record: LogRecord, first_retained_offset: int, now_ms: int
+    ) -> bool:
         decoded = decode_record(record.payload)
         if decoded is None or decoded['kind'] != SNAPSHOT_KIND:
             return False
         part = cast('SnapshotRecord', decoded)
-        self._watch.note_part(part, record.offset, now_ms, fresh=False)
+        self._snapshot_monitor.record_part(part, record.offset, now_ms, fresh=False)
         snapshot = self._assembler.add(part, record.offset)
         if snapshot is None:
             return False
-        # With a gap before the first record that is kept, changes would be
-        # missing; one that claims to hold its own offset or later is no true
-        # snapshot, and would keep this instance from following the log.
+        # With a gap between the snapshot and the first retained record, changes would
+        # be missing.  A snapshot that claims to include its own offset or a later one
+        # is invalid, and would prevent this instance from following the log.
         through_offset = snapshot.through_offset
-        if not first_kept - 1 <= through_offset < snapshot.first_part_offset:
+        if not first_retained_offset - 1 <= through_offset < snapshot.first_part_offset:
             return False
         return self._store.adopt(snapshot.data, through_offset)
--- a/savorychute/configuration/log_reader.py
+++ b/savorychute/configuration/log_reader.py
@@ -1,4 +1,4 @@
-"""When to read the configuration stream."""
+"""The schedule of reads of the configuration stream."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class LogReader:
-    """One read at a time, and what the answers tell of the log.
+    """Schedules one read at a time, and tracks the state of the log.
 
     :param settings: intervals and timeouts.
-    :param rng: spreads the reads of many instances.
+    :param rng: adds jitter, which spreads the reads of many instances over time.
     """
 
     def __init__(self, settings: ConfigurationSettings, rng: random.Random) -> None:
@@ -29,22 +29,22 @@
         self._sent_ms: int | None = None
         self._due_ms = 0
         self._failed_ms: int | None = None
-        self.answered = False
+        self.has_answered = False
         self.first_offset = 0
         self.end_offset = 0
 
     def is_down(self, now_ms: int) -> bool:
-        """Return whether the log failed lately and has not answered since."""
+        """Return whether the log failed recently and has not responded since."""
         if self._failed_ms is None:
             return False
         return now_ms - self._failed_ms < self._settings.log_down_ms
 
-    def hurry(self, now_ms: int) -> None:
+    def read_at_once(self, now_ms: int) -> None:
         """Make a read due at once."""
         self._due_ms = min(self._due_ms, now_ms)
 
     def delay(self, until_ms: int) -> None:
-        """Read nothing before *until_ms*."""
+        """Schedule no read before *until_ms*."""
         self._due_ms = max(self._due_ms, until_ms)
 
     def tick(
@@ -53,13 +53,13 @@
         """Return a read if one is due.
 
         :param from_offset: the first offset that is needed.
-        :param interval_ms: when the next one is due after this one.
+        :param interval_ms: the interval between this read and the next one.
         """
         if self._sent_ms is not None:
             if now_ms - self._sent_ms < self._settings.read_timeout_ms:
                 return []
             self.fail(now_ms)
-        # The shorter interval holds as soon as this instance becomes a poller.
+        # The shorter interval applies as soon as this instance becomes a poller.
         latest_ms = now_ms + round(interval_ms * (1 + JITTER_SHARE))
         self._due_ms = min(self._due_ms, latest_ms)
         if now_ms < self._due_ms:
@@ -70,23 +70,23 @@
         return [ReadRecords(CONFIGURATION_STREAM, from_offset, count)]
 
     def finish(self, read: RecordsRead, now_ms: int) -> bool:
-        """Take in an answer.
+        """Handle a response to a read.
 
-        :param read: the answer.
-        :returns: whether the log answered.
+        :param read: the response.
+        :returns: whether the read succeeded.
         """
         self._sent_ms = None
         if not read.ok:
             self.fail(now_ms)
             return False
-        self.answered = True
+        self.has_answered = True
         self._failed_ms = None
         self.first_offset = max(self.first_offset, read.first_offset)
         self.end_offset = max(self.end_offset, read.end_offset)
         return True
 
     def fail(self, now_ms: int) -> None:
-        """Note that the log did not answer, or refused an append."""
+        """Record that the log did not respond, or refused an append."""
         self._sent_ms = None
         self._failed_ms = now_ms
 
--- a/savorychute/configuration/keeper_status.py
+++ b/savorychute/configuration/manager_status.py
@@ -1,15 +1,15 @@
-"""Figures of the configuration's keeper."""
+"""Status figures of the configuration manager."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 
-class KeeperStatus(NamedTuple):
-    """What operators see of one instance's configuration.
+class ManagerStatus(NamedTuple):
+    """The configuration status of one instance, for operators.
 
-    ``divergences`` counts notices of others that show another state at the
-    same offset; any number but 0 is a fault to report.
+    ``divergences`` counts notices from other instances that show a different state
+    at the same offset; any number other than 0 is a fault to report.
     """
 
     ready: bool
--- a/savorychute/configuration/offset_notice.py
+++ b/savorychute/configuration/offset_notice.py
@@ -1,4 +1,4 @@
-"""What an instance tells another of its configuration."""
+"""The message in which an instance reports the offset of its configuration."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @peer_message(22)
 class OffsetNotice(NamedTuple):
-    """The sender's offset, with the digest of its state there.
+    """The offset of the sender, with the digest of its state at that offset.
 
-    ``snapshot_offset`` is that of the newest snapshot known, -1 for none, and
-    ``snapshot_age_ms`` how long ago it was first read, a duration because the
-    clocks of two instances have nothing in common.
+    ``snapshot_offset`` is the offset of the newest known snapshot, -1 for none, and
+    ``snapshot_age_ms`` the time since it was first read.  This is a duration because
+    the clocks of two instances are unrelated.
     """
 
     offset: int
--- a/savorychute/configuration/peer_choice.py
+++ b/savorychute/configuration/peer_choice.py
@@ -1,4 +1,4 @@
-"""Choose instances to talk to."""
+"""Selection of the instances to send messages to."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 ) -> list[MemberAddress]:
     """Return up to *count* other members, chosen at random.
 
-    :param view: the members.
-    :param count: how many at most.
-    :param rng: the source of chance.
+    :param view: the current members.
+    :param count: the maximum number of members to return.
+    :param rng: the random number generator.
     """
     size = len(view.alive)
     chosen = rng.sample(range(size), min(count + 1, size))
--- a/savorychute/configuration/peer_exchange.py
+++ b/savorychute/configuration/peer_exchange.py
@@ -1,4 +1,4 @@
-"""Answer other instances, and take in what they send."""
+"""Handling of messages from other instances."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 
 if TYPE_CHECKING:
     from savorychute.actions.send_peer import SendPeer
+    from savorychute.configuration.broadcaster import Broadcaster
     from savorychute.configuration.configuration_store import ConfigurationStore
     from savorychute.configuration.settings import ConfigurationSettings
-    from savorychute.configuration.snapshot_watch import SnapshotWatch
-    from savorychute.configuration.spreader import Spreader
+    from savorychute.configuration.snapshot_monitor import SnapshotMonitor
     from savorychute.member_address import MemberAddress
     from savorychute.membership.member_view import MemberView
 
-FETCH_STALLED_TIMEOUTS = 6
+STALLED_FETCH_TIMEOUTS = 6
 
 
 class PeerExchange:
-    """The receiving side of the spread, and the transfer of the whole state.
+    """Receives the messages of other instances, and transfers whole states.
 
     :param settings: timeouts and sizes.
-    :param store: what this instance has.
-    :param watch: the age of the newest snapshot.
-    :param spreader: the sending side.
+    :param store: the configuration that this instance holds.
+    :param snapshot_monitor: tracks the age of the newest snapshot.
+    :param broadcaster: sends notices and pulls to other instances.
     """
 
     def __init__(
         self,
         settings: ConfigurationSettings,
         store: ConfigurationStore,
-        watch: SnapshotWatch,
-        spreader: Spreader,
+        snapshot_monitor: SnapshotMonitor,
+        broadcaster: Broadcaster,
     ) -> None:
         self._settings = settings
         self._store = store
-        self._watch = watch
-        self._spreader = spreader
+        self._snapshot_monitor = snapshot_monitor
+        self._broadcaster = broadcaster
         self._server = StateServer(settings.part_bytes)
         self._fetch: StateFetch | None = None
 
@@ -57,22 +57,22 @@
         ready: bool,
         now_ms: int,
     ) -> list[SendPeer]:
-        """Take in a message.
+        """Handle a message.
 
-        :param sender: the instance that sent it.
+        :param sender: the instance that sent the message.
         :param message: one of this package's peer messages.
-        :param view: the members; a sender that is none gets no answer.
+        :param view: the current members; messages of other senders are ignored.
         :param ready: whether this instance has finished starting.
         """
         peer = view.address_of(sender)
         if peer is None:
             return []
         if isinstance(message, OffsetNotice):
-            return self._take_notice(peer, message, view, ready, now_ms)
+            return self._handle_notice(peer, message, view, ready, now_ms)
         if isinstance(message, RecordsPush):
-            return self._take_records(peer, message, view, now_ms)
+            return self._handle_records(peer, message, view, now_ms)
         if isinstance(message, StatePart):
-            return self._take_part(peer, message, view, now_ms)
+            return self._handle_part(peer, message, view, now_ms)
         if not ready:
             return []
         if isinstance(message, RecordsRequest):
@@ -82,25 +82,25 @@
         return []
 
     def tick(self, view: MemberView, now_ms: int) -> list[SendPeer]:
-        """Ask again for parts of the state that did not arrive."""
+        """Request missing parts of the state again, or abandon a stalled fetch."""
         self._server.tick(now_ms)
         fetch = self._fetch
         if fetch is None:
             return []
-        stalled_ms = FETCH_STALLED_TIMEOUTS * self._settings.pull_timeout_ms
+        stalled_ms = STALLED_FETCH_TIMEOUTS * self._settings.pull_timeout_ms
         peer = view.address_of(fetch.source)
         if peer is None or now_ms - fetch.progress_ms >= stalled_ms:
-            self._spreader.offsets.forget(fetch.source)
+            self._broadcaster.offsets.discard(fetch.source)
             self._fetch = None
             return []
         return [send_to(peer, request) for request in fetch.requests(now_ms)]
 
     @property
     def is_fetching(self) -> bool:
-        """Whether the whole state is on its way here."""
+        """Whether a transfer of the whole state to this instance is in progress."""
         return self._fetch is not None
 
-    def _take_notice(
+    def _handle_notice(
         self,
         peer: MemberAddress,
         notice: OffsetNotice,
@@ -110,27 +110,29 @@
     ) -> list[SendPeer]:
         own_offset = self._store.offset
         if notice.offset >= 0:
-            self._spreader.offsets.hear(peer.instance, notice.offset)
-            self._watch.hear(notice.snapshot_offset, notice.snapshot_age_ms, now_ms)
-            self._spreader.compare(notice)
+            self._broadcaster.offsets.record_reported(peer.instance, notice.offset)
+            self._snapshot_monitor.record_reported(
+                notice.snapshot_offset, notice.snapshot_age_ms, now_ms
+            )
+            self._broadcaster.compare(notice)
         if notice.offset > own_offset and not self.is_fetching:
-            return self._spreader.pull(view, {}, now_ms)
+            return self._broadcaster.pull(view, {}, now_ms)
         if notice.offset >= own_offset or not ready:
             return []
         if notice.offset >= 0 and self._store.ring.covers(notice.offset):
             return self._send_records(peer, RecordsRequest(notice.offset), now_ms)
-        return [send_to(peer, self._spreader.notice(ready, now_ms))]
+        return [send_to(peer, self._broadcaster.notice(ready, now_ms))]
 
-    def _take_records(
+    def _handle_records(
         self, peer: MemberAddress, push: RecordsPush, view: MemberView, now_ms: int
     ) -> list[SendPeer]:
-        self._spreader.answered(peer.instance)
-        self._spreader.offsets.hear(peer.instance, push.newest_offset)
+        self._broadcaster.record_answer(peer.instance)
+        self._broadcaster.offsets.record_reported(peer.instance, push.newest_offset)
         for record in push.records:
             self._store.apply(LogRecord(record.offset, record.payload))
         if push.newest_offset <= self._store.offset or self.is_fetching:
             return []
-        return self._spreader.pull(view, {}, now_ms)
+        return self._broadcaster.pull(view, {}, now_ms)
 
     def _send_records(
         self, peer: MemberAddress, request: RecordsRequest, now_ms: int
@@ -140,13 +142,13 @@
         is_behind = request.after_offset < own_offset
         if is_behind and not ring.covers(request.after_offset):
             return self._send_part(peer, StateRequest(own_offset, 0), now_ms)
-        records = ring.take_after(request.after_offset, self._settings.pull_bytes)
+        records = ring.read_after(request.after_offset, self._settings.pull_bytes)
         return [send_to(peer, RecordsPush(tuple(records), own_offset))]
 
     def _send_part(
         self, peer: MemberAddress, request: StateRequest, now_ms: int
     ) -> list[SendPeer]:
-        """Send the part that was asked for, or the first of a newer state."""
+        """Send the requested part, or the first part of a newer state."""
         self._server.prepare(self._store.fold, self._store.ring, now_ms)
         number = request.part if request.offset == self._server.offset else 0
         data = self._server.part(number)
@@ -157,34 +159,36 @@
             part=number,
             parts=self._server.parts,
             data=data,
-            snapshot_offset=self._watch.offset,
-            snapshot_age_ms=self._watch.age_ms(now_ms),
+            snapshot_offset=self._snapshot_monitor.offset,
+            snapshot_age_ms=self._snapshot_monitor.age_ms(now_ms),
         )
         return [send_to(peer, part)]
 
-    def _take_part(
+    def _handle_part(
         self, peer: MemberAddress, part: StatePart, view: MemberView, now_ms: int
     ) -> list[SendPeer]:
-        self._spreader.answered(peer.instance)
-        if part.offset <= self._store.offset or not StateFetch.is_sane(part):
+        self._broadcaster.record_answer(peer.instance)
+        if part.offset <= self._store.offset or not StateFetch.is_valid(part):
             return []
         fetch = self._fetch
-        if fetch is None or self._is_newer_of_same(fetch, peer, part):
+        if fetch is None or self._is_newer_from_same_source(fetch, peer, part):
             timeout_ms = self._settings.pull_timeout_ms
             fetch = self._fetch = StateFetch(peer.instance, part, timeout_ms)
-        if not fetch.take(peer.instance, part, now_ms):
+        if not fetch.add_part(peer.instance, part, now_ms):
             return []
         if not fetch.is_complete:
             return [send_to(peer, request) for request in fetch.requests(now_ms)]
         self._fetch = None
         if self._store.adopt(fetch.data(), fetch.offset):
-            self._watch.hear(part.snapshot_offset, part.snapshot_age_ms, now_ms)
+            self._snapshot_monitor.record_reported(
+                part.snapshot_offset, part.snapshot_age_ms, now_ms
+            )
         else:
-            self._spreader.offsets.forget(peer.instance)
-        return self._spreader.pull(view, {}, now_ms)
+            self._broadcaster.offsets.discard(peer.instance)
+        return self._broadcaster.pull(view, {}, now_ms)
 
     @staticmethod
-    def _is_newer_of_same(
+    def _is_newer_from_same_source(
         fetch: StateFetch, peer: MemberAddress, part: StatePart
     ) -> bool:
         return fetch.source == peer.instance and part.offset > fetch.offset
--- a/savorychute/configuration/peer_offsets.py
+++ b/savorychute/configuration/peer_offsets.py
@@ -1,4 +1,4 @@
-"""How far other instances are."""
+"""Configuration offsets of other instances."""
 
 from __future__ import annotations
 
@@ -13,45 +13,45 @@
     from savorychute.member_address import MemberAddress
     from savorychute.membership.member_view import MemberView
 
-MAX_HEARD = 64
+MAX_PEER_OFFSETS = 64
 
 
 class PeerOffsets:
-    """Offsets that other instances said of themselves, the latest heard.
+    """The latest offsets that other instances reported.
 
-    Only instances that are ready say an offset at all, so none of these is
-    from the middle of somebody else's start.
+    Only instances that are ready report an offset, so none of these offsets
+    belongs to an instance that is still starting.
     """
 
     def __init__(self) -> None:
-        self._heard: dict[str, int] = {}
+        self._offsets: dict[str, int] = {}
 
-    def hear(self, instance: str, offset: int) -> None:
-        """Note an instance's offset.
+    def record_reported(self, instance: str, offset: int) -> None:
+        """Record an offset that an instance reported.
 
-        :param instance: who said it.
-        :param offset: its last offset.
+        :param instance: the instance that reported it.
+        :param offset: the last offset of that instance.
         """
-        self._heard.pop(instance, None)
-        self._heard[instance] = offset
-        if len(self._heard) > MAX_HEARD:
-            del self._heard[next(iter(self._heard))]
+        self._offsets.pop(instance, None)
+        self._offsets[instance] = offset
+        if len(self._offsets) > MAX_PEER_OFFSETS:
+            del self._offsets[next(iter(self._offsets))]
 
-    def forget(self, instance: str) -> None:
-        """Forget an instance that did not answer."""
-        self._heard.pop(instance, None)
+    def discard(self, instance: str) -> None:
+        """Discard the offset of an instance that did not respond."""
+        self._offsets.pop(instance, None)
 
     def count(self) -> int:
-        """Return how many instances were heard."""
-        return len(self._heard)
+        """Return the number of instances with a reported offset."""
+        return len(self._offsets)
 
     def newest(self, gossiped: Mapping[str, int]) -> int:
-        """Return the highest offset that any instance has said.
+        """Return the highest offset that any instance reported.
 
-        :param gossiped: offsets that came with the membership's pings.
+        :param gossiped: offsets by instance, from membership pings.
         """
-        heard = max(self._heard.values(), default=NO_OFFSET)
-        return max(heard, max(gossiped.values(), default=NO_OFFSET))
+        highest_offset = max(self._offsets.values(), default=NO_OFFSET)
+        return max(highest_offset, max(gossiped.values(), default=NO_OFFSET))
 
     def choose_ahead(
         self,
@@ -60,25 +60,25 @@
         own_offset: int,
         rng: random.Random,
     ) -> MemberAddress | None:
-        """Return an instance that is further than this one, the foremost first.
+        """Return the member with the highest offset above the own one, or None.
 
-        :param view: the members; others cannot be reached.
-        :param gossiped: offsets that came with the membership's pings.
-        :param own_offset: this instance's offset.
-        :param rng: chooses among equals.
+        :param view: the current members; other instances cannot be reached.
+        :param gossiped: offsets by instance, from membership pings.
+        :param own_offset: the offset of this instance.
+        :param rng: chooses between members with equal offsets.
         """
         if self.newest(gossiped) <= own_offset:
             return None
         ahead: list[tuple[int, str]] = [
             (offset, instance)
-            for source in (self._heard, gossiped)
+            for source in (self._offsets, gossiped)
             for instance, offset in source.items()
             if offset > own_offset and instance != view.own.instance
         ]
         while ahead:
-            foremost = max(offset for offset, _ in ahead)
-            equals = [each for each in ahead if each[0] == foremost]
-            chosen = rng.choice(equals)
+            highest_offset = max(offset for offset, _ in ahead)
+            candidates = [each for each in ahead if each[0] == highest_offset]
+            chosen = rng.choice(candidates)
             address = view.address_of(chosen[1])
             if address is not None:
                 return address
--- a/savorychute/configuration/poller_duty.py
+++ b/savorychute/configuration/poller_selection.py
@@ -1,4 +1,4 @@
-"""Which instances poll the log."""
+"""Selection of the instances that poll the log."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 POLLER_KEY = 'configuration-poller'
 
 
-class PollerDuty:
-    """Whether this instance polls the log for its failure domain.
+class PollerSelection:
+    """Determines whether this instance polls the log for its failure domain.
 
-    Rendezvous hashing over the domain's members chooses.  Two views that
-    differ for a moment have a poller more or less, which only changes how soon
-    news is read.
+    The pollers are selected by rendezvous hashing over the members of the domain.
+    While the views of two instances differ, there may be one poller too many or too
+    few, which only affects how soon new records are read.
 
-    :param count: how many members of a failure domain poll.
+    :param count: the number of pollers in a failure domain.
     """
 
     def __init__(self, count: int) -> None:
         self._count = count
         self._alive: tuple[MemberAddress, ...] = ()
-        self._polls = True
+        self._is_poller = True
 
-    def has_duty(self, view: MemberView) -> bool:
-        """Return whether this instance polls.
+    def is_poller(self, view: MemberView) -> bool:
+        """Return whether this instance is a poller.
 
-        :param view: the members; looked through only when they changed.
+        :param view: the current members; evaluated only when they changed.
         """
         if view.alive is not self._alive:
             self._alive = view.alive
-            self._polls = self._choose(view)
-        return self._polls
+            self._is_poller = self._choose(view)
+        return self._is_poller
 
     def _choose(self, view: MemberView) -> bool:
         own = view.own
--- a/savorychute/configuration/pool_rules.py
+++ b/savorychute/configuration/pool_rules.py
@@ -1,4 +1,4 @@
-"""Rules between contracts."""
+"""Validation rules that span all contracts."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class PoolRules:
-    """What all contracts together use of the pool and of tokens.
+    """The pool shares and tokens that all contracts use together.
 
-    Kept up by each change, so that a check costs the size of one contract and
-    not of all of them.
+    The totals are updated with each change, so that the cost of a check depends on
+    the size of one contract rather than on all contracts.
     """
 
     def __init__(self) -> None:
@@ -22,18 +22,18 @@
         self._owners: dict[str, str] = {}
 
     def add(self, document: ContractDocument) -> None:
-        """Count a contract in.
+        """Add a contract to the totals.
 
-        :param document: one that is not counted yet.
+        :param document: a contract that is not included yet.
         """
         self._share_units += share_units(document['pool_share'])
         for token_hash in document['token_hashes']:
             self._owners[token_hash] = document['organisation']
 
     def remove(self, document: ContractDocument) -> None:
-        """Count a contract out.
+        """Remove a contract from the totals.
 
-        :param document: as it was counted in.
+        :param document: the contract as it was added.
         """
         self._share_units -= share_units(document['pool_share'])
         for token_hash in document['token_hashes']:
@@ -46,7 +46,7 @@
     def check(
         self, before: ContractDocument | None, after: ContractDocument
     ) -> list[str]:
-        """Return why *after* may not take the place of *before*.
+        """Return the reasons why *after* cannot replace *before*.
 
         :param before: the organisation's contract in force, if there is one.
         :param after: the proposed contract.
--- a/savorychute/configuration/proposal.py
+++ b/savorychute/configuration/proposal.py
@@ -1,4 +1,4 @@
-"""An operator's change on its way."""
+"""An operator's change that is pending."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 class Proposal(NamedTuple):
     """A change that waits for its verdict.
 
-    ``appended_offset`` is -1 until the log has named an offset; ``in_doubt``
-    says that the log's reply was lost.
+    ``appended_offset`` is -1 until the log has returned an offset; ``in_doubt``
+    means that the reply of the log was lost.
     """
 
     command_id: str
--- a/savorychute/configuration/proposal_desk.py
+++ b/savorychute/configuration/proposal_handler.py
@@ -1,4 +1,4 @@
-"""Operators' changes that wait for their verdicts."""
+"""Pending changes of operators, and the replies to them."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 APPEND_PREFIX = 'configuration:'
 
 
-class ProposalDesk:
-    """Answers each proposal once, and only from what was read back.
+class ProposalHandler:
+    """Answers each proposal once, after its record was read back from the log.
 
-    A proposal is known by its record id.  Two commands may wait for the same
+    A proposal is identified by its record id.  Two commands may wait for the same
     record, because an operator may propose it again.
     """
 
@@ -31,24 +31,24 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def open(self, proposal: Proposal) -> None:
-        """Wait for the verdict on a proposal."""
+    def add(self, proposal: Proposal) -> None:
+        """Add a proposal that waits for its verdict."""
         self._waiting.setdefault(proposal.record_id, []).append(proposal)
 
     def is_waiting(self, record_id: str) -> bool:
-        """Return whether a proposal with this id waits."""
+        """Return whether a proposal with this record id is waiting."""
         return record_id in self._waiting
 
     def waiting_ids(self) -> list[str]:
-        """Return the record ids of the proposals that wait."""
+        """Return the record ids of the waiting proposals."""
         return list(self._waiting)
 
     def append_finished(self, finished: AppendFinished) -> list[OperatorReply]:
-        """Take in the outcome of an append.
+        """Handle the outcome of an append.
 
-        Only a refusal ends a proposal.  When the reply was lost, the record
-        may be in the log, now or soon: reading on finds it, and appending it
-        again could not make it any safer.
+        Only a refusal ends a proposal.  If the reply was lost, the record may
+        already be in the log or may still reach it.  Further reads find it, and
+        appending it again would not help.
 
         :param finished: the outcome.
         """
@@ -58,7 +58,7 @@
             return []
         if finished.outcome == 'refused':
             del self._waiting[record_id]
-            return [refuse_for_log(each) for each in proposals]
+            return [make_log_unavailable_reply(each) for each in proposals]
         self._waiting[record_id] = [
             each._replace(
                 appended_offset=finished.offset,
@@ -68,42 +68,44 @@
         ]
         return []
 
-    def decide(
+    def apply_verdict(
         self, verdict: Verdict, state: ConfigurationState
     ) -> list[OperatorReply]:
-        """Answer the proposals that the verdict is about.
+        """Answer the proposals that the verdict decides.
 
         :param verdict: the fold's decision.
         :param state: the state right after it.
         """
         proposals = self._waiting.pop(verdict.record_id, [])
-        return [reply_verdict(each.command_id, verdict, state) for each in proposals]
+        return [
+            make_verdict_reply(each.command_id, verdict, state) for each in proposals
+        ]
 
     def expire(self, now_ms: int) -> list[OperatorReply]:
         """Answer the proposals that were not read back in time."""
         replies = []
         for record_id, proposals in list(self._waiting.items()):
-            late = [each for each in proposals if now_ms >= each.deadline_ms]
-            rest = [each for each in proposals if now_ms < each.deadline_ms]
-            replies += [reply_unconfirmed(each) for each in late]
-            if rest:
-                self._waiting[record_id] = rest
+            expired = [each for each in proposals if now_ms >= each.deadline_ms]
+            remaining = [each for each in proposals if now_ms < each.deadline_ms]
+            replies += [make_unconfirmed_reply(each) for each in expired]
+            if remaining:
+                self._waiting[record_id] = remaining
             else:
                 del self._waiting[record_id]
         return replies
 
 
-def reply_verdict(
+def make_verdict_reply(
     command_id: str, verdict: Verdict, state: ConfigurationState
 ) -> OperatorReply:
-    """Return the answer that follows from a verdict.
+    """Return the reply for a verdict.
 
-    A conflict shows the version and the document in force, so that the
-    operator can merge and propose again without another question.
+    The reply to a conflict contains the version and the document in force, so that
+    the operator can merge and propose again without a further query.
 
-    :param command_id: the operator's command.
+    :param command_id: the id of the operator's command.
     :param verdict: the fold's decision.
-    :param state: the state to take the document in force from.
+    :param state: the state that contains the document in force.
     """
     answer: dict[str, Any] = {
         'record_id': verdict.record_id,
@@ -116,36 +118,38 @@
     if verdict.code is ResultCode.VERSION_CONFLICT:
         answer['version'] = state.versions.get(verdict.item, 0)
         answer['document'] = state.document(verdict.item)
-    return reply(command_id, answer, verdict.code)
+    return make_reply(command_id, answer, verdict.code)
 
 
-def refuse_for_log(proposal: Proposal) -> OperatorReply:
-    """Return the answer to a change that is certainly not in the log."""
+def make_log_unavailable_reply(proposal: Proposal) -> OperatorReply:
+    """Return the reply to a change that is certainly not in the log."""
     answer = {
         'record_id': proposal.record_id,
         'item': proposal.item,
         'accepted': False,
         'message': 'the log did not take the change; propose it again later',
     }
-    return reply(proposal.command_id, answer, ResultCode.LOG_UNAVAILABLE)
+    return make_reply(proposal.command_id, answer, ResultCode.LOG_UNAVAILABLE)
 
 
-def reply_unconfirmed(proposal: Proposal) -> OperatorReply:
-    """Return the answer to a change that may be in the log."""
+def make_unconfirmed_reply(proposal: Proposal) -> OperatorReply:
+    """Return the reply to a change that may be in the log."""
     answer = {
         'record_id': proposal.record_id,
         'item': proposal.item,
         'offset': proposal.appended_offset,
         'message': 'not read back yet; propose it again with this record id to ask',
     }
-    return reply(proposal.command_id, answer, ResultCode.CHANGE_UNCONFIRMED)
+    return make_reply(proposal.command_id, answer, ResultCode.CHANGE_UNCONFIRMED)
 
 
-def reply(command_id: str, answer: dict[str, Any], code: ResultCode) -> OperatorReply:
-    """Return an operator's answer as JSON.
+def make_reply(
+    command_id: str, answer: dict[str, Any], code: ResultCode
+) -> OperatorReply:
+    """Return a reply to an operator, encoded as JSON.
 
-    :param command_id: the operator's command.
-    :param answer: what to say.
-    :param code: the result.
+    :param command_id: the id of the operator's command.
+    :param answer: the document of the reply.
+    :param code: the result code.
     """
     return OperatorReply(command_id, msgspec.json.encode(answer), code)
--- a/savorychute/configuration/proposer.py
+++ b/savorychute/configuration/proposer.py
@@ -1,4 +1,4 @@
-"""Bring operators' changes into the log."""
+"""Append operators' changes to the log."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from savorychute.configuration.item_name import parse_item
 from savorychute.configuration.log_reader import CONFIGURATION_STREAM
 from savorychute.configuration.proposal import Proposal
-from savorychute.configuration.proposal_desk import (
+from savorychute.configuration.proposal_handler import (
     APPEND_PREFIX,
-    ProposalDesk,
-    refuse_for_log,
-    reply,
-    reply_verdict,
+    ProposalHandler,
+    make_log_unavailable_reply,
+    make_reply,
+    make_verdict_reply,
 )
 from savorychute.configuration.record_codec import encode_record
 from savorychute.errors import InvalidChangeError
@@ -33,18 +33,18 @@
     from savorychute.inputs.append_finished import AppendFinished
     from savorychute.member_address import MemberAddress
 
-ID_BITS = 32
+RECORD_ID_SALT_BITS = 32
 
 
 class Proposer:
-    """Appends a change once and answers when its record was read back.
+    """Appends a change once and replies when its record was read back.
 
     :param settings: timeouts.
-    :param address: this instance.
-    :param store: what this instance has.
-    :param reader: the reads of the log.
+    :param address: the address of this instance.
+    :param store: the configuration that this instance holds.
+    :param reader: schedules the reads of the log.
     :param budget: counts the appends.
-    :param rng: makes record ids unlike those of an earlier run.
+    :param rng: makes record ids differ from those of an earlier run.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
         self._reader = reader
         self._budget = budget
         self._rng = rng
-        self._desk = ProposalDesk()
+        self._handler = ProposalHandler()
         self._count = 0
 
     @property
     def is_waiting(self) -> bool:
-        """Whether a change waits for its verdict."""
-        return len(self._desk) > 0
+        """Whether any change waits for its verdict."""
+        return len(self._handler) > 0
 
     def propose(
         self,
@@ -81,27 +81,27 @@
         now_ms: int,
         record_id: str = '',
     ) -> list[AppendRecord | OperatorReply]:
-        """Bring a change into the log, or answer at once why not.
+        """Append a change to the log, or reply at once if that is not needed.
 
-        :param command_id: the operator's command.
-        :param operator: who proposes.
+        :param command_id: the id of the operator's command.
+        :param operator: the name of the operator.
         :param item: the contract or endpoint.
         :param base_version: the version that the operator saw, 0 for none.
         :param document: the new document, None to remove the item.
         :param why: the operator's reason.
-        :param record_id: that of an earlier proposal, to ask for its fate or
-            to propose it again without a second effect.
+        :param record_id: the record id of an earlier proposal, to query its result
+            or to propose it again idempotently.
         """
         self._count += 1
-        record_id = record_id or self._make_id()
-        early = self._answer_early(
+        record_id = record_id or self._make_record_id()
+        immediate_reply = self._answer_without_log(
             command_id, item, base_version, document, record_id, now_ms
         )
-        if early is not None:
-            return [early]
-        is_waiting = self._desk.is_waiting(record_id)
+        if immediate_reply is not None:
+            return [immediate_reply]
+        is_waiting = self._handler.is_waiting(record_id)
         deadline_ms = now_ms + self._settings.confirm_timeout_ms
-        self._desk.open(Proposal(command_id, record_id, item, deadline_ms))
+        self._handler.add(Proposal(command_id, record_id, item, deadline_ms))
         if is_waiting:
             return []
         record = AmendmentRecord(
@@ -116,45 +116,45 @@
             why=why,
             at_ms=now_ms + self._settings.epoch_offset_ms,
         )
-        self._budget.take('amendment', now_ms)
+        self._budget.acquire('amendment', now_ms)
         append_id = f'{APPEND_PREFIX}{record_id}'
         return [AppendRecord(append_id, CONFIGURATION_STREAM, encode_record(record))]
 
     def append_finished(
         self, finished: AppendFinished, now_ms: int
     ) -> list[OperatorReply]:
-        """Take in the outcome of an append and read on for the verdict.
+        """Handle the outcome of an append, and read the log for the verdict.
 
         :param finished: the outcome.
         """
         if finished.outcome == 'refused':
             self._reader.fail(now_ms)
         else:
-            self._reader.hurry(now_ms)
-        return self._desk.append_finished(finished)
+            self._reader.read_at_once(now_ms)
+        return self._handler.append_finished(finished)
 
-    def decide(self, verdict: Verdict) -> list[OperatorReply]:
-        """Answer those who wait for this verdict.
+    def apply_verdict(self, verdict: Verdict) -> list[OperatorReply]:
+        """Answer the proposals that wait for this verdict.
 
         :param verdict: the fold's decision on a record that was read.
         """
-        return self._desk.decide(verdict, self._store.fold.state)
+        return self._handler.apply_verdict(verdict, self._store.fold.state)
 
-    def adopted(self) -> list[OperatorReply]:
-        """Answer those whose verdicts came with a state adopted whole."""
+    def apply_adopted_verdicts(self) -> list[OperatorReply]:
+        """Answer the proposals whose verdicts are part of an adopted state."""
         verdicts = self._store.fold.verdicts
         return [
             answer
-            for record_id in self._desk.waiting_ids()
+            for record_id in self._handler.waiting_ids()
             if (verdict := verdicts.find(record_id)) is not None
-            for answer in self.decide(verdict)
+            for answer in self.apply_verdict(verdict)
         ]
 
     def expire(self, now_ms: int) -> list[OperatorReply]:
-        """Answer those who have waited too long."""
-        return self._desk.expire(now_ms)
+        """Answer the proposals whose deadline has passed."""
+        return self._handler.expire(now_ms)
 
-    def _answer_early(
+    def _answer_without_log(
         self,
         command_id: str,
         item: str,
@@ -163,13 +163,13 @@
         record_id: str,
         now_ms: int,
     ) -> OperatorReply | None:
-        """Return the answer if it is certain without the log."""
+        """Return the reply if it does not depend on the log, otherwise None."""
         state = self._store.fold.state
         verdict = self._store.fold.verdicts.find(record_id)
         if verdict is not None:
             if verdict.item != item:
                 return _refuse(command_id, item, 'the record id is of another change')
-            return reply_verdict(command_id, verdict, state)
+            return make_verdict_reply(command_id, verdict, state)
         name = parse_item(item)
         if name is None:
             return _refuse(command_id, item, f'no item is called {item[:40]!r}')
@@ -179,9 +179,9 @@
             except InvalidChangeError as error:
                 return _refuse(command_id, item, error.message)
         version = state.versions.get(item, 0)
-        # A version that this instance has seen pass never comes back, so the
-        # fold would reject the change too.  A base that it has not seen yet
-        # means that this instance is behind, and the log decides.
+        # A version that this instance has seen replaced never comes back, so the
+        # fold would reject the change as well.  A base version that it has not seen
+        # yet means that this instance is behind, so the change is appended.
         if base_version != version and base_version <= state.offset + 1:
             answer = {
                 'record_id': record_id,
@@ -191,17 +191,19 @@
                 'document': state.document(item),
                 'message': f'based on {base_version}, which is not in force',
             }
-            return reply(command_id, answer, ResultCode.VERSION_CONFLICT)
-        if self._reader.is_down(now_ms) and not self._desk.is_waiting(record_id):
-            return refuse_for_log(Proposal(command_id, record_id, item, now_ms))
+            return make_reply(command_id, answer, ResultCode.VERSION_CONFLICT)
+        if self._reader.is_down(now_ms) and not self._handler.is_waiting(record_id):
+            return make_log_unavailable_reply(
+                Proposal(command_id, record_id, item, now_ms)
+            )
         return None
 
-    def _make_id(self) -> str:
+    def _make_record_id(self) -> str:
         address = self._address
-        salt = self._rng.getrandbits(ID_BITS)
+        salt = self._rng.getrandbits(RECORD_ID_SALT_BITS)
         return f'{address.instance}.{address.incarnation}.{self._count}.{salt:08x}'
 
 
 def _refuse(command_id: str, item: str, message: str) -> OperatorReply:
     answer = {'item': item, 'accepted': False, 'message': message}
-    return reply(command_id, answer, ResultCode.INVALID_CHANGE)
+    return make_reply(command_id, answer, ResultCode.INVALID_CHANGE)
--- a/savorychute/configuration/pushed_record.py
+++ b/savorychute/configuration/pushed_record.py
@@ -1,4 +1,4 @@
-"""A record as instances pass it on."""
+"""A record as instances send it to one another."""
 
 from __future__ import annotations
 
--- a/savorychute/configuration/record_ring.py
+++ b/savorychute/configuration/record_ring.py
@@ -1,4 +1,4 @@
-"""Recent records, kept for other instances."""
+"""Ring buffer of recent records for other instances."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     from savorychute.inputs.log_record import LogRecord
 
 RECORD_OVERHEAD_BYTES = 128
-"""Rough cost of keeping a record besides its payload."""
+"""Approximate memory of a retained record in addition to its payload."""
 
 
 class RecordRing:
-    """The last records by offset, without gaps, up to a bound of bytes.
+    """The most recent records without gaps, up to a limit in bytes.
 
-    :param max_bytes: how much to keep.
+    :param max_bytes: the limit, including :data:`RECORD_OVERHEAD_BYTES` per record.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -28,59 +28,59 @@
         self._records: deque[PushedRecord] = deque()
 
     def add(self, record: LogRecord) -> None:
-        """Keep a record; the oldest go when the bound is passed.
+        """Add a record, and remove the oldest ones beyond the limit.
 
-        :param record: the one that was folded last.
+        :param record: the record that was folded last.
         """
         if self._records and record.offset != self._records[-1].offset + 1:
             self.clear()
-        kept = PushedRecord(record.offset, _trim(record.payload))
-        self._records.append(kept)
-        self._bytes += _cost(kept)
+        retained = PushedRecord(record.offset, _trim(record.payload))
+        self._records.append(retained)
+        self._bytes += _size_bytes(retained)
         while self._bytes > self._max_bytes:
-            self._bytes -= _cost(self._records.popleft())
+            self._bytes -= _size_bytes(self._records.popleft())
 
     def clear(self) -> None:
-        """Forget all records."""
+        """Remove all records."""
         self._records.clear()
         self._bytes = 0
 
     def covers(self, after_offset: int) -> bool:
-        """Return whether the record that follows *after_offset* is kept."""
+        """Return whether the record that follows *after_offset* is retained."""
         if not self._records:
             return False
         first, last = self._records[0].offset, self._records[-1].offset
         return first <= after_offset + 1 <= last
 
-    def take_after(self, after_offset: int, max_bytes: int) -> list[PushedRecord]:
-        """Return records that follow *after_offset*, at least one if kept.
+    def read_after(self, after_offset: int, max_bytes: int) -> list[PushedRecord]:
+        """Return records that follow *after_offset*, at least one if it is retained.
 
-        :param after_offset: the offset before the first one.
-        :param max_bytes: how many bytes of payload to stop at.
+        :param after_offset: the offset before the first record.
+        :param max_bytes: the limit in bytes beyond which no further record is added.
         """
         if not self.covers(after_offset):
             return []
         start = after_offset + 1 - self._records[0].offset
-        taken: list[PushedRecord] = []
+        selected: list[PushedRecord] = []
         total = 0
         for position in range(start, len(self._records)):
             record = self._records[position]
-            total += _cost(record)
-            if taken and total > max_bytes:
+            total += _size_bytes(record)
+            if selected and total > max_bytes:
                 break
-            taken.append(record)
-        return taken
+            selected.append(record)
+        return selected
 
 
-def _cost(record: PushedRecord) -> int:
+def _size_bytes(record: PushedRecord) -> int:
     return len(record.payload) + RECORD_OVERHEAD_BYTES
 
 
 def _trim(payload: bytes) -> bytes:
-    """Return what another instance needs to fold the record alike.
+    """Reduce a payload to what another instance needs to fold the record identically.
 
-    A snapshot changes nothing for one that follows record by record, and
-    unreadable bytes are as unreadable when empty.
+    A snapshot has no effect on an instance that follows record by record, so its
+    data is left out.  Unreadable bytes are equally unreadable when empty.
     """
     decoded = decode_record(payload)
     if decoded is None:
--- a/savorychute/configuration/records_push.py
+++ b/savorychute/configuration/records_push.py
@@ -1,4 +1,4 @@
-"""Records sent to another instance."""
+"""The message that carries records to another instance."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @peer_message(21)
 class RecordsPush(NamedTuple):
-    """News, or the answer to ``RecordsRequest``; offsets follow one another.
+    """New records, or the response to ``RecordsRequest``; offsets are consecutive.
 
-    ``newest_offset`` is the sender's, which may be beyond the records.
+    ``newest_offset`` is the offset of the sender, which may be beyond the records.
     """
 
     records: tuple[PushedRecord, ...]
--- a/savorychute/configuration/records_request.py
+++ b/savorychute/configuration/records_request.py
@@ -1,4 +1,4 @@
-"""A pull of records."""
+"""The message that requests records from another instance."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @peer_message(20)
 class RecordsRequest(NamedTuple):
-    """Send me what follows *after_offset*.
+    """A request for the records that follow ``after_offset``.
 
-    Answered by ``RecordsPush``, or by the first ``StatePart`` if the receiver
-    no longer keeps these records.
+    The response is ``RecordsPush``, or the first ``StatePart`` if the receiver no
+    longer retains these records.
     """
 
     after_offset: int
--- a/savorychute/configuration/settings.py
+++ b/savorychute/configuration/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the configuration's spread."""
+"""Settings of the replication of the configuration."""
 
 from __future__ import annotations
 
@@ -6,35 +6,35 @@
 
 
 class ConfigurationSettings(NamedTuple):
-    """Times and bounds; none of them has a part in what the fold decides.
+    """Times and limits; none of them affects the decisions of the fold.
 
-    :param epoch_offset_ms: what to add to ``now_ms`` for the wall-clock time.
-    :param pollers_per_domain: how many members of a failure domain poll the log.
-    :param poll_interval_ms: how often each of these polls.
-    :param idle_poll_interval_ms: how often every other member does.
-    :param read_timeout_ms: when a read counts as unanswered.
-    :param max_read_records: how many records one read asks for.
+    :param epoch_offset_ms: offset to add to ``now_ms`` for the wall-clock time.
+    :param pollers_per_domain: number of members of a failure domain that poll the log.
+    :param poll_interval_ms: poll interval of these pollers.
+    :param idle_poll_interval_ms: poll interval of every other member.
+    :param read_timeout_ms: time after which a read counts as unanswered.
+    :param max_read_records: maximum number of records in one read.
     :param confirm_timeout_ms: how long an operator waits for the read-back.
     :param log_down_ms: how long after a failure the log counts as down.
-    :param notice_interval_ms: how often a member tells another its offset.
-    :param news_notice_interval_ms: how often it does so while there is news.
-    :param news_ms: for how long a change counts as news.
-    :param pull_timeout_ms: when a pull counts as lost.
-    :param push_fanout: how many members are told of news at once.
-    :param push_bytes: how much news is pushed rather than announced.
-    :param pull_bytes: how many bytes of records answer one pull.
-    :param ring_bytes: how many bytes of records are kept for others.
+    :param notice_interval_ms: how often a member announces its offset to another.
+    :param news_notice_interval_ms: how often it does so after a recent change.
+    :param news_ms: how long a change counts as recent.
+    :param pull_timeout_ms: time after which a pull counts as lost.
+    :param push_fanout: number of members that receive a push.
+    :param push_bytes: size up to which new records are pushed rather than announced.
+    :param pull_bytes: maximum bytes of records in the response to one pull.
+    :param ring_bytes: bytes of records that are retained for other instances.
     :param listing_wait_ms: how long a new instance waits for others to appear.
-    :param join_notice_interval_ms: how often it asks around.
-    :param join_wait_ms: when it reads the log itself though it is no poller, and
-        asks around no more often than others tell their offsets.
+    :param join_notice_interval_ms: how often a new instance queries other members.
+    :param join_wait_ms: time after which a new instance reads the log even if it is
+        no poller, and sends its notices at the usual interval.
     :param join_poll_interval_ms: how often it reads the log from then on.
-    :param part_bytes: size of the parts in which peers hand over the state.
+    :param part_bytes: size of the parts of a state that peers transfer.
     :param snapshot_interval_ms: age at which a snapshot is renewed; a quarter
         of the log's retention.
-    :param snapshot_records: how many records may follow the newest snapshot.
-    :param snapshot_jitter_ms: over how long the renewals are spread.
-    :param snapshot_part_bytes: how many bytes of state one record carries.
+    :param snapshot_records: maximum number of records after the newest snapshot.
+    :param snapshot_jitter_ms: period over which the renewals are spread.
+    :param snapshot_part_bytes: bytes of state in one record.
     """
 
     epoch_offset_ms: int = 0
--- a/savorychute/configuration/snapshot_assembler.py
+++ b/savorychute/configuration/snapshot_assembler.py
@@ -1,4 +1,4 @@
-"""Put snapshots together from their records."""
+"""Assembly of snapshots from their records."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 if TYPE_CHECKING:
     from savorychute.configuration.snapshot_record import SnapshotRecord
 
-MAX_OPEN_SNAPSHOTS = 4
+MAX_INCOMPLETE_SNAPSHOTS = 4
 MAX_PARTS = 1_024
 
 
 class AssembledSnapshot(NamedTuple):
-    """A snapshot of which all parts were read."""
+    """A snapshot whose parts were all read."""
 
     snapshot_id: str
     through_offset: int
@@ -20,7 +20,7 @@
     data: bytes
 
 
-class _OpenSnapshot(NamedTuple):
+class _IncompleteSnapshot(NamedTuple):
     through_offset: int
     parts: int
     first_part_offset: int
@@ -30,18 +30,18 @@
 class SnapshotAssembler:
     """Collects the parts of a few snapshots at a time.
 
-    Parts of different writers may be mixed, and a writer may have stopped in
-    the middle; the oldest open snapshots make room for newer ones.
+    Parts of different writers may be interleaved, and a writer may have stopped
+    before the last part; the oldest incomplete snapshots are dropped for newer ones.
     """
 
     def __init__(self) -> None:
-        self._open: dict[str, _OpenSnapshot] = {}
+        self._incomplete: dict[str, _IncompleteSnapshot] = {}
 
     def add(self, record: SnapshotRecord, offset: int) -> AssembledSnapshot | None:
-        """Take in a part, and return the snapshot if it was the last missing.
+        """Add a part, and return the snapshot if it is now complete.
 
         :param record: the part.
-        :param offset: where it stands in the log.
+        :param offset: the offset of the part in the log.
         """
         if not 0 <= record['part'] < record['parts'] <= MAX_PARTS:
             return None
@@ -51,7 +51,7 @@
         snapshot.slices[record['part']] = record['data']
         if len(snapshot.slices) < snapshot.parts:
             return None
-        del self._open[record['snapshot_id']]
+        del self._incomplete[record['snapshot_id']]
         data = b''.join(snapshot.slices[part] for part in range(snapshot.parts))
         return AssembledSnapshot(
             record['snapshot_id'],
@@ -61,16 +61,16 @@
         )
 
     def clear(self) -> None:
-        """Forget all parts."""
-        self._open.clear()
+        """Discard all parts."""
+        self._incomplete.clear()
 
-    def _find(self, record: SnapshotRecord, offset: int) -> _OpenSnapshot:
-        snapshot = self._open.get(record['snapshot_id'])
+    def _find(self, record: SnapshotRecord, offset: int) -> _IncompleteSnapshot:
+        snapshot = self._incomplete.get(record['snapshot_id'])
         if snapshot is None:
-            snapshot = _OpenSnapshot(
+            snapshot = _IncompleteSnapshot(
                 record['through_offset'], record['parts'], offset, {}
             )
-            self._open[record['snapshot_id']] = snapshot
-            if len(self._open) > MAX_OPEN_SNAPSHOTS:
-                del self._open[next(iter(self._open))]
+            self._incomplete[record['snapshot_id']] = snapshot
+            if len(self._incomplete) > MAX_INCOMPLETE_SNAPSHOTS:
+                del self._incomplete[next(iter(self._incomplete))]
         return snapshot
--- a/savorychute/configuration/snapshot_body.py
+++ b/savorychute/configuration/snapshot_body.py
@@ -1,4 +1,4 @@
-"""The state of the configuration, as a snapshot holds it."""
+"""The state of the configuration in a snapshot."""
 
 from __future__ import annotations
 
--- a/savorychute/configuration/snapshot_codec.py
+++ b/savorychute/configuration/snapshot_codec.py
@@ -1,4 +1,4 @@
-"""The state of the configuration as bytes."""
+"""Encoding of the state of the configuration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from savorychute.configuration.snapshot_body import SnapshotBody
 from savorychute.configuration.snapshot_item import SnapshotItem
 from savorychute.configuration.verdict_memory import VerdictMemory
-from savorychute.configuration.verdict_row import row_of, verdict_of
+from savorychute.configuration.verdict_row import row_to_verdict, verdict_to_row
 from savorychute.errors import MessageError
 
 if TYPE_CHECKING:
@@ -21,23 +21,23 @@
     from savorychute.configuration.fold import ConfigurationFold
 
 COMPRESSION_LEVEL = 1
-"""Level 6 takes twice as long for an eighth less, on the instance's loop."""
+"""Level 6 takes twice as long for an eighth less data, and blocks the event loop."""
 
 MAX_STATE_BYTES = 64 * 1024 * 1024
 
-_BODY = msgspec.json.Decoder(SnapshotBody)
+_BODY_DECODER = msgspec.json.Decoder(SnapshotBody)
 
 
 def encode_state(fold: ConfigurationFold) -> bytes:
     """Return the fold's state, compressed.
 
-    :param fold: the state to keep.
+    :param fold: the fold whose state is encoded.
     """
     body = SnapshotBody(
         offset=fold.state.offset,
         digest=fold.state.digest,
         items=list(_list_items(fold.state)),
-        verdicts=[row_of(verdict) for verdict in fold.verdicts.all()],
+        verdicts=[verdict_to_row(verdict) for verdict in fold.verdicts.all()],
     )
     return zlib.compress(msgspec.json.encode(body), COMPRESSION_LEVEL)
 
@@ -46,32 +46,33 @@
     """Return the state in *data* and the verdicts remembered with it.
 
     :param data: as :func:`encode_state` returned it.
-    :raises MessageError: if it is damaged in any way.
+    :raises MessageError: if *data* is corrupt.
     """
     try:
-        body = _BODY.decode(_decompress(data))
+        body = _BODY_DECODER.decode(_decompress(data))
         state = _build_state(body)
-        verdicts = VerdictMemory(verdict_of(row) for row in body['verdicts'])
+        verdicts = VerdictMemory(row_to_verdict(row) for row in body['verdicts'])
     except (msgspec.MsgspecError, zlib.error, KeyError, RecursionError) as error:
-        raise MessageError(f'a state cannot be read: {error}') from error
+        raise MessageError(f'the state cannot be decoded: {error}') from error
     if state.digest != body['digest']:
         raise MessageError(f'the state at {state.offset} does not match its digest')
     return state, verdicts
 
 
 def split_state(data: bytes, part_bytes: int) -> list[bytes]:
-    """Return *data* in slices of *part_bytes* at most."""
+    """Split *data* into slices of at most *part_bytes*."""
     return [
         data[start : start + part_bytes] for start in range(0, len(data), part_bytes)
     ]
 
 
 def _decompress(data: bytes) -> bytes:
-    # A bound, since a few damaged or hostile bytes can expand to gigabytes.
+    # The limit is needed because a few corrupt or hostile bytes can expand to
+    # gigabytes.
     inflater = zlib.decompressobj()
     inflated = inflater.decompress(data, MAX_STATE_BYTES)
     if not inflater.eof:
-        raise MessageError('a state is cut short or too large')
+        raise MessageError('the state is truncated or too large')
     return inflated
 
 
@@ -88,7 +89,7 @@
     for item, version, document in body['items']:
         name = parse_item(item)
         if name is None:
-            raise MessageError(f'a state has an item called {item[:40]!r}')
+            raise MessageError(f'the state has an invalid item name {item[:40]!r}')
         state.put(name, version, bytes(document))
         state.document(item)
     return state
--- a/savorychute/configuration/snapshot_record.py
+++ b/savorychute/configuration/snapshot_record.py
@@ -1,4 +1,4 @@
-"""A part of a snapshot, as the log keeps it."""
+"""The log record of a part of a snapshot."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class SnapshotRecord(TypedDict):
-    """One of the parts that together hold the state at an offset.
+    """One of the parts that together contain the state at an offset.
 
     ``data`` is a slice of the compressed state, see
-    :mod:`savorychute.configuration.snapshot_codec`.  It is empty in a record
-    that was passed on between instances: there it only fills its offset.
+    :mod:`savorychute.configuration.snapshot_codec`.  It is empty in a record that
+    one instance sent to another: there the record only occupies its offset.
     """
 
     kind: str
--- a/savorychute/configuration/snapshot_writer.py
+++ b/savorychute/configuration/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Append snapshots before the retention takes the last one."""
+"""Append snapshots to the log before the last one expires."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     from savorychute.inputs.append_finished import AppendFinished
 
 SNAPSHOT_APPEND_PREFIX = 'snapshot:'
-URGENT_DIVISOR = 10
+URGENT_JITTER_DIVISOR = 10
 PART_TIMEOUT_MS = 30_000
 
 
 class SnapshotWriter:
     """Writes one snapshot at a time, one part at a time.
 
-    Each instance that finds a snapshot due draws a delay; the first to come up
-    writes, and the others drop theirs when they read its first part.  Two that
-    write at once do no harm: both snapshots are complete and true.
+    Each instance that finds a snapshot due waits for a random delay.  The one with
+    the shortest delay writes, and the others cancel theirs when they read its first
+    part.  If two instances write at once, both snapshots are complete and valid.
 
     :param settings: delays and sizes.
-    :param budget: the appends that may be sent.
-    :param writer: a name that no other run of any instance has.
+    :param budget: limits the appends.
+    :param writer_id: an id that no other run of any instance uses.
     :param rng: draws the delays.
     """
 
@@ -40,15 +40,15 @@
         self,
         settings: ConfigurationSettings,
         budget: LogBudget,
-        writer: str,
+        writer_id: str,
         rng: random.Random,
     ) -> None:
         self._settings = settings
         self._budget = budget
-        self._writer = writer
+        self._writer_id = writer_id
         self._rng = rng
         self._start_ms: int | None = None
-        self._planned_ms = 0
+        self._scheduled_ms = 0
         self._records: list[SnapshotRecord] = []
         self._next_part = 0
         self._sent_ms: int | None = None
@@ -60,17 +60,17 @@
         fold: ConfigurationFold,
         due: bool,
         urgent: bool,
-        begun_ms: int | None,
+        last_part_ms: int | None,
         log_is_down: bool,
         now_ms: int,
     ) -> list[AppendRecord]:
-        """Return the next part to append, if it is time.
+        """Return the next part to append if one is due.
 
-        :param fold: the state to write.
+        :param fold: the fold whose state is written.
         :param due: whether a snapshot is due.
-        :param urgent: whether the log has none that is of use.
-        :param begun_ms: when some instance's part was last read.
-        :param log_is_down: whether to wait instead.
+        :param urgent: whether the log contains no usable snapshot.
+        :param last_part_ms: when a part of any instance was last read.
+        :param log_is_down: whether the log is down, so that writing is postponed.
         """
         if self._records:
             return self._continue(now_ms)
@@ -78,21 +78,21 @@
             self._start_ms = None
             return []
         if self._start_ms is None or log_is_down:
-            self._plan(urgent, now_ms)
+            self._schedule(urgent, now_ms)
             return []
-        if begun_ms is not None and begun_ms >= self._planned_ms:
-            self._plan(urgent, now_ms)
+        if last_part_ms is not None and last_part_ms >= self._scheduled_ms:
+            self._schedule(urgent, now_ms)
             return []
-        if now_ms < self._start_ms or not self._budget.take('snapshot', now_ms):
+        if now_ms < self._start_ms or not self._budget.acquire('snapshot', now_ms):
             return []
-        self._begin(fold)
-        return [self._send(now_ms)]
+        self._start_snapshot(fold)
+        return [self._append_next_part(now_ms)]
 
     def append_finished(self, finished: AppendFinished) -> None:
-        """Take in the outcome of an append of this writer.
+        """Handle the outcome of an append of this writer.
 
-        A part whose reply was lost may be missing, so the snapshot is given
-        up; an incomplete one is never used.
+        If the reply was lost, the part may be missing, so the snapshot is
+        abandoned; an incomplete snapshot is never used.
 
         :param finished: the outcome.
         """
@@ -100,27 +100,27 @@
             return
         self._sent_ms = None
         if finished.outcome != 'appended':
-            self._give_up()
+            self._reset()
             return
         self._next_part += 1
         if self._next_part == len(self._records):
             self.written += 1
-            self._give_up()
+            self._reset()
 
-    def _plan(self, urgent: bool, now_ms: int) -> None:
+    def _schedule(self, urgent: bool, now_ms: int) -> None:
         jitter_ms = self._settings.snapshot_jitter_ms
         if urgent:
-            jitter_ms //= URGENT_DIVISOR
-        self._planned_ms = now_ms
+            jitter_ms //= URGENT_JITTER_DIVISOR
+        self._scheduled_ms = now_ms
         self._start_ms = now_ms + self._rng.randrange(jitter_ms + 1)
 
-    def _begin(self, fold: ConfigurationFold) -> None:
+    def _start_snapshot(self, fold: ConfigurationFold) -> None:
         self._count += 1
         slices = split_state(encode_state(fold), self._settings.snapshot_part_bytes)
         self._records = [
             SnapshotRecord(
                 kind=SNAPSHOT_KIND,
-                snapshot_id=f'{self._writer}.{self._count}',
+                snapshot_id=f'{self._writer_id}.{self._count}',
                 through_offset=fold.state.offset,
                 part=part,
                 parts=len(slices),
@@ -134,13 +134,13 @@
     def _continue(self, now_ms: int) -> list[AppendRecord]:
         if self._sent_ms is not None:
             if now_ms - self._sent_ms >= PART_TIMEOUT_MS:
-                self._give_up()
+                self._reset()
             return []
-        if not self._budget.take('snapshot', now_ms):
+        if not self._budget.acquire('snapshot', now_ms):
             return []
-        return [self._send(now_ms)]
+        return [self._append_next_part(now_ms)]
 
-    def _send(self, now_ms: int) -> AppendRecord:
+    def _append_next_part(self, now_ms: int) -> AppendRecord:
         self._sent_ms = now_ms
         payload = encode_record(self._records[self._next_part])
         return AppendRecord(self._append_id(), CONFIGURATION_STREAM, payload)
@@ -149,7 +149,7 @@
         record = self._records[self._next_part]
         return f'{SNAPSHOT_APPEND_PREFIX}{record["snapshot_id"]}:{record["part"]}'
 
-    def _give_up(self) -> None:
+    def _reset(self) -> None:
         self._records = []
         self._start_ms = None
         self._sent_ms = None
--- a/savorychute/configuration/state_fetch.py
+++ b/savorychute/configuration/state_fetch.py
@@ -1,4 +1,4 @@
-"""Take over the whole state from another instance."""
+"""Transfer of the whole state from another instance."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 class StateFetch:
     """One transfer from one instance.
 
-    :param source: the instance that sends.
-    :param first: the part that began it.
-    :param timeout_ms: after this long a part is asked for again.
+    :param source: the instance that sends the state.
+    :param first: the first part that arrived.
+    :param timeout_ms: time after which a part is requested again.
     """
 
     def __init__(self, source: str, first: StatePart, timeout_ms: int) -> None:
@@ -27,27 +27,27 @@
         self._parts = first.parts
         self._timeout_ms = timeout_ms
         self._slices: dict[int, bytes] = {}
-        self._asked_ms: dict[int, int] = {}
+        self._requested_ms: dict[int, int] = {}
         self.progress_ms = 0
 
     @staticmethod
-    def is_sane(part: StatePart) -> bool:
-        """Return whether a part's numbers can be right."""
+    def is_valid(part: StatePart) -> bool:
+        """Return whether the numbers of a part are consistent."""
         return 0 <= part.part < part.parts <= MAX_PARTS
 
     @property
     def is_complete(self) -> bool:
-        """Whether no part is missing."""
+        """Whether all parts have arrived."""
         return len(self._slices) == self._parts
 
     def data(self) -> bytes:
-        """Return the compressed state; all parts must be there."""
+        """Return the compressed state; all parts must have arrived."""
         return b''.join(self._slices[part] for part in range(self._parts))
 
-    def take(self, sender: str, part: StatePart, now_ms: int) -> bool:
-        """Take in a part, and return whether it belongs to this transfer.
+    def add_part(self, sender: str, part: StatePart, now_ms: int) -> bool:
+        """Add a part, and return whether it belongs to this transfer.
 
-        :param sender: who sent it.
+        :param sender: the instance that sent the part.
         :param part: the part.
         """
         if (sender, part.offset, part.parts) != (
@@ -57,7 +57,7 @@
         ):
             return False
         self._slices[part.part] = part.data
-        self._asked_ms.pop(part.part, None)
+        self._requested_ms.pop(part.part, None)
         self.progress_ms = now_ms
         return True
 
@@ -65,15 +65,15 @@
         """Return requests for the next missing parts, a few at a time."""
         in_flight = [
             part
-            for part, asked_ms in self._asked_ms.items()
-            if now_ms - asked_ms < self._timeout_ms
+            for part, requested_ms in self._requested_ms.items()
+            if now_ms - requested_ms < self._timeout_ms
         ]
-        wanted = [
+        missing = [
             part
             for part in range(self._parts)
             if part not in self._slices and part not in in_flight
         ]
-        room = max(0, PARTS_IN_FLIGHT - len(in_flight))
-        for part in wanted[:room]:
-            self._asked_ms[part] = now_ms
-        return [StateRequest(self.offset, part) for part in wanted[:room]]
+        free_slots = max(0, PARTS_IN_FLIGHT - len(in_flight))
+        for part in missing[:free_slots]:
+            self._requested_ms[part] = now_ms
+        return [StateRequest(self.offset, part) for part in missing[:free_slots]]
--- a/savorychute/configuration/state_part.py
+++ b/savorychute/configuration/state_part.py
@@ -1,4 +1,4 @@
-"""A part of the whole state."""
+"""The message that carries a part of the whole state."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @peer_message(24)
 class StatePart(NamedTuple):
-    """One of *parts* slices of the compressed state at *offset*.
+    """One of ``parts`` slices of the compressed state at ``offset``.
 
     ``snapshot_offset`` and ``snapshot_age_ms`` are as in ``OffsetNotice``.
     """
--- a/savorychute/configuration/state_request.py
+++ b/savorychute/configuration/state_request.py
@@ -1,4 +1,4 @@
-"""A pull of the whole state."""
+"""The message that requests a part of the whole state."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @peer_message(23)
 class StateRequest(NamedTuple):
-    """Send me one part of your state at *offset*."""
+    """A request for one part of the receiver's state at ``offset``."""
 
     offset: int
     part: int
--- a/savorychute/configuration/state_server.py
+++ b/savorychute/configuration/state_server.py
@@ -1,4 +1,4 @@
-"""Hand the whole state to other instances."""
+"""Transfer of the whole state to other instances."""
 
 from __future__ import annotations
 
@@ -11,41 +11,42 @@
     from savorychute.configuration.fold import ConfigurationFold
     from savorychute.configuration.record_ring import RecordRing
 
-KEEP_MS = 30_000
+RETENTION_MS = 30_000
 
 
 class StateServer:
-    """Keeps the encoded state for as long as somebody takes parts of it.
+    """Retains the encoded state while other instances request parts of it.
 
-    It need not be the newest: who has it pulls the records since, so one
-    encoding serves many, as when a whole failure domain starts again.
+    The state need not be the newest, because its receiver pulls the records that
+    follow it.  One encoding therefore serves many instances, for example when a whole
+    failure domain restarts.
 
-    :param part_bytes: size of a part.
+    :param part_bytes: the size of a part.
     """
 
     def __init__(self, part_bytes: int) -> None:
         self._part_bytes = part_bytes
         self._parts: list[bytes] = []
-        self._used_ms = 0
+        self._last_used_ms = 0
         self.offset = NO_OFFSET
         self.encodings = 0
 
     def part(self, number: int) -> bytes | None:
-        """Return a part of the kept state, or None if there is none."""
+        """Return a part of the retained state, or None if it does not exist."""
         return self._parts[number] if 0 <= number < len(self._parts) else None
 
     @property
     def parts(self) -> int:
-        """How many parts the kept state has."""
+        """The number of parts of the retained state."""
         return len(self._parts)
 
     def prepare(self, fold: ConfigurationFold, ring: RecordRing, now_ms: int) -> None:
-        """Keep a state from which the newest can be reached.
+        """Encode the state unless the retained one can still be brought up to date.
 
-        :param fold: the state in force.
-        :param ring: the records that can be pulled.
+        :param fold: the fold with the state in force.
+        :param ring: the records that other instances can pull.
         """
-        self._used_ms = now_ms
+        self._last_used_ms = now_ms
         is_newest = self.offset == fold.state.offset
         if self._parts and (is_newest or ring.covers(self.offset)):
             return
@@ -54,7 +55,7 @@
         self.encodings += 1
 
     def tick(self, now_ms: int) -> None:
-        """Drop the encoded state when nobody takes parts of it any more."""
-        if self._parts and now_ms - self._used_ms >= KEEP_MS:
+        """Discard the encoded state when no instance requests parts of it any more."""
+        if self._parts and now_ms - self._last_used_ms >= RETENTION_MS:
             self._parts = []
             self.offset = NO_OFFSET
--- a/savorychute/configuration/verdict.py
+++ b/savorychute/configuration/verdict.py
@@ -1,4 +1,4 @@
-"""What the fold made of a record."""
+"""The decision of the fold on a record."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 class Verdict(NamedTuple):
     """The fold's decision on one record, the same on every instance.
 
-    ``code`` is ``OK`` for an accepted amendment.  ``version`` is the item's
-    version after the record; for a rejected one that is the version in force.
+    ``code`` is ``OK`` for an accepted amendment.  ``version`` is the version of the
+    item after the record; for a rejected record this is the version in force.
     """
 
     offset: int
@@ -26,5 +26,5 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether the amendment is in force."""
+        """Whether the amendment was accepted."""
         return self.code is ResultCode.OK
--- a/savorychute/configuration/verdict_memory.py
+++ b/savorychute/configuration/verdict_memory.py
@@ -1,4 +1,4 @@
-"""The fold's recent decisions."""
+"""Recent decisions of the fold."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     from savorychute.configuration.verdict import Verdict
 
 REMEMBERED_OFFSETS = 2_048
-"""How far back verdicts are kept.
+"""The number of offsets for which verdicts are retained.
 
-Part of the fold, because it decides which amendments are too old to be told
-from a repetition; all instances must use the same number.
+All instances must use the same number, because the fold rejects amendments that are
+too old to be distinguished from a repeated record.
 """
 
 
@@ -28,16 +28,16 @@
         self._by_record_id = {each.record_id: each for each in self._verdicts}
 
     def add(self, verdict: Verdict) -> None:
-        """Remember a verdict.
+        """Add a verdict.
 
-        :param verdict: of a later offset than all before.
+        :param verdict: a verdict on a later offset than all before.
         """
         self._verdicts.append(verdict)
         if verdict.record_id:
             self._by_record_id[verdict.record_id] = verdict
 
-    def forget_before(self, offset: int) -> None:
-        """Forget the verdicts of offsets below *offset*."""
+    def discard_before(self, offset: int) -> None:
+        """Discard the verdicts on offsets below *offset*."""
         while self._verdicts and self._verdicts[0].offset < offset:
             verdict = self._verdicts.popleft()
             self._by_record_id.pop(verdict.record_id, None)
@@ -50,7 +50,7 @@
         """Return the verdicts in the order of their offsets."""
         return tuple(self._verdicts)
 
-    def of_item(self, item: str) -> list[Verdict]:
+    def for_item(self, item: str) -> list[Verdict]:
         """Return the verdicts on amendments of *item*, oldest first."""
         return [each for each in self._verdicts if each.item == item]
 
--- a/savorychute/configuration/verdict_row.py
+++ b/savorychute/configuration/verdict_row.py
@@ -1,4 +1,4 @@
-"""A verdict, as a snapshot holds it."""
+"""A verdict in a snapshot."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     at_ms: int
 
 
-def row_of(verdict: Verdict) -> VerdictRow:
-    """Return the verdict as a row."""
+def verdict_to_row(verdict: Verdict) -> VerdictRow:
+    """Convert a verdict to a row."""
     return VerdictRow(
         verdict.offset,
         verdict.record_id,
@@ -39,8 +39,8 @@
     )
 
 
-def verdict_of(row: VerdictRow) -> Verdict:
-    """Return the verdict in a row.
+def row_to_verdict(row: VerdictRow) -> Verdict:
+    """Convert a row to a verdict.
 
     :raises KeyError: if no result code has the number.
     """
--- a/savorychute/instance/parts.py
+++ b/savorychute/instance/parts.py
@@ -7,8 +7,8 @@
 
 from savorychute.admission import ADMISSIONS, Admission
 from savorychute.audit.audit_trail import AuditTrail
-from savorychute.configuration.keeper import ConfigurationKeeper
 from savorychute.configuration.log_budget import LogBudget
+from savorychute.configuration.manager import ConfigurationManager
 from savorychute.credits import CreditLedger
 from savorychute.events import EventManager
 from savorychute.instance.directory import Directory
@@ -35,7 +35,7 @@
     directory: Directory
     table: RequestTable
     membership: Membership
-    configuration: ConfigurationKeeper
+    configuration: ConfigurationManager
     audit: AuditTrail
     admission: Admission
     credits: CreditLedger
@@ -84,7 +84,7 @@
         directory=Directory(),
         table=RequestTable(),
         membership=Membership(settings.membership, address, fork()),
-        configuration=ConfigurationKeeper(configuration, address, fork(), log_budget),
+        configuration=ConfigurationManager(configuration, address, fork(), log_budget),
         audit=AuditTrail(audit, f'{name}.{address.incarnation}', log_budget),
         admission=ADMISSIONS.get(settings.admission_name)(settings.admission, fork()),
         credits=CreditLedger(settings.credits, name, fork()),
--- a/savorychute/leases/lease_keeper.py
+++ b/savorychute/leases/lease_keeper.py
@@ -103,7 +103,7 @@
             return []
         self._stop(name, RELEASED, 'no longer wanted')
         record = self._record(RELEASE_KIND, name, fencing)
-        self._budget.take('lease', now_ms)
+        self._budget.acquire('lease', now_ms)
         return [self._append(record)]
 
     def surrender(self, name: str, fencing: int, why: str) -> None:
@@ -264,7 +264,7 @@
         self._forget_old_claims(now_ms)
         self._sent[claim.claim_id] = claim
         self._claim_at_ms.pop(name, None)
-        self._budget.take('lease', now_ms)
+        self._budget.acquire('lease', now_ms)
         return [self._append(record)]
 
     def _forget_old_claims(self, now_ms: int) -> None:
--- a/tests/test_configuration/conftest.py
+++ b/tests/test_configuration/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the configuration's tests."""
+"""Fixtures for the tests of the configuration."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 @pytest.fixture
-def rig():
-    """Three instances that are ready, on an empty log."""
-    rig = Rig(seed=3)
+def cluster():
+    """Three ready instances with an empty log."""
+    cluster = Rig(seed=3)
     for name in ('a', 'b', 'c'):
-        rig.add(name)
-    rig.wait(7_000)
-    return rig
+        cluster.add(name)
+    cluster.wait(7_000)
+    return cluster
 
 
 @pytest.fixture
 def amend():
-    """Fold an amendment and return the step."""
+    """Return a function that folds an amendment and returns the step."""
 
     def amend_fold(
         fold: ConfigurationFold,
--- a/tests/test_configuration/test_configuration_machine.py
+++ b/tests/test_configuration/test_configuration_machine.py
@@ -1,4 +1,4 @@
-"""Configuration under arbitrary failures, against a fold of the whole log."""
+"""Configuration under arbitrary failures, compared with a fold of the whole log."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from savorychute.result_code import ResultCode
 
 if TYPE_CHECKING:
-    from savorychute.configuration.keeper import ConfigurationKeeper
+    from savorychute.configuration.manager import ConfigurationManager
 
 STREAM = 'configuration'
 NAMES = ['a', 'b', 'c', 'd', 'e']
@@ -28,15 +28,15 @@
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Five instances, a log, and whatever may happen to them."""
+    """Five instances and a log, with failures in any order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.rig = Rig(seed=11, settings=SETTINGS)
+        self.cluster = Rig(seed=11, settings=SETTINGS)
         for number, name in enumerate(NAMES):
-            self.rig.add(name, 'north', f'north-{number % 2}')
-        self.rig.wait(7_000)
-        self.seen: dict[ConfigurationKeeper, tuple[int, dict[str, int]]] = {}
+            self.cluster.add(name, 'north', f'north-{number % 2}')
+        self.cluster.wait(7_000)
+        self.last_seen: dict[ConfigurationManager, tuple[int, dict[str, int]]] = {}
         self.proposed: dict[str, str] = {}
         self.down: set[str] = set()
 
@@ -49,116 +49,116 @@
         removes=st.booleans(),
     )
     def propose(self, number, item, is_old, share, state, removes):
-        """An operator proposes, perhaps on an old base, perhaps nonsense."""
+        """An operator proposes a change, maybe invalid or with an old base version."""
         name = NAMES[number]
         if name in self.down:
             return
-        base = self.rig.keepers[name].state.versions.get(item, 0)
+        base = self.cluster.keepers[name].state.versions.get(item, 0)
         if is_old:
             base = max(0, base - 1)
         target = item.partition(':')[2]
         document = make_contract(target, share)
         if item.startswith('endpoint'):
             document = make_endpoint(target, state)
-        self.rig.propose(name, item, base, None if removes else document)
+        self.cluster.propose(name, item, base, None if removes else document)
 
     @rule(duration_ms=st.sampled_from([20, 300, 2_000, 15_000, 40_000]))
     def wait(self, duration_ms):
         """Time passes."""
-        self.rig.wait(duration_ms)
+        self.cluster.wait(duration_ms)
 
     @rule(is_up=st.booleans(), loses=st.booleans(), late=st.booleans())
     def change_log(self, is_up, loses, late):
-        """The log goes down or comes back, loses replies, or is slow."""
-        self.rig.log.is_up = is_up
-        self.rig.log.lose_replies = loses
-        self.rig.late_append_ms = 9_000 if late else 0
+        """The log becomes unavailable or available, loses replies, or is slow."""
+        self.cluster.log.is_up = is_up
+        self.cluster.log.lose_replies = loses
+        self.cluster.late_append_ms = 9_000 if late else 0
 
     @rule(share=st.sampled_from([0.0, 0.3, 1.0]))
     def lose_messages(self, share):
-        """The network between instances gets better or worse."""
-        self.rig.loss_share = share
+        """The share of lost messages between instances changes."""
+        self.cluster.loss_share = share
 
     @rule(cut=st.sets(st.sampled_from(NAMES)))
     def cut_from_log(self, cut):
-        """Some instances cannot read."""
-        self.rig.log_is_cut_from = cut
+        """Some instances cannot read the log."""
+        self.cluster.log_is_cut_from = cut
 
     @rule()
     def append_garbage(self):
-        """Somebody's tool writes to the stream."""
-        self.rig.log.append(AppendRecord('x', STREAM, b'\x00garbage'))
+        """A foreign tool appends garbage to the stream."""
+        self.cluster.log.append(AppendRecord('x', STREAM, b'\x00garbage'))
 
     @precondition(lambda self: len(self.down) < 3)
     @rule(number=st.integers(0, 4))
     def stop(self, number):
-        """An instance fails."""
+        """An instance crashes."""
         name = NAMES[number]
         if name not in self.down:
-            self.rig.stop(name)
+            self.cluster.stop(name)
             self.down.add(name)
 
     @rule()
     def start_again(self):
-        """All failed instances are replaced."""
+        """All crashed instances are replaced."""
         for name in sorted(self.down):
-            self.rig.add(name, 'north', f'north-{NAMES.index(name) % 2}')
+            self.cluster.add(name, 'north', f'north-{NAMES.index(name) % 2}')
         self.down.clear()
 
     @rule()
     def expire(self):
-        """The retention passes, which the newest snapshot outlasts."""
+        """The log expires all records that the newest snapshot covers."""
         offsets = [
-            keeper.status(self.rig.now_ms).snapshot_offset
-            for keeper in self.rig.keepers.values()
+            manager.status(self.cluster.now_ms).snapshot_offset
+            for manager in self.cluster.keepers.values()
         ]
-        if max(offsets) >= 0 and STREAM in self.rig.log.streams:
-            first = self.rig.log.first_offsets.get(STREAM, 0)
-            self.rig.log.expire(STREAM, max(first, *offsets))
+        if max(offsets) >= 0 and STREAM in self.cluster.log.streams:
+            first = self.cluster.log.first_offsets.get(STREAM, 0)
+            self.cluster.log.expire(STREAM, max(first, *offsets))
 
     @invariant()
-    def nothing_goes_back(self):
-        """No run of an instance ever has an older configuration than before."""
-        for keeper in self.rig.keepers.values():
-            before, versions = self.seen.get(keeper, (-1, {}))
-            state = keeper.state
+    def offsets_and_versions_never_decrease(self):
+        """The configuration of an instance never becomes older during a run."""
+        for manager in self.cluster.keepers.values():
+            before, versions = self.last_seen.get(manager, (-1, {}))
+            state = manager.state
             assert state.offset >= before
             for item, version in state.versions.items():
                 assert version >= versions.get(item, 0)
-            self.seen[keeper] = (state.offset, dict(state.versions))
+            self.last_seen[manager] = (state.offset, dict(state.versions))
 
     @invariant()
     def equal_offsets_have_equal_states(self):
-        """Two instances at one offset agree."""
+        """Two instances at the same offset have the same state."""
         digests: dict[int, int] = {}
-        for keeper in self.rig.keepers.values():
-            state = keeper.state
+        for manager in self.cluster.keepers.values():
+            state = manager.state
             assert digests.setdefault(state.offset, state.digest) == state.digest
-            assert keeper.status(self.rig.now_ms).divergences == 0
+            assert manager.status(self.cluster.now_ms).divergences == 0
 
     def teardown(self):
-        """All heals; everybody gets the newest, and every answer was true."""
-        self.rig.log.is_up = True
-        self.rig.log.lose_replies = False
-        self.rig.late_append_ms = 0
-        self.rig.loss_share = 0.0
-        self.rig.log_is_cut_from = set()
+        """Without failures, all instances converge, and all replies were correct."""
+        self.cluster.log.is_up = True
+        self.cluster.log.lose_replies = False
+        self.cluster.late_append_ms = 0
+        self.cluster.loss_share = 0.0
+        self.cluster.log_is_cut_from = set()
         self.start_again()
-        self.rig.wait(20_000)
-        end = len(self.rig.log.streams.get(STREAM, []))
-        self.rig.wait(10_000)
+        self.cluster.wait(20_000)
+        end = len(self.cluster.log.streams.get(STREAM, []))
+        self.cluster.wait(10_000)
         whole = ConfigurationFold()
-        for offset, payload in enumerate(self.rig.log.streams.get(STREAM, [])):
+        for offset, payload in enumerate(self.cluster.log.streams.get(STREAM, [])):
             whole.apply(LogRecord(offset, payload))
-        for name, keeper in self.rig.keepers.items():
-            assert keeper.ready, name
-            assert keeper.state.offset >= end - 1, name
-            assert keeper.state.digest == whole.state.digest
-        for reply in self.rig.replies.values():
+        for name, manager in self.cluster.keepers.items():
+            assert manager.ready, name
+            assert manager.state.offset >= end - 1, name
+            assert manager.state.digest == whole.state.digest
+        for reply in self.cluster.replies.values():
             self.check_reply(whole, reply)
 
     def check_reply(self, whole, reply):
-        """An answer says what the log says."""
+        """Check that a reply agrees with the verdict of the whole log."""
         answer = msgspec.json.decode(reply.document)
         verdict = whole.verdicts.find(answer.get('record_id', '?'))
         if reply.code is ResultCode.OK:
--- a/tests/test_configuration/test_fold.py
+++ b/tests/test_configuration/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold decides alike everywhere, whatever is in the log."""
+"""The fold is deterministic and accepts any content of the log."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 def test_second_of_two_racing_operators_gets_a_conflict(fold, amend):
     """Two operators read version 1 and both amend it.
 
-    The log puts one first.  Were the other accepted too, it would undo the
-    first one's change unseen.
+    The log orders the two amendments.  If the second were accepted as well, it would
+    silently revert the change of the first.
     """
     amend(fold, 'contract:malanadu', 0, make_contract('malanadu'))
     amend(fold, 'contract:malanadu', 1, make_contract('malanadu', 0.25))
@@ -47,11 +47,11 @@
 
 
 def test_record_appended_twice_has_one_effect(fold, amend):
-    """An operator creates a contract, removes it, and it comes back.
+    """A delayed duplicate of an append must not restore a removed contract.
 
-    The first append's reply was lost and its bytes lay in a buffer of the
-    network; they reach the log again after the removal, and their base version
-    0 is in force once more.
+    An operator creates a contract and removes it.  The reply to the first append was
+    lost, and a copy of the record is delayed in the network.  It reaches the log
+    after the removal, when its base version 0 is in force again.
     """
     amend(fold, 'contract:a', 0, make_contract('a'), record_id='first')
     amend(fold, 'contract:a', 1, None)
@@ -63,8 +63,8 @@
     assert 'a' not in fold.state.contracts
 
 
-def test_record_too_late_to_be_told_from_a_repetition_is_rejected(fold, amend):
-    """The repetition of the story above arrives after its id was forgotten."""
+def test_record_too_late_to_be_distinguished_from_a_repetition_is_rejected(fold, amend):
+    """The duplicate record of the test above arrives after its id was discarded."""
     amend(fold, 'contract:a', 0, make_contract('a'), record_id='first')
     amend(fold, 'contract:a', 1, None)
     for _ in range(REMEMBERED_OFFSETS):
@@ -123,7 +123,7 @@
     assert fault in step.verdict.message
 
 
-def test_shares_beyond_the_pool_are_rejected_exactly_at_the_bound(fold, amend):
+def test_shares_are_rejected_exactly_above_the_size_of_the_pool(fold, amend):
     for number in range(9):
         amend(fold, f'contract:{number}', 0, make_contract(f'{number}', 0.1))
     beyond = amend(fold, 'contract:x', 0, make_contract('x', 0.100000001))
@@ -133,12 +133,15 @@
 
 def test_token_of_another_organisation_is_rejected_until_it_is_free(fold, amend):
     amend(fold, 'contract:a', 0, make_contract('a'))
-    thief = {**make_contract('b'), 'token_hashes': make_contract('a')['token_hashes']}
-    step = amend(fold, 'contract:b', 0, thief)
+    conflicting_contract = {
+        **make_contract('b'),
+        'token_hashes': make_contract('a')['token_hashes'],
+    }
+    step = amend(fold, 'contract:b', 0, conflicting_contract)
     assert "belongs to 'a'" in step.verdict.message
     amend(fold, 'contract:a', 1, None)
-    assert amend(fold, 'contract:b', 0, thief).verdict.accepted
-    assert fold.pool.owner_of(thief['token_hashes'][0]) == 'b'
+    assert amend(fold, 'contract:b', 0, conflicting_contract).verdict.accepted
+    assert fold.pool.owner_of(conflicting_contract['token_hashes'][0]) == 'b'
 
 
 @pytest.mark.parametrize(
@@ -158,15 +161,15 @@
     assert fault in step.verdict.message
 
 
-def test_retired_endpoint_stays_retired_and_may_then_be_removed(fold, amend):
+def test_retired_endpoint_stays_retired_and_can_be_removed(fold, amend):
     amend(fold, 'endpoint:e', 0, make_endpoint('e'))
     assert not amend(fold, 'endpoint:e', 1, None).verdict.accepted
     amend(fold, 'endpoint:e', 1, make_endpoint('e', 'draining'))
     retired = amend(fold, 'endpoint:e', 3, make_endpoint('e', 'retired'))
-    back = amend(fold, 'endpoint:e', 4, make_endpoint('e', 'active'))
-    assert 'stays retired' in back.verdict.message
-    gone = amend(fold, 'endpoint:e', retired.change.to_version, None)
-    assert gone.change.document is None
+    reactivation = amend(fold, 'endpoint:e', 4, make_endpoint('e', 'active'))
+    assert 'stays retired' in reactivation.verdict.message
+    removal = amend(fold, 'endpoint:e', retired.change.to_version, None)
+    assert removal.change.document is None
     assert 'endpoint:e' not in fold.state.versions
 
 
@@ -184,9 +187,10 @@
     ],
 )
 def test_unreadable_record_is_rejected_and_does_not_stop_the_fold(fold, amend, payload):
-    """Somebody's tool appends garbage to the configuration's stream.
+    """A foreign tool appends garbage to the configuration stream.
 
-    If it raised, every instance would stop at the same offset for good.
+    If the fold raised an error, all instances would stop at the same offset
+    permanently.
     """
     step = fold.apply(LogRecord(0, payload))
     assert step.verdict.code is ResultCode.INVALID_CHANGE
@@ -215,7 +219,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from(['contract:a', 'endpoint:e', 'x']), JSON)))
-def test_no_document_whatever_stops_the_fold(documents):
+def test_arbitrary_documents_do_not_stop_the_fold(documents):
     fold = ConfigurationFold()
     for offset, (item, document) in enumerate(documents):
         record = {
--- a/tests/test_configuration/test_join.py
+++ b/tests/test_configuration/test_join.py
@@ -1,4 +1,4 @@
-"""A new instance waits for the newest, and nothing ever takes it back."""
+"""A new instance waits for the newest state, and never adopts an older one."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from benches.configuration_rig import Rig, make_contract
 from savorychute.configuration.configuration_store import ConfigurationStore
 from savorychute.configuration.fold import ConfigurationFold
-from savorychute.configuration.keeper import ConfigurationKeeper
 from savorychute.configuration.log_follower import LogFollower
 from savorychute.configuration.log_reader import LogReader
+from savorychute.configuration.manager import ConfigurationManager
 from savorychute.configuration.offset_notice import OffsetNotice
 from savorychute.configuration.record_codec import encode_record
 from savorychute.configuration.records_request import RecordsRequest
 from savorychute.configuration.settings import ConfigurationSettings
 from savorychute.configuration.snapshot_codec import encode_state
+from savorychute.configuration.snapshot_monitor import SnapshotMonitor
 from savorychute.configuration.snapshot_record import SNAPSHOT_KIND, SnapshotRecord
-from savorychute.configuration.snapshot_watch import SnapshotWatch
 from savorychute.configuration.state_part import StatePart
 from savorychute.inputs.log_record import LogRecord
 from savorychute.inputs.records_read import RecordsRead
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def folds(amend):
-    """Folds through one, two and three contracts."""
+    """Folds with one, two and three contracts."""
 
     def fold_contracts(count):
         fold = ConfigurationFold()
@@ -57,9 +57,9 @@
 
 @pytest.fixture
 def joiner(view):
-    keeper = ConfigurationKeeper(SETTINGS, view.own, random.Random(1))
-    keeper.tick(view, {}, 0)
-    return keeper
+    manager = ConfigurationManager(SETTINGS, view.own, random.Random(1))
+    manager.tick(view, {}, 0)
+    return manager
 
 
 def notice(fold):
@@ -69,10 +69,10 @@
 def test_joiner_is_not_ready_with_the_state_of_a_peer_that_is_behind(
     joiner, view, folds
 ):
-    """The first instance that answers was cut off for a while.
+    """The first instance that responds was partitioned and has an old state.
 
-    Another one is known to be further; serving from the older state would put
-    limits in force again that an operator has replaced.
+    Another instance reported a higher offset.  Serving from the older state would
+    restore limits that an operator has replaced.
     """
     joiner.receive('a', notice(folds[2]), view, 100)
     joiner.receive('b', notice(folds[1]), view, 110)
@@ -88,7 +88,7 @@
     assert joiner.advertised_offset == 2
 
 
-def test_joiner_hears_several_peers_before_it_is_ready(joiner, view, folds):
+def test_joiner_needs_offsets_of_several_peers_before_it_is_ready(joiner, view, folds):
     joiner.receive('a', notice(folds[0]), view, 100)
     joiner.receive('a', state_part(folds[0]), view, 200)
     joiner.tick(view, {}, 300)
@@ -99,7 +99,7 @@
     assert joiner.ready
 
 
-def test_offset_on_the_pings_of_the_membership_counts(joiner, view, folds):
+def test_offset_in_membership_pings_counts(joiner, view, folds):
     for peer in 'abc':
         joiner.receive(peer, notice(folds[0]), view, 100)
     joiner.receive('a', state_part(folds[0]), view, 200)
@@ -107,8 +107,8 @@
     assert not joiner.ready
 
 
-def test_pull_goes_to_another_peer_when_one_does_not_answer(joiner, view, folds):
-    """The instance that is furthest ahead dies right after it said so."""
+def test_pull_goes_to_another_peer_when_one_does_not_respond(joiner, view, folds):
+    """The instance with the highest offset crashes right after it reported it."""
     actions = joiner.receive('a', notice(folds[2]), view, 100)
     assert [each.instance for each in actions] == ['a']
     assert actions[0].message == RecordsRequest(-1)
@@ -122,7 +122,7 @@
 
 
 def test_older_state_is_never_adopted(folds):
-    """A transfer of the state is overtaken by pushes of single records."""
+    """Pushed records make a transfer of the state obsolete before it ends."""
     store = ConfigurationStore(10_000)
     assert store.adopt(encode_state(folds[2]), 2)
     assert not store.adopt(encode_state(folds[1]), 1)
@@ -131,7 +131,7 @@
     assert len(store.take_changes()) == 3
 
 
-def test_state_of_a_sender_that_is_no_member_is_ignored(joiner, view, folds):
+def test_state_of_a_sender_that_is_not_a_member_is_ignored(joiner, view, folds):
     assert joiner.receive('x', state_part(folds[2]), view, 100) == []
     assert joiner.state.offset == -1
 
@@ -140,7 +140,7 @@
 def follower():
     store = ConfigurationStore(10_000)
     reader = LogReader(SETTINGS, random.Random(1))
-    return store, LogFollower(store, reader, SnapshotWatch(SETTINGS))
+    return store, LogFollower(store, reader, SnapshotMonitor(SETTINGS))
 
 
 def snapshot_at(offset, fold):
@@ -155,10 +155,11 @@
     return LogRecord(offset, encode_record(record))
 
 
-def test_snapshot_with_a_gap_behind_it_is_not_used(follower, folds):
-    """A slow writer's snapshot came late, and the log lost what it lacks.
+def test_snapshot_followed_by_a_gap_is_not_used(follower, folds):
+    """A slow writer appends a snapshot after records that follow it have expired.
 
-    It holds offset 0, the log begins at 3: what 1 and 2 did is unknown.
+    The snapshot covers offset 0 and the log starts at 3, so the effect of the records
+    at 1 and 2 is unknown.
     """
     store, log = follower
     old = snapshot_at(3, folds[0])
@@ -174,10 +175,11 @@
     assert log.end_reached
 
 
-def test_snapshot_from_the_future_is_not_used(follower, folds):
-    """A tool of another system appends a snapshot with offsets of its own.
+def test_snapshot_of_a_later_offset_than_its_own_is_not_used(follower, folds):
+    """A tool of another system appends a snapshot with unrelated offsets.
 
-    Whoever adopted it would wait for offsets that the log reaches years later.
+    An instance that adopted it would wait for offsets that the log reaches only years
+    later.
     """
     store, log = follower
     foreign = snapshot_at(2, folds[2])
@@ -185,8 +187,8 @@
     assert store.offset == -1
 
 
-def test_log_that_lost_its_end_takes_nothing_back_and_is_reported(follower, folds):
-    """The platform restores the log from an older copy."""
+def test_log_that_lost_its_end_reverts_nothing_and_is_reported(follower, folds):
+    """The platform restores the log from an older backup."""
     store, log = follower
     store.adopt(encode_state(folds[2]), 2)
     for _ in range(3):
@@ -197,50 +199,50 @@
     assert log.log_is_behind
 
 
-def test_snapshot_is_due_by_age_by_distance_and_by_loss():
+def test_snapshot_is_due_by_age_by_record_count_and_by_expiry():
     settings = SETTINGS._replace(snapshot_interval_ms=1_000, snapshot_records=50)
-    watch = SnapshotWatch(settings)
-    watch.start(0)
-    watch.hear(10, 400, 0)
-    assert not watch.is_due(20, 0, 500)
-    assert watch.is_due(20, 0, 600)
-    assert watch.is_due(60, 0, 500)
-    assert not watch.is_due(20, 10, 500)
-    assert watch.is_due(20, 11, 500)
+    snapshot_monitor = SnapshotMonitor(settings)
+    snapshot_monitor.start(0)
+    snapshot_monitor.record_reported(10, 400, 0)
+    assert not snapshot_monitor.is_due(20, 0, 500)
+    assert snapshot_monitor.is_due(20, 0, 600)
+    assert snapshot_monitor.is_due(60, 0, 500)
+    assert not snapshot_monitor.is_due(20, 10, 500)
+    assert snapshot_monitor.is_due(20, 11, 500)
 
 
-def test_age_of_a_snapshot_is_handed_on_as_a_duration():
-    """All instances are replaced one by one, faster than snapshots come due.
+def test_age_of_a_snapshot_is_reported_as_a_duration():
+    """All instances are replaced one by one, faster than snapshots become due.
 
-    If each counted from its own start, none would ever write one.
+    If each instance counted the age from its own start, none would ever write one.
     """
-    watch = SnapshotWatch(SETTINGS)
-    watch.start(1_000_000)
-    watch.hear(5, 300_000, 1_000_000)
-    assert watch.age_ms(1_000_500) == 300_500
+    snapshot_monitor = SnapshotMonitor(SETTINGS)
+    snapshot_monitor.start(1_000_000)
+    snapshot_monitor.record_reported(5, 300_000, 1_000_000)
+    assert snapshot_monitor.age_ms(1_000_500) == 300_500
 
 
-def test_join_during_a_log_outage_works_from_peers():
-    rig = Rig(seed=4)
+def test_join_during_a_log_outage_uses_peers():
+    cluster = Rig(seed=4)
     for number in range(4):
-        rig.add(f'i{number}')
-    rig.wait(7_000)
-    rig.propose('i0', 'contract:m', 0, make_contract('m'))
-    rig.wait(3_000)
-    rig.log.is_up = False
-    rig.add('n0')
-    rig.wait(3_000)
-    assert rig.keepers['n0'].ready
-    assert rig.keepers['n0'].state.digest == rig.keepers['i0'].state.digest
-
-
-def test_nothing_is_served_with_neither_log_nor_peer():
-    rig = Rig(seed=4)
-    rig.log.is_up = False
-    rig.add('n0')
-    rig.add('n1')
-    rig.wait(60_000)
-    assert not any(keeper.ready for keeper in rig.keepers.values())
-    rig.log.is_up = True
-    rig.wait(10_000)
-    assert all(keeper.ready for keeper in rig.keepers.values())
+        cluster.add(f'i{number}')
+    cluster.wait(7_000)
+    cluster.propose('i0', 'contract:m', 0, make_contract('m'))
+    cluster.wait(3_000)
+    cluster.log.is_up = False
+    cluster.add('n0')
+    cluster.wait(3_000)
+    assert cluster.keepers['n0'].ready
+    assert cluster.keepers['n0'].state.digest == cluster.keepers['i0'].state.digest
+
+
+def test_instance_is_not_ready_without_log_and_peers():
+    cluster = Rig(seed=4)
+    cluster.log.is_up = False
+    cluster.add('n0')
+    cluster.add('n1')
+    cluster.wait(60_000)
+    assert not any(manager.ready for manager in cluster.keepers.values())
+    cluster.log.is_up = True
+    cluster.wait(10_000)
+    assert all(manager.ready for manager in cluster.keepers.values())
--- a/tests/test_configuration/test_snapshots.py
+++ b/tests/test_configuration/test_snapshots.py
@@ -1,4 +1,4 @@
-"""A snapshot stands for all records before it."""
+"""A snapshot replaces all records before it."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def observe(fold):
-    """Return all of the fold that later records can depend on."""
+    """Return all parts of the fold that affect later records."""
     state = fold.state
     documents = {item: state.document(item) for item in state.versions}
     return state.offset, state.digest, state.versions, documents, fold.verdicts.all()
@@ -97,28 +97,28 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(CHANGES)
-def test_records_passed_on_fold_to_the_same_as_those_of_the_log(changes):
+def test_records_of_the_ring_fold_to_the_same_as_those_of_the_log(changes):
     whole, records = fold_changes(changes)
     ring = RecordRing(10_000_000)
     for record in records:
         ring.add(record)
     other = ConfigurationFold()
-    for record in ring.take_after(-1, 10_000_000):
+    for record in ring.read_after(-1, 10_000_000):
         other.apply(LogRecord(record.offset, record.payload))
     assert observe(other) == observe(whole)
 
 
-def test_record_too_large_for_a_message_is_passed_on_as_nothing():
-    """A tool appends an amendment of half a megabyte of spaces.
+def test_record_too_large_for_a_message_is_sent_with_an_empty_payload():
+    """A foreign tool appends an amendment with 500 000 trailing spaces.
 
-    Were it passed on as it is, no message could hold it, and all instances that
-    do not read the log would be stuck before it.
+    Its full payload would not fit into any message, so all instances that do not
+    read the log would be stuck before it.
     """
     payload = make_payload(0, 'contract:a', 0, make_contract('a'), 'r0')
     ring = RecordRing(10_000_000)
     record = LogRecord(0, payload + b' ' * 500_000)
     ring.add(record)
-    (passed,) = ring.take_after(-1, 1_000)
+    (passed,) = ring.read_after(-1, 1_000)
     assert passed.payload == b''
     whole, other = ConfigurationFold(), ConfigurationFold()
     whole.apply(record)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize('position', [0, 10, -1])
-def test_damaged_state_is_refused(fold, amend, position):
+def test_corrupt_state_is_rejected(fold, amend, position):
     amend(fold, 'contract:a', 0, make_contract('a'))
     data = bytearray(encode_state(fold))
     data[position] ^= 0x55
@@ -149,8 +149,8 @@
     )
 
 
-def test_parts_of_two_writers_may_be_mixed():
-    """Two instances notice at once that a snapshot is due."""
+def test_parts_of_two_writers_can_be_interleaved():
+    """Two instances write a snapshot at the same time."""
     assembler = SnapshotAssembler()
     assert assembler.add(make_part('x', 0, 2, b'ab'), 10) is None
     assert assembler.add(make_part('y', 0, 2, b'12'), 11) is None
@@ -160,7 +160,7 @@
     assert snapshot.first_part_offset == 10
 
 
-def test_split_state_is_whole_again_in_order():
+def test_split_state_is_restored_by_joining_its_parts():
     data = random.Random(1).randbytes(1_000)
     parts = split_state(data, 300)
     assert [len(part) for part in parts] == [300, 300, 300, 100]
@@ -184,73 +184,77 @@
 
 
 @pytest.fixture
-def short_rig():
-    rig = Rig(seed=5, settings=SHORT)
+def short_interval_cluster():
+    cluster = Rig(seed=5, settings=SHORT)
     for number in range(6):
-        rig.add(f'i{number}', 'north', f'north-{number % 3}')
-    rig.wait(7_000)
-    rig.propose('i0', 'contract:m', 0, make_contract('m', 0.2))
-    rig.wait(2_000)
-    return rig
+        cluster.add(f'i{number}', 'north', f'north-{number % 3}')
+    cluster.wait(7_000)
+    cluster.propose('i0', 'contract:m', 0, make_contract('m', 0.2))
+    cluster.wait(2_000)
+    return cluster
 
 
-def test_snapshots_follow_one_another_without_a_crowd(short_rig):
-    short_rig.wait(600_000)
-    snapshots, parts = count_snapshots(short_rig.log)
+def test_instances_do_not_write_redundant_snapshots(short_interval_cluster):
+    short_interval_cluster.wait(600_000)
+    snapshots, parts = count_snapshots(short_interval_cluster.log)
     assert 7 <= snapshots <= 12
     assert parts >= 2 * snapshots
 
 
-def test_configuration_outlives_the_retention(short_rig):
-    """All instances are replaced after the log has dropped the amendment.
+def test_configuration_survives_the_expiry_of_its_records(short_interval_cluster):
+    """All instances are replaced after the log has expired the amendment.
 
-    What is left of the contract is the snapshot that was written meanwhile.
+    Only the snapshot that was written meanwhile still contains the contract.
     """
-    before = short_rig.keepers['i0'].state.digest
-    short_rig.wait(120_000)
-    short_rig.log.expire('configuration', 1)
-    for name in list(short_rig.keepers):
-        short_rig.stop(name)
+    before = short_interval_cluster.keepers['i0'].state.digest
+    short_interval_cluster.wait(120_000)
+    short_interval_cluster.log.expire('configuration', 1)
+    for name in list(short_interval_cluster.keepers):
+        short_interval_cluster.stop(name)
     for number in range(6):
-        short_rig.add(f'n{number}', 'north', f'north-{number % 3}')
-    short_rig.wait(10_000)
-    keepers = short_rig.keepers.values()
-    assert [keeper.ready for keeper in keepers] == [True] * 6
-    assert {keeper.state.digest for keeper in keepers} == {before}
+        short_interval_cluster.add(f'n{number}', 'north', f'north-{number % 3}')
+    short_interval_cluster.wait(10_000)
+    managers = short_interval_cluster.keepers.values()
+    assert [manager.ready for manager in managers] == [True] * 6
+    assert {manager.state.digest for manager in managers} == {before}
 
 
-def test_outage_longer_than_the_retention_is_healed_by_those_who_run(short_rig):
-    """The log is down for an hour and comes back empty but for its offsets.
+def test_running_instances_restore_a_log_after_an_outage_beyond_the_retention(
+    short_interval_cluster,
+):
+    """The log is unavailable for an hour, and all its records expire meanwhile.
 
-    The instances that run are all that is left of the configuration; unless
-    one of them writes it down, the next restart of everything loses it.
+    Only the running instances still hold the configuration.  Unless one of them
+    writes a snapshot, the next restart of all instances loses it.
     """
-    before = short_rig.keepers['i0'].state.digest
-    short_rig.log.is_up = False
-    short_rig.wait(3_600_000)
-    end = len(short_rig.log.streams['configuration'])
-    short_rig.log.expire('configuration', end)
-    short_rig.log.is_up = True
-    short_rig.wait(30_000)
-    assert count_snapshots(short_rig.log)[0] >= 1
-    for name in list(short_rig.keepers):
-        short_rig.stop(name)
-    short_rig.add('n0')
-    short_rig.wait(20_000)
-    assert short_rig.keepers['n0'].ready
-    assert short_rig.keepers['n0'].state.digest == before
-
-
-def test_log_without_a_usable_snapshot_keeps_a_new_instance_out(short_rig):
-    """A new instance finds a log whose beginning is gone, and no peer.
-
-    Serving with the few amendments that are left would be worse than nothing.
+    before = short_interval_cluster.keepers['i0'].state.digest
+    short_interval_cluster.log.is_up = False
+    short_interval_cluster.wait(3_600_000)
+    end = len(short_interval_cluster.log.streams['configuration'])
+    short_interval_cluster.log.expire('configuration', end)
+    short_interval_cluster.log.is_up = True
+    short_interval_cluster.wait(30_000)
+    assert count_snapshots(short_interval_cluster.log)[0] >= 1
+    for name in list(short_interval_cluster.keepers):
+        short_interval_cluster.stop(name)
+    short_interval_cluster.add('n0')
+    short_interval_cluster.wait(20_000)
+    assert short_interval_cluster.keepers['n0'].ready
+    assert short_interval_cluster.keepers['n0'].state.digest == before
+
+
+def test_new_instance_is_not_ready_without_a_usable_snapshot(short_interval_cluster):
+    """A new instance finds a log whose first records have expired, and no peer.
+
+    Serving with only the remaining amendments would be worse than not serving.
     """
-    short_rig.log.expire('configuration', 1)
-    for name in list(short_rig.keepers):
-        short_rig.stop(name)
-    short_rig.add('n0')
-    short_rig.wait(30_000)
-    assert not short_rig.keepers['n0'].ready
-    reply = short_rig.replies[short_rig.propose('n0', 'contract:x', 0, None)]
+    short_interval_cluster.log.expire('configuration', 1)
+    for name in list(short_interval_cluster.keepers):
+        short_interval_cluster.stop(name)
+    short_interval_cluster.add('n0')
+    short_interval_cluster.wait(30_000)
+    assert not short_interval_cluster.keepers['n0'].ready
+    reply = short_interval_cluster.replies[
+        short_interval_cluster.propose('n0', 'contract:x', 0, None)
+    ]
     assert reply.code is ResultCode.NOT_READY
