--- a/savorychute/gateway/settings/table.py
+++ b/savorychute/gateway/settings/table.py
@@ -9,18 +9,18 @@
 from savorychute.gateway.settings.gateway_settings import GatewaySettings
 from savorychute.settings.path_reader import read_extension_paths
 from savorychute.settings.readers import (
+    choice_reader,
+    number_reader,
     read_address,
-    read_choice,
-    read_flag,
-    read_number,
+    read_boolean,
     read_share,
     read_text,
     read_texts,
 )
 from savorychute.settings.rows import (
+    LOCATION_ROWS,
     LOG_LEVEL_ROW,
     MAX_DURATION_MS,
-    PLACE_ROWS,
     address_row,
     extensions_row,
     port_row,
@@ -45,13 +45,13 @@
 
 def _duration(name: str, default: float, doc: str) -> Setting:
     # A platform may state its bounds in fractions of 1 ms.
-    reader = read_number(1, MAX_DURATION_MS)
+    reader = number_reader(1, MAX_DURATION_MS)
     kind = f'1 to {MAX_DURATION_MS}'
     return Setting(name, default, 'ms', Scope.DEPLOYMENT, kind, reader, doc)
 
 
 def _seconds(name: str, default: float, doc: str) -> Setting:
-    reader = read_number(MIN_DURATION_S, MAX_DURATION_S)
+    reader = number_reader(MIN_DURATION_S, MAX_DURATION_S)
     kind = f'{MIN_DURATION_S:g} to {MAX_DURATION_S}'
     return Setting(name, default, 's', Scope.DEPLOYMENT, kind, reader, doc)
 
@@ -59,14 +59,14 @@
 def _quantity(name: str, default: float, maximum: int, unit: str, doc: str) -> Setting:
     # A platform that runs at a fraction of its load scales its bounds by that fraction,
     # so that even counts may be fractional.
-    reader = read_number(0, maximum)
+    reader = number_reader(0, maximum)
     return Setting(
         name, default, unit, Scope.DEPLOYMENT, f'0 to {maximum}', reader, doc
     )
 
 
 GATEWAY_SETTINGS: tuple[Setting, ...] = (
-    *PLACE_ROWS,
+    *LOCATION_ROWS,
     address_row('caller_address', Scope.INSTANCE, 'Where callers send requests.'),
     address_row(
         'readiness_address',
@@ -127,7 +127,7 @@
         '',
         Scope.DEPLOYMENT,
         'true or false',
-        read_flag,
+        read_boolean,
         'Refuse all keys when the store has been unavailable for nearly that long.',
     ),
     Setting(
@@ -177,7 +177,7 @@
         '',
         Scope.DEPLOYMENT,
         ', '.join(SERVER_POLICIES),
-        read_choice(SERVER_POLICIES),
+        choice_reader(SERVER_POLICIES),
         'Policy for the number of endpoints, if the platform accepts orders.',
     ),
     _seconds('usage_window_s', 5.0, 'Length of the windows in which usage is counted.'),
--- a/savorychute/settings/extension_reader.py
+++ b/savorychute/settings/extension_reader.py
@@ -1,4 +1,4 @@
-"""The modules that extend an instance, as settings name them."""
+"""Reader of the setting that lists extension modules."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 def read_extensions(value: Any) -> tuple[str, ...]:
     """Import the named modules, so that they register their variants.
 
-    The settings that choose variants are read after this one, and so can name
-    what an extension brings.
+    Settings that choose a variant are read after this one, so they can name
+    variants that an extension registers.
 
-    :param value: the list of the settings file.
-    :raises ValueError: if a module cannot be imported or is no extension.
+    :param value: the list in the settings file.
+    :raises ValueError: if a module cannot be imported or is not an extension.
     """
     if not isinstance(value, list) or not all(isinstance(name, str) for name in value):
         raise ValueError(EXPECTED)
--- a/savorychute/settings/line_index.py
+++ b/savorychute/settings/line_index.py
@@ -1,4 +1,4 @@
-"""Lines of the values in a text of JSON with comments."""
+"""Line numbers of the values in a JSON text with comments."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class LineIndex(NamedTuple):
-    """The line of each value by its path, and paths that appear twice."""
+    """The line number of each value by its path, and the paths that appear twice."""
 
     lines: dict[Path, int]
     repeated: tuple[Path, ...]
 
 
 class _Container:
-    """An open object or list while its text is scanned."""
+    """An object or list whose end has not been scanned yet."""
 
     def __init__(self, is_object: bool) -> None:
         self.is_object = is_object
@@ -34,39 +34,39 @@
 
 
 def index_lines(text: str) -> LineIndex:
-    """Return where each value begins.
+    """Return the line at which each value starts.
 
-    The text has been parsed already, so it is well formed; this only finds
-    the lines, which the parser does not tell.
+    The text has already been parsed and is therefore well-formed.  This function only
+    finds the line numbers, which the parser does not return.
 
     :param text: JSON with comments.
     """
     lines: dict[Path, int] = {(): 1}
     repeated: list[Path] = []
     stack: list[_Container] = []
-    for found in TOKEN.finditer(text):
-        if found['comment']:
+    for match in TOKEN.finditer(text):
+        if match['comment']:
             continue
-        mark = found['mark']
-        if mark in ('}', ']'):
+        punctuation = match['mark']
+        if punctuation in ('}', ']'):
             stack.pop()
-        elif mark == ',':
-            _begin_next(stack[-1])
-        elif mark == ':':
+        elif punctuation == ',':
+            _start_next(stack[-1])
+        elif punctuation == ':':
             stack[-1].expects_key = False
         elif stack and stack[-1].expects_key:
-            stack[-1].key = _unquote(found[0])
+            stack[-1].key = _unquote(match[0])
         else:
             path = tuple(container.key for container in stack)
             if path in lines and path:
                 repeated.append(path)
-            lines[path] = text.count('\n', 0, found.start()) + 1
-            if mark:
-                stack.append(_Container(mark == '{'))
+            lines[path] = text.count('\n', 0, match.start()) + 1
+            if punctuation:
+                stack.append(_Container(punctuation == '{'))
     return LineIndex(lines, tuple(repeated))
 
 
-def _begin_next(container: _Container) -> None:
+def _start_next(container: _Container) -> None:
     if container.is_object:
         container.expects_key = True
     else:
--- a/savorychute/settings/network_address.py
+++ b/savorychute/settings/network_address.py
@@ -6,7 +6,7 @@
 
 
 class NetworkAddress(NamedTuple):
-    """Where something listens."""
+    """The address on which a server listens."""
 
     host: str
     port: int
--- a/savorychute/settings/part_settings.py
+++ b/savorychute/settings/part_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the parts and of the sockets, from those of a file."""
+"""Conversion of file settings to the settings of the instance and of the daemon."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 def make_instance_settings(settings: Settings) -> InstanceSettings:
-    """Return what an instance is made from.
+    """Return the settings of an instance and its parts.
 
-    :param settings: of the file.
+    :param settings: the settings of the file.
     """
     return InstanceSettings(
         operator_token_hashes=settings.operator_token_hashes,
@@ -48,9 +48,9 @@
 
 
 def make_host_settings(settings: Settings) -> HostSettings:
-    """Return where a daemon listens, whom it calls, and its bounds.
+    """Return the addresses that a daemon listens on and connects to, and its limits.
 
-    :param settings: of the file.
+    :param settings: the settings of the file.
     """
     return HostSettings(
         instance=settings.instance,
--- a/savorychute/settings/path_reader.py
+++ b/savorychute/settings/path_reader.py
@@ -1,4 +1,4 @@
-"""The folders in which extensions are looked for."""
+"""Reader of the setting that lists folders with extensions."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def read_extension_paths(value: Any) -> tuple[str, ...]:
-    """Put folders on the module search path, behind what is there.
+    """Append folders to the module search path.
 
-    They go to the end, so that a folder cannot replace a module of the product or of
-    the standard library.
+    They are appended at the end, so that a folder cannot replace a module of the
+    product or of the standard library.
 
-    :param value: the list of the settings file; relative to the working directory.
-    :raises ValueError: if one is no folder.
+    :param value: the list in the settings file; relative to the working directory.
+    :raises ValueError: if an entry is not a folder.
     """
     if not isinstance(value, list) or not all(isinstance(each, str) for each in value):
         raise ValueError(EXPECTED)
--- a/savorychute/settings/peer_key_reader.py
+++ b/savorychute/settings/peer_key_reader.py
@@ -1,4 +1,4 @@
-"""The keys between instances, as settings write them."""
+"""Reader of the setting that lists the keys between instances."""
 
 from __future__ import annotations
 
@@ -21,14 +21,13 @@
 
 
 def read_peer_keys(value: Any) -> PeerKeys:
-    """Return the keys; the first one signs.
+    """Return the keys; the first one is the signing key.
 
-    An object names a ``secret_file`` or holds the ``secret`` itself, both as
+    Each object contains either a ``secret_file`` or the ``secret`` itself, both with
     hex digits.
 
-    :param value: the list of the settings file.
-    :raises ValueError: if it is not as expected; the text never holds a
-        secret.
+    :param value: the list in the settings file.
+    :raises ValueError: if the list is invalid; the message never contains a secret.
     """
     if not isinstance(value, list) or not 0 < len(value) <= MAX_KEYS:
         raise ValueError(EXPECTED)
--- a/savorychute/settings/readers.py
+++ b/savorychute/settings/readers.py
@@ -1,4 +1,4 @@
-"""Readers of values: each returns the value or says what it expected."""
+"""Readers that return a value or raise an error with the expected value."""
 
 from __future__ import annotations
 
@@ -36,41 +36,41 @@
     return tuple(value)
 
 
-def read_whole(minimum: int, maximum: int) -> Callable[[Any], int]:
-    """Return a reader of whole numbers.
+def integer_reader(minimum: int, maximum: int) -> Callable[[Any], int]:
+    """Return a reader of integers.
 
-    :param minimum: the least value accepted.
-    :param maximum: the greatest value accepted.
+    :param minimum: the smallest accepted value.
+    :param maximum: the largest accepted value.
     """
 
     def read(value: Any) -> int:
-        # JSON's true would otherwise pass for 1.
-        whole = isinstance(value, int) and not isinstance(value, bool)
-        if not whole or not minimum <= value <= maximum:
+        # Otherwise JSON's true would be accepted as 1.
+        is_integer = isinstance(value, int) and not isinstance(value, bool)
+        if not is_integer or not minimum <= value <= maximum:
             raise ValueError(f'a whole number from {minimum} to {maximum}')
         return int(value)
 
     return read
 
 
-def read_number(minimum: float, maximum: float) -> Callable[[Any], float]:
-    """Return a reader of numbers, whole or not.
+def number_reader(minimum: float, maximum: float) -> Callable[[Any], float]:
+    """Return a reader of numbers, with or without a fraction.
 
-    :param minimum: the least value accepted.
-    :param maximum: the greatest value accepted.
+    :param minimum: the smallest accepted value.
+    :param maximum: the largest accepted value.
     """
 
     def read(value: Any) -> float:
-        number = isinstance(value, int | float) and not isinstance(value, bool)
-        if not number or not minimum <= value <= maximum:
+        is_number = isinstance(value, int | float) and not isinstance(value, bool)
+        if not is_number or not minimum <= value <= maximum:
             raise ValueError(f'a number from {minimum:g} to {maximum:g}')
         return float(value)
 
     return read
 
 
-def read_flag(value: Any) -> bool:
-    """Return true or false."""
+def read_boolean(value: Any) -> bool:
+    """Return a Boolean."""
     if not isinstance(value, bool):
         raise ValueError('true or false')
     return value
@@ -78,14 +78,14 @@
 
 def read_share(value: Any) -> float:
     """Return a number from 0 to 1."""
-    number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not number or not 0 <= value <= 1:
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not 0 <= value <= 1:
         raise ValueError('a number from 0 to 1')
     return float(value)
 
 
-def read_choice(choices: Iterable[str]) -> Callable[[Any], str]:
-    """Return a reader of one of *choices*."""
+def choice_reader(choices: Iterable[str]) -> Callable[[Any], str]:
+    """Return a reader that accepts one of *choices*."""
     known = tuple(choices)
 
     def read(value: Any) -> str:
--- a/savorychute/settings/rule.py
+++ b/savorychute/settings/rule.py
@@ -11,7 +11,7 @@
 
 
 class Rule(NamedTuple, Generic[T]):
-    """What must hold, and the setting that a fault is put down to."""
+    """A condition, and the name of the setting that a fault is reported for."""
 
     name: str
     expectation: str
--- a/savorychute/settings/rules.py
+++ b/savorychute/settings/rules.py
@@ -1,4 +1,4 @@
-"""What must hold between settings."""
+"""Conditions between settings."""
 
 from __future__ import annotations
 
--- a/savorychute/settings/schema.py
+++ b/savorychute/settings/schema.py
@@ -1,4 +1,4 @@
-"""The settings that may stand in one kind of file."""
+"""The settings that one kind of file may contain."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SettingsSchema(NamedTuple, Generic[T]):
-    """A table of settings, the rules between them, and the record they fill."""
+    """A table of settings, the rules between them, and the class of their values."""
 
     settings: Sequence[Setting]
     rules: Sequence[Rule[T]]
--- a/savorychute/settings/scope.py
+++ b/savorychute/settings/scope.py
@@ -1,4 +1,4 @@
-"""How widely a setting's value is shared."""
+"""The scope of a setting."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Scope(StrEnum):
-    """Whether a value belongs to one instance or must agree everywhere."""
+    """Whether a value applies to one instance or must be equal on all instances."""
 
     INSTANCE = 'instance'
     DEPLOYMENT = 'deployment'
--- a/savorychute/settings/setting.py
+++ b/savorychute/settings/setting.py
@@ -11,7 +11,7 @@
 
 
 class _Required:
-    """The default of a setting that has none."""
+    """Marks a setting that has no default."""
 
     def __repr__(self) -> str:
         return 'required'
@@ -23,9 +23,9 @@
 class Setting(NamedTuple):
     """A setting's name, default, unit, scope, reader and description.
 
-    ``read`` turns the value of the file into that of the program; it raises
-    :class:`ValueError` with what was expected.  ``kind`` is the same
-    expectation in words, for the reference.
+    ``read`` converts the value in the file to the value in the program; it raises a
+    :class:`ValueError` that describes the expected value.  ``kind`` describes the
+    expected value in the reference.
     """
 
     name: str
--- a/savorychute/settings/settings.py
+++ b/savorychute/settings/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one instance, checked."""
+"""The validated settings of one instance."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Settings(NamedTuple):
-    """Every setting; :data:`savorychute.settings.table.SETTINGS` describes each."""
+    """All settings; :data:`savorychute.settings.table.SETTINGS` describes each."""
 
     instance: str
     region: str
--- a/savorychute/settings/settings_file.py
+++ b/savorychute/settings/settings_file.py
@@ -1,4 +1,4 @@
-"""Reading of a settings file, with all of its faults at once."""
+"""Reading of a settings file, with all of its faults reported at once."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from savorychute.settings.settings import Settings
 from savorychute.settings.table import SETTINGS
 
-MAX_SHOWN = 60
+MAX_SHOWN_CHARACTERS = 60
 SECRET_SETTINGS = ('peer_keys', 'operator_token_hashes')
 INSTANCE_SCHEMA = SettingsSchema(SETTINGS, RULES, Settings)
 
@@ -25,9 +25,9 @@
 def read_settings(path: Path | str) -> Settings:
     """Return the settings of an instance's file.
 
-    :param path: a file of JSON with comments.
-    :raises SettingsError: with every fault, each with file, line, value and
-        what was expected.
+    :param path: a JSON file with comments.
+    :raises SettingsError: with every fault, each with the file, the line, the value
+        and the expected value.
     """
     return read_schema(path, INSTANCE_SCHEMA)
 
@@ -35,8 +35,8 @@
 def read_schema(path: Path | str, schema: SettingsSchema[T]) -> T:
     """Return the settings of a file that follows *schema*.
 
-    :param path: a file of JSON with comments.
-    :param schema: the settings that may stand in it.
+    :param path: a JSON file with comments.
+    :param schema: the settings that the file may contain.
     :raises SettingsError: with every fault.
     """
     try:
@@ -50,7 +50,7 @@
     """Return the settings in a text.
 
     :param text: JSON with comments.
-    :param name: the file's name for messages.
+    :param name: the name of the file, for messages.
     :raises SettingsError: with every fault.
     """
     return parse_schema(text, name, INSTANCE_SCHEMA)
@@ -60,8 +60,8 @@
     """Return the settings in a text that follows *schema*.
 
     :param text: JSON with comments.
-    :param name: the file's name for messages.
-    :param schema: the settings that may stand in it.
+    :param name: the name of the file, for messages.
+    :param schema: the settings that the text may contain.
     :raises SettingsError: with every fault.
     """
     document = _parse_document(text, name)
@@ -73,9 +73,9 @@
 ) -> Settings:
     """Return the settings of a parsed document.
 
-    :param document: values by name of setting.
-    :param name: the file's name for messages.
-    :param index: the lines of the values, if there is a text.
+    :param document: the values by the names of their settings.
+    :param name: the name of the file, for messages.
+    :param index: the line numbers of the values, if the document comes from a text.
     :raises SettingsError: with every fault.
     """
     return _build(document, name, index or LineIndex({}, ()), INSTANCE_SCHEMA)
@@ -84,19 +84,21 @@
 def _build(
     document: dict[str, Any], name: str, index: LineIndex, schema: SettingsSchema[T]
 ) -> T:
-    faults = _find_stray_keys(document, name, index, schema)
+    faults = _find_invalid_keys(document, name, index, schema)
     values: dict[str, Any] = {}
     for setting in schema.settings:
         try:
             values[setting.name] = _read_value(setting, document)
         except ValueError as error:
-            place = f'{name}:{index.lines.get((setting.name,), 1)}'
-            faults.append(f'{place}: {_describe(setting, document)}, expected {error}')
+            location = f'{name}:{index.lines.get((setting.name,), 1)}'
+            faults.append(
+                f'{location}: {_describe(setting, document)}, expected {error}'
+            )
     if not faults:
         settings = schema.record(**values)
-        faults = _find_broken_rules(settings, name, index, schema)
+        faults = _find_violated_rules(settings, name, index, schema)
     if faults:
-        raise SettingsError(sorted(faults, key=_line_of))
+        raise SettingsError(sorted(faults, key=_line_number))
     return settings
 
 
@@ -111,35 +113,35 @@
     return document
 
 
-def _find_stray_keys(
+def _find_invalid_keys(
     document: dict[str, Any], name: str, index: LineIndex, schema: SettingsSchema[T]
 ) -> list[str]:
     known = [setting.name for setting in schema.settings]
     faults = []
     for key in document:
         if key not in known:
-            near = difflib.get_close_matches(key, known, 1)
-            hint = f'"{near[0]}"' if near else 'a name of the settings reference'
-            place = f'{name}:{index.lines.get((key,), 1)}'
-            faults.append(f'{place}: unknown setting "{key}", expected {hint}')
+            similar = difflib.get_close_matches(key, known, 1)
+            hint = f'"{similar[0]}"' if similar else 'a name of the settings reference'
+            location = f'{name}:{index.lines.get((key,), 1)}'
+            faults.append(f'{location}: unknown setting "{key}", expected {hint}')
     for path in index.repeated:
-        place = f'{name}:{index.lines[path]}'
+        location = f'{name}:{index.lines[path]}'
         shown = '.'.join(str(part) for part in path)
-        faults.append(f'{place}: "{shown}" appears twice, expected once')
+        faults.append(f'{location}: "{shown}" appears twice, expected once')
     return faults
 
 
-def _find_broken_rules(
+def _find_violated_rules(
     settings: T, name: str, index: LineIndex, schema: SettingsSchema[T]
 ) -> list[str]:
     """Return a fault for each rule between settings that does not hold."""
     faults = []
     for rule in schema.rules:
         if not rule.holds(settings):
-            place = f'{name}:{index.lines.get((rule.name,), 1)}'
+            location = f'{name}:{index.lines.get((rule.name,), 1)}'
             shown = json.dumps(getattr(settings, rule.name))
             faults.append(
-                f'{place}: "{rule.name}" is {shown}, expected {rule.expectation}'
+                f'{location}: "{rule.name}" is {shown}, expected {rule.expectation}'
             )
     return faults
 
@@ -157,10 +159,10 @@
         return f'"{setting.name}" is missing'
     if setting.name in SECRET_SETTINGS:
         return f'"{setting.name}" has a wrong value'
-    shown = json.dumps(document[setting.name])[:MAX_SHOWN]
+    shown = json.dumps(document[setting.name])[:MAX_SHOWN_CHARACTERS]
     return f'"{setting.name}" is {shown}'
 
 
-def _line_of(fault: str) -> int:
+def _line_number(fault: str) -> int:
     digits = fault.split(': ', 1)[0].rpartition(':')[2]
     return int(digits) if digits.isdigit() else 0
--- a/savorychute/settings/variant_readers.py
+++ b/savorychute/settings/variant_readers.py
@@ -7,7 +7,8 @@
 if TYPE_CHECKING:
     from savorychute.registry import Registry
 
-# The parts are imported late: reading the table of settings needs none of them.
+# The packages are imported late, because reading the table of settings needs none of
+# them.
 
 
 def read_router(value: Any) -> str:
--- a/tests/test_settings/test_part_settings.py
+++ b/tests/test_settings/test_part_settings.py
@@ -1,4 +1,4 @@
-"""A file's values reach the part that they are meant for."""
+"""The values of a file are passed to the parts that use them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 # Read by the daemon itself, and by the application (tests/test_application.py).
-OWN = {'log_level', 'extensions'}
+NOT_FORWARDED = {'log_level', 'extensions'}
 
 
 @pytest.fixture
@@ -26,9 +26,9 @@
 
 
 def test_defaults_of_the_table_are_those_of_the_parts(settings):
-    """The reference promises one default and an embedded part has another.
+    """The documented default of a setting must equal the default of the part.
 
-    Operators and embedders would then measure two different products.
+    Otherwise a daemon and an embedded instance would behave differently by default.
     """
     assert make_instance_settings(settings) == InstanceSettings()
     ports = {'caller_port': 8080, 'peer_port': 8081}
@@ -37,15 +37,17 @@
     assert make_host_settings(settings) == expected
 
 
-@pytest.mark.parametrize('name', [row.name for row in SETTINGS if row.name not in OWN])
+@pytest.mark.parametrize(
+    'name', [row.name for row in SETTINGS if row.name not in NOT_FORWARDED]
+)
 def test_every_setting_changes_something(settings, name):
     value = getattr(settings, name)
-    other = settings._replace(**{name: _make_other(value)})
+    other = settings._replace(**{name: _change_value(value)})
     before = (make_instance_settings(settings), make_host_settings(settings))
     assert (make_instance_settings(other), make_host_settings(other)) != before
 
 
-def _make_other(value):
+def _change_value(value):
     if isinstance(value, int):
         return value + 1
     if isinstance(value, str):
--- a/tests/test_settings/test_settings_file.py
+++ b/tests/test_settings/test_settings_file.py
@@ -1,4 +1,4 @@
-"""A settings file is accepted whole, or all of its faults are listed."""
+"""A settings file is accepted as a whole, or all of its faults are listed."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     assert tuple(setting.name for setting in SETTINGS) == Settings._fields
 
 
-def test_every_default_is_one_that_a_file_may_state():
+def test_every_default_is_a_valid_value_in_a_file():
     for setting in SETTINGS:
         if setting.default is not REQUIRED:
             stated = json.loads(json.dumps(setting.default))
@@ -62,10 +62,11 @@
 
 
 def test_all_faults_are_listed_by_line(fault_list):
-    """An operator mends a file fault by fault and restarts each time.
+    """All faults of a file are reported at once.
 
-    With a dozen instances that takes an hour, so one reading lists all faults
-    with file, line, value and what was expected.
+    With one fault per attempt, an operator would have to correct the file and restart
+    for each of them, which takes an hour with a dozen instances.  One read therefore
+    lists all faults with the file, the line, the value and the expected value.
     """
     text = MINIMAL.replace('"kerala"', '"Kerala!"')
     text = text.replace('"127.0.0.1:7001"', '7001')
@@ -133,17 +134,17 @@
     assert fault_list(MINIMAL.replace('{\n', f'{{\n  {added},\n', 1)) == [fault]
 
 
-def test_broken_text_names_its_place(fault_list):
+def test_syntax_error_names_its_line(fault_list):
     [fault] = fault_list(MINIMAL.replace('"a-1",', '"a-1"'))
     assert fault.startswith('a.jsonc:4 ')
 
 
 @pytest.mark.parametrize('text', ['', '[]', '5', '{"instance"', '"a"', '{]', '\x00'])
-def test_text_that_is_no_object_is_refused(fault_list, text):
+def test_text_that_is_not_an_object_is_refused(fault_list, text):
     assert len(fault_list(text)) == 1
 
 
-def test_fault_never_shows_a_secret(fault_list):
+def test_fault_never_contains_a_secret(fault_list):
     text = MINIMAL.replace('00112233445566778899aabbccddeeff', 'hunter2')
     text = text.replace('{\n', '{\n  "operator_token_hashes": ["hunter2"],\n', 1)
     faults = fault_list(text)
@@ -161,6 +162,6 @@
     assert [key.key_id for key in keys.accepted] == [1]
 
 
-def test_file_that_is_not_there_is_a_fault(tmp_path):
+def test_missing_file_is_a_fault(tmp_path):
     with pytest.raises(SettingsError, match='cannot be read'):
         read_settings(tmp_path / 'missing.jsonc')
