--- a/savorychute/configuration/manager.py
+++ b/savorychute/configuration/manager.py
@@ -96,7 +96,7 @@
 
     @property
     def advertised_offset(self) -> int:
-        """The offset to announce in membership pings, -1 until this instance is ready."""
+        """The offset to announce in membership pings, -1 until ready."""
         return self.state.offset if self._ready else -1
 
     def owner_of(self, token_hash: str) -> str | None:
--- a/savorychute/configuration/snapshot_monitor.py
+++ b/savorychute/configuration/snapshot_monitor.py
@@ -10,7 +10,7 @@
     from savorychute.configuration.settings import ConfigurationSettings
     from savorychute.configuration.snapshot_record import SnapshotRecord
 
-MAX_INCOMPLETE_SNAPSHOTS = 8
+MAX_TRACKED_SNAPSHOTS = 8
 
 
 class SnapshotMonitor:
@@ -59,7 +59,7 @@
             self.offset = first_offset
             self._first_read_ms = now_ms
             self._is_age_known = fresh
-        while len(self._parts) > MAX_INCOMPLETE_SNAPSHOTS:
+        while len(self._parts) > MAX_TRACKED_SNAPSHOTS:
             oldest = next(iter(self._parts))
             del self._parts[oldest]
             del self._first_offsets[oldest]
