--- a/savorychute/instance/parts.py
+++ b/savorychute/instance/parts.py
@@ -7,8 +7,8 @@
 
 from savorychute.admission import ADMISSIONS, Admission
 from savorychute.audit.audit_trail import AuditTrail
-from savorychute.configuration.keeper import ConfigurationKeeper
 from savorychute.configuration.log_budget import LogBudget
+from savorychute.configuration.manager import ConfigurationManager
 from savorychute.credits import CreditLedger
 from savorychute.events import EventManager
 from savorychute.instance.directory import Directory
@@ -35,7 +35,7 @@
     directory: Directory
     request_table: RequestTable
     membership: Membership
-    configuration: ConfigurationKeeper
+    configuration: ConfigurationManager
     audit: AuditTrail
     admission: Admission
     credits: CreditLedger
@@ -84,7 +84,7 @@
         directory=Directory(),
         request_table=RequestTable(),
         membership=Membership(settings.membership, address, make_rng()),
-        configuration=ConfigurationKeeper(
+        configuration=ConfigurationManager(
             configuration, address, make_rng(), log_budget
         ),
         audit=AuditTrail(audit, f'{name}.{address.incarnation}', log_budget),
--- a/savorychute/leases/lease_manager.py
+++ b/savorychute/leases/lease_manager.py
@@ -103,7 +103,7 @@
             return []
         self._end_lease(name, RELEASED, 'no longer wanted')
         record = self._build_record(RELEASE_KIND, name, fencing)
-        self._budget.take('lease', now_ms)
+        self._budget.acquire('lease', now_ms)
         return [self._append(record)]
 
     def surrender(self, name: str, fencing: int, why: str) -> None:
@@ -264,7 +264,7 @@
         self._drop_expired_claims(now_ms)
         self._sent_claims[claim.claim_id] = claim
         self._claim_at_ms.pop(name, None)
-        self._budget.take('lease', now_ms)
+        self._budget.acquire('lease', now_ms)
         return [self._append(record)]
 
     def _drop_expired_claims(self, now_ms: int) -> None:
