--- a/savorychute/client/refusal.py
+++ b/savorychute/client/refusal.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from savorychute.client.call_error import CallError
-from savorychute.http.error_answer import ErrorDocument
+from savorychute.http.error_response import ErrorDocument
 from savorychute.ran import Ran
 from savorychute.result_code import ResultCode
 
--- a/savorychute/daemon/caller_answers.py
+++ b/savorychute/daemon/caller_answers.py
@@ -10,7 +10,7 @@
     EVENT_STREAM_TYPE,
     encode_tokens,
 )
-from savorychute.http.error_answer import JSON_TYPE, encode_error, error_headers
+from savorychute.http.error_response import JSON_TYPE, encode_error, error_headers
 from savorychute.inputs import CallerLeft
 from savorychute.result_code import ResultCode
 
--- a/savorychute/daemon/caller_api.py
+++ b/savorychute/daemon/caller_api.py
@@ -16,11 +16,11 @@
     read_token,
 )
 from savorychute.errors import RequestError
-from savorychute.http.error_answer import (
+from savorychute.http.error_response import (
     JSON_TYPE,
+    classify_ran,
     encode_error,
     error_headers,
-    judge_ran,
 )
 from savorychute.result_code import ResultCode
 
@@ -173,7 +173,7 @@
     :param code: the reason.
     :param message: what is wrong in this case.
     """
-    ran = judge_ran(name for name, _ in exchange.request.headers)
+    ran = classify_ran(name for name, _ in exchange.request.headers)
     headers = error_headers(code, ran)
     headers.append(('x-request-id', request_id))
     headers.append(('x-attempt-id', ''))
--- a/savorychute/daemon/operator_answers.py
+++ b/savorychute/daemon/operator_answers.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from savorychute.http.error_answer import JSON_TYPE, encode_error, error_headers
+from savorychute.http.error_response import JSON_TYPE, encode_error, error_headers
 from savorychute.inputs import OperatorCommand
 from savorychute.ran import Ran
 from savorychute.result_code import ResultCode
--- a/savorychute/http/__init__.py
+++ b/savorychute/http/__init__.py
@@ -1,3 +1,3 @@
-"""HTTP/1.1 by h11 over asyncio protocols, as server and as client."""
+"""HTTP/1.1 server and client, built on h11 and asyncio protocols."""
 
 from __future__ import annotations
--- a/savorychute/http/call_failure.py
+++ b/savorychute/http/call_failure.py
@@ -1,4 +1,4 @@
-"""How an HTTP call failed."""
+"""The failure of an HTTP call."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class CallFailure(NamedTuple):
-    """A call that ended without a whole response.
+    """A call that ended without a complete response.
 
-    ``sent`` is false only if no byte of the request was given to the network.
+    ``sent`` is false only if no byte of the request was passed to the network.
     ``broken`` is true if the connection broke after that.
     """
 
--- a/savorychute/http/client_call.py
+++ b/savorychute/http/client_call.py
@@ -1,4 +1,4 @@
-"""One HTTP call under way."""
+"""One HTTP call in progress."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class ClientCall:
-    """A call from the wait for a connection to its end.
+    """A call, from waiting for a connection until its end.
 
-    :param request: what to send.
-    :param handler: who gets the events.
+    :param request: the request to send.
+    :param handler: the receiver of the call's events.
     """
 
     __slots__ = (
@@ -40,11 +40,11 @@
         self._connection: ClientConnection | None = None
         self._paused = False
 
-    def begin(self, connection: ClientConnection) -> bool:
+    def start(self, connection: ClientConnection) -> bool:
         """Send the request unless it is no longer wanted.
 
-        The handler is asked at the last moment before the first byte: a
-        cancel that it brings about itself stops the call with nothing sent.
+        The handler is asked immediately before the first byte is sent.  If it
+        cancels the call while being asked, nothing is sent.
 
         :param connection: a usable connection.
         :returns: whether the connection is now in use.
@@ -60,9 +60,9 @@
         return True
 
     def fail_unsent(self, reason: str) -> None:
-        """Fail the call with no byte sent.
+        """Fail the call before any byte was sent.
 
-        :param reason: why.
+        :param reason: the cause of the failure.
         """
         if self.cancelled:
             return
@@ -70,34 +70,34 @@
         self.handler.call_failed(CallFailure(sent=False, broken=False, reason=reason))
 
     def cancel(self) -> None:
-        """Stop the call; a connection in use is cut, no event follows."""
+        """Cancel the call and abort its connection; no event follows."""
         self.cancelled = True
         if self.connecting is not None:
             self.connecting.cancel()
-        connection = self._find_connection()
+        connection = self._active_connection()
         if connection is not None:
             connection.drop_call()
 
     def pause_reading(self) -> None:
-        """Stop reading the response, so that the server is slowed down."""
+        """Stop reading the response, which applies back-pressure to the server."""
         self._paused = True
-        connection = self._find_connection()
+        connection = self._active_connection()
         if connection is not None:
             connection.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read the response again."""
+        """Resume reading the response."""
         self._paused = False
-        connection = self._find_connection()
+        connection = self._active_connection()
         if connection is not None:
             connection.resume_reading()
 
-    def _find_connection(self) -> ClientConnection | None:
+    def _active_connection(self) -> ClientConnection | None:
         """Return the connection while it carries this call.
 
-        After the end of the response it may carry another call already.  A
-        caller that reads its last part slowly would otherwise stop the reading
-        of somebody else's answer.
+        After the end of the response the connection may already carry another
+        call.  Without this check, a caller that reads its last part slowly would
+        pause the reading of another call's response.
         """
         connection = self._connection
         if connection is None or not connection.carries(self.handler):
--- a/savorychute/http/client_connection.py
+++ b/savorychute/http/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server."""
+"""A client connection to a server."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
     from savorychute.http.http_request import HttpRequest
     from savorychute.http.response_handler import ResponseHandler
 
-HEAD_BOUND_BYTES = 32 * 1024
-KEEP_ALIVE = re.compile(r'timeout\s*=\s*"?(\d{1,6})')
+MAX_HEAD_BYTES = 32 * 1024
+KEEP_ALIVE_TIMEOUT = re.compile(r'timeout\s*=\s*"?(\d{1,6})')
 MS_PER_S = 1_000
 
 
@@ -26,8 +26,8 @@
     """Carries one call at a time.
 
     :param host_header: the value of the ``host`` header.
-    :param on_idle: called when the connection may take the next call.
-    :param on_lost: called when it is gone.
+    :param on_idle: called when the connection can take the next call.
+    :param on_lost: called when the connection is lost.
     """
 
     def __init__(
@@ -40,12 +40,12 @@
         self._on_idle = on_idle
         self._on_lost = on_lost
         self._http = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=HEAD_BOUND_BYTES
+            h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
         self._transport: asyncio.Transport | None = None
         self._handler: ResponseHandler | None = None
         self.idle_since_ms = 0
-        self.kept_ms: int | None = None
+        self.keep_alive_ms: int | None = None
 
     @property
     def usable(self) -> bool:
@@ -60,22 +60,22 @@
     # -- the transport's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connected transport."""
+        """Store the connected transport."""
         self._transport = cast('asyncio.Transport', transport)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the server."""
+        """Process bytes from the server."""
         if self._handler is None:
-            # Bytes that answer no request: the two sides disagree about where
-            # a response ended, so the next response could be taken for another
-            # request's.
+            # Bytes that belong to no request: the two sides disagree about where
+            # a response ended, so the next response could be matched to the
+            # wrong request.
             self.abort()
             return
         self._http.receive_data(data)
         self._advance()
 
     def eof_received(self) -> bool:
-        """Take the server's end, which may end a response without a length."""
+        """Process the end of the stream, which ends a response without a length."""
         if self._handler is not None:
             self._http.receive_data(b'')
             self._advance('connection closed')
@@ -86,20 +86,20 @@
         self._fail(f'connection lost: {exc}' if exc else 'connection closed')
         self._on_lost(self)
 
-    # -- called by the call
+    # -- called by ClientCall
 
     def carries(self, handler: ResponseHandler) -> bool:
-        """Return whether the call of *handler* is in progress here.
+        """Return whether the call of *handler* is in progress on this connection.
 
-        :param handler: the receiver that was given to :meth:`send`.
+        :param handler: the receiver that was passed to :meth:`send`.
         """
         return self._handler is handler
 
     def send(self, request: HttpRequest, handler: ResponseHandler) -> None:
         """Send a request; its response goes to *handler*.
 
-        :param request: the whole request.
-        :param handler: the receiver.
+        :param request: the complete request.
+        :param handler: the receiver of the call's events.
         """
         self._handler = handler
         headers = list(request.headers)
@@ -121,22 +121,22 @@
         cast('asyncio.Transport', self._transport).write(data)
 
     def pause_reading(self) -> None:
-        """Stop reading, so that the server is slowed down."""
+        """Stop reading, which applies back-pressure to the server."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
 
     def drop_call(self) -> None:
-        """Forget the call in progress and cut the connection."""
+        """Discard the call in progress and abort the connection."""
         self._handler = None
         self.abort()
 
     def abort(self) -> None:
-        """Cut the connection."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -144,13 +144,13 @@
 
     def _advance(self, fault: str = 'malformed response') -> None:
         try:
-            while self._handler is not None and self._take_event(self._handler):
+            while self._handler is not None and self._handle_event(self._handler):
                 pass
         except h11.RemoteProtocolError as error:
             self._fail(f'{fault}: {error}')
             self.abort()
 
-    def _take_event(self, handler: ResponseHandler) -> bool:
+    def _handle_event(self, handler: ResponseHandler) -> bool:
         event = self._http.next_event()
         if isinstance(event, h11.Data):
             handler.response_data(bytes(event.data))
@@ -160,21 +160,21 @@
                 name.decode('ascii'): value.decode('latin-1')
                 for name, value in event.headers
             }
-            self.kept_ms = _read_kept_ms(headers.get('keep-alive', ''))
+            self.keep_alive_ms = _parse_keep_alive_ms(headers.get('keep-alive', ''))
             handler.response_started(event.status_code, headers)
             return True
         if isinstance(event, h11.EndOfMessage):
-            self._end(handler)
+            self._finish_response(handler)
             return False
         return isinstance(event, h11.InformationalResponse)
 
-    def _end(self, handler: ResponseHandler) -> None:
-        """Hand over the end, and keep the connection if it is in order.
+    def _finish_response(self, handler: ResponseHandler) -> None:
+        """Report the end of the response, and reuse the connection if it is clean.
 
-        Bytes beyond the response answer no request.  On a kept connection
-        they would be taken for the response to the next one.  And where a server
-        answered before it had the whole body, it would read the next request as the
-        rest of the body.
+        Bytes beyond the response belong to no request; on a reused connection they
+        would be matched to the next one.  If the server responded before it had
+        received the whole body, it would read the next request as the rest of that
+        body.
         """
         self._handler = None
         done = self._http.our_state is h11.DONE is self._http.their_state
@@ -195,7 +195,7 @@
             handler.call_failed(CallFailure(sent=True, broken=True, reason=reason))
 
 
-def _read_kept_ms(header: str) -> int | None:
-    """Return how long the server keeps an idle connection; None if it does not say."""
-    found = KEEP_ALIVE.search(header)
-    return int(found[1]) * MS_PER_S if found else None
+def _parse_keep_alive_ms(header: str) -> int | None:
+    """Return how long the server keeps an idle connection, or None if unstated."""
+    match = KEEP_ALIVE_TIMEOUT.search(header)
+    return int(match[1]) * MS_PER_S if match else None
--- a/savorychute/http/client_pool.py
+++ b/savorychute/http/client_pool.py
@@ -1,4 +1,4 @@
-"""Connections to servers, kept for reuse."""
+"""A pool of client connections that are kept open for reuse."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from savorychute.http.client_call import ClientCall
 from savorychute.http.client_connection import ClientConnection
-from savorychute.http.file_bound import connections_by_files
+from savorychute.http.file_limit import connection_limit_by_files
 
 if TYPE_CHECKING:
     import ssl
@@ -19,9 +19,9 @@
     from savorychute.http.response_handler import ResponseHandler
 
 MS_PER_S = 1_000
-# Part of the time for which a server says that it keeps idle connections.  At its end
-# a request would cross the close.
-KEPT_SHARE = 0.5
+# Part of the server's stated keep-alive time during which an idle connection is
+# reused.  Near the end of that time, a request could cross the server's close.
+KEEP_ALIVE_SHARE = 0.5
 
 
 class ServerAddress(NamedTuple):
@@ -32,7 +32,7 @@
 
 
 class PoolSettings(NamedTuple):
-    """Bounds of a pool; ``idle_ms`` must be below the servers' own bound."""
+    """Limits of a pool; ``idle_ms`` must be below the servers' own idle timeout."""
 
     connections: int = 4096
     idle_per_server: int = 16
@@ -41,28 +41,28 @@
 
 
 class ClientPool:
-    """Sends calls over fresh and kept connections, at most a bound of them.
+    """Sends calls over new and reused connections, up to a maximum number of them.
 
-    :param settings: the bounds.
-    :param clock: the time for idle connections.
-    :param tls: the context of encrypted connections, or none for plain ones.
+    :param settings: the limits.
+    :param clock: measures how long connections are idle.
+    :param tls: the context of encrypted connections, or None for plain ones.
     """
 
     def __init__(
         self, settings: PoolSettings, clock: Clock, tls: ssl.SSLContext | None = None
     ) -> None:
         self._settings = settings
-        self._bound = min(settings.connections, connections_by_files())
+        self._max_connections = min(settings.connections, connection_limit_by_files())
         self._clock = clock
         self._tls = tls
         self._idle: dict[ServerAddress, list[ClientConnection]] = {}
-        self._sweep_ms = 0
+        self._next_sweep_ms = 0
         self._open: set[ClientConnection] = set()
         self._connecting = 0
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open or being opened."""
+        """Number of connections that are open or being opened."""
         return len(self._open) + self._connecting
 
     def submit(
@@ -73,45 +73,45 @@
         *,
         fresh: bool = False,
     ) -> ClientCall:
-        """Start a call.  No event comes before this method has returned.
+        """Start a call.  No event is delivered before this method has returned.
 
-        A kept connection may be closed by the server at the very moment of
-        its reuse; then nobody can tell whether the request ran.  A call that
-        must not run into that asks for a fresh one.
+        The server may close an idle connection at the moment of its reuse; it is
+        then unknown whether the request ran.  A call that must avoid this race
+        asks for a new connection.
 
         :param address: the server.
-        :param request: what to send.
-        :param handler: who gets the events.
-        :param fresh: take no kept connection.
+        :param request: the request to send.
+        :param handler: the receiver of the call's events.
+        :param fresh: whether to open a new connection.
         """
         loop = asyncio.get_running_loop()
         call = ClientCall(request, handler)
-        kept = None if fresh else self._take_idle(address)
-        if kept is not None:
-            loop.call_soon(self._begin_kept, call, address, kept)
+        reused = None if fresh else self._acquire_idle(address)
+        if reused is not None:
+            loop.call_soon(self._start_on_idle, call, address, reused)
         else:
             call.connecting = loop.create_task(self._connect(call, address))
         return call
 
     def close(self) -> None:
-        """Cut every connection."""
+        """Abort all connections."""
         for connection in tuple(self._open):
             connection.abort()
         self._idle.clear()
 
-    def _begin_kept(
-        self, call: ClientCall, address: ServerAddress, kept: ClientConnection
+    def _start_on_idle(
+        self, call: ClientCall, address: ServerAddress, reused: ClientConnection
     ) -> None:
         if call.cancelled:
-            self._keep(address, kept)
-        elif not kept.usable:
+            self._store_idle(address, reused)
+        elif not reused.usable:
             loop = asyncio.get_running_loop()
             call.connecting = loop.create_task(self._connect(call, address))
-        elif not call.begin(kept):
-            self._keep(address, kept)
+        elif not call.start(reused):
+            self._store_idle(address, reused)
 
     async def _connect(self, call: ClientCall, address: ServerAddress) -> None:
-        if not self._make_room():
+        if not self._ensure_capacity():
             call.fail_unsent('too many connections')
             return
         self._connecting += 1
@@ -125,15 +125,15 @@
         call.connecting = None
         if not connection.usable:
             call.fail_unsent('connection closed before the request')
-        elif not call.begin(connection):
-            self._keep(address, connection)
+        elif not call.start(connection):
+            self._store_idle(address, connection)
 
     async def _open_connection(self, address: ServerAddress) -> ClientConnection:
         loop = asyncio.get_running_loop()
         connection = ClientConnection(
             f'{address.host}:{address.port}',
-            on_idle=lambda idle: self._keep(address, idle),
-            on_lost=lambda lost: self._forget(address, lost),
+            on_idle=lambda idle: self._store_idle(address, idle),
+            on_lost=lambda lost: self._remove(address, lost),
         )
         async with asyncio.timeout(self._settings.connect_timeout_ms / MS_PER_S):
             await loop.create_connection(
@@ -142,18 +142,18 @@
         self._open.add(connection)
         return connection
 
-    def _make_room(self) -> bool:
-        """Close an idle connection if there are as many as permitted.
+    def _ensure_capacity(self) -> bool:
+        """Close idle connections while the limit is reached; return whether one fits.
 
-        Otherwise idle connections to servers that are no longer used would
-        keep out the calls to those that are.
+        Otherwise idle connections to servers that are no longer used would block
+        calls to servers that are.
         """
-        while self._idle and self.open_connections >= self._bound:
+        while self._idle and self.open_connections >= self._max_connections:
             self._close_oldest(next(iter(self._idle)))
-        return self.open_connections < self._bound
+        return self.open_connections < self._max_connections
 
-    def _drop_idle(self, before_ms: int) -> None:
-        """Close the connections that have been idle since before a time."""
+    def _close_expired(self, before_ms: int) -> None:
+        """Close the connections that became idle before *before_ms*."""
         for address in tuple(self._idle):
             while address in self._idle:
                 if self._idle[address][0].idle_since_ms >= before_ms:
@@ -162,10 +162,10 @@
 
     def _close_oldest(self, address: ServerAddress) -> None:
         connection = self._idle[address][0]
-        self._forget(address, connection)
+        self._remove(address, connection)
         connection.abort()
 
-    def _forget(self, address: ServerAddress, connection: ClientConnection) -> None:
+    def _remove(self, address: ServerAddress, connection: ClientConnection) -> None:
         self._open.discard(connection)
         idle = self._idle.get(address, [])
         if connection in idle:
@@ -173,46 +173,48 @@
         if not idle:
             self._idle.pop(address, None)
 
-    def _keep(self, address: ServerAddress, connection: ClientConnection) -> None:
+    def _store_idle(self, address: ServerAddress, connection: ClientConnection) -> None:
         now_ms = self._clock.now_ms()
-        if now_ms >= self._sweep_ms:
-            self._sweep_ms = now_ms + self._settings.idle_ms
-            self._drop_idle(now_ms - self._settings.idle_ms)
-        kept = len(self._idle.get(address, ()))
-        if kept >= self._settings.idle_per_server or not connection.usable:
+        if now_ms >= self._next_sweep_ms:
+            self._next_sweep_ms = now_ms + self._settings.idle_ms
+            self._close_expired(now_ms - self._settings.idle_ms)
+        idle_count = len(self._idle.get(address, ()))
+        if idle_count >= self._settings.idle_per_server or not connection.usable:
             connection.abort()
             return
         connection.idle_since_ms = now_ms
         self._idle.setdefault(address, []).append(connection)
 
-    def _take_idle(self, address: ServerAddress) -> ClientConnection | None:
+    def _acquire_idle(self, address: ServerAddress) -> ClientConnection | None:
         while address in self._idle:
             idle = self._idle[address]
             connection = idle.pop()
             if not idle:
                 del self._idle[address]
-            if connection.usable and self._is_fresh(connection):
+            if connection.usable and self._is_reusable(connection):
                 return connection
             connection.abort()
         return None
 
-    def _is_fresh(self, connection: ClientConnection) -> bool:
-        """Return whether the server still keeps an idle connection for a while."""
-        bound_ms = self._settings.idle_ms
-        if connection.kept_ms is not None:
-            bound_ms = min(bound_ms, int(KEPT_SHARE * connection.kept_ms))
-        return self._clock.now_ms() - connection.idle_since_ms <= bound_ms
+    def _is_reusable(self, connection: ClientConnection) -> bool:
+        """Return whether the server is expected to keep the connection open."""
+        max_idle_ms = self._settings.idle_ms
+        if connection.keep_alive_ms is not None:
+            max_idle_ms = min(
+                max_idle_ms, int(KEEP_ALIVE_SHARE * connection.keep_alive_ms)
+            )
+        return self._clock.now_ms() - connection.idle_since_ms <= max_idle_ms
 
 
 @contextmanager
 def open_pool(
     settings: PoolSettings, clock: Clock, tls: ssl.SSLContext | None = None
 ) -> Iterator[ClientPool]:
-    """Give a pool and cut its connections when the block ends.
+    """Yield a pool and abort its connections when the block ends.
 
-    :param settings: the bounds.
-    :param clock: the time for idle connections.
-    :param tls: the context of encrypted connections, or none for plain ones.
+    :param settings: the limits.
+    :param clock: measures how long connections are idle.
+    :param tls: the context of encrypted connections, or None for plain ones.
     """
     pool = ClientPool(settings, clock, tls)
     try:
--- a/savorychute/http/error_answer.py
+++ b/savorychute/http/error_response.py
@@ -1,4 +1,4 @@
-"""Error answers: JSON body and headers."""
+"""JSON body and headers of error responses."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 JSON_TYPE = 'application/json'
 MS_PER_S = 1_000
-EARLIER_TRY_HEADERS = ('x-request-key', 'x-continuation-handle')
+RETRY_HEADERS = ('x-request-key', 'x-continuation-handle')
 
 
 class ErrorDetail(TypedDict):
-    """What went wrong: number, name, text, and whether the request ran."""
+    """Number, name and text of an error, and whether the request ran."""
 
     code: int
     name: str
@@ -29,30 +29,30 @@
 
 
 class ErrorDocument(TypedDict):
-    """The body of an error answer."""
+    """The body of an error response."""
 
     error: ErrorDetail
 
 
-def judge_ran(names: Iterable[str]) -> Ran:
-    """Return what is true of a request that is refused at the edge.
+def classify_ran(names: Iterable[str]) -> Ran:
+    """Return the run state of a request that the HTTP layer refuses.
 
-    This try did not run.  A key or a handle says that there may have been
-    earlier tries, of which the edge knows nothing: told 'not run', a caller
-    would send its visit log again under a new key.
+    The refused request did not run.  A key or a handle means that the caller may
+    have sent it before, which the HTTP layer cannot know: if the response stated
+    'not run', the caller would send the same work again under a new key.
 
     :param names: the request's header names, in lower case.
     """
-    return Ran.UNKNOWN if set(names) & set(EARLIER_TRY_HEADERS) else Ran.NOT_RUN
+    return Ran.UNKNOWN if set(names) & set(RETRY_HEADERS) else Ran.NOT_RUN
 
 
 def encode_error(code: ResultCode, ran: Ran, message: str, handle: str = '') -> bytes:
-    """Return the JSON body of an error answer.
+    """Return the JSON body of an error response.
 
     :param code: the numbered reason.
     :param ran: whether the request ran.
-    :param message: what is wrong in this case.
-    :param handle: resumes the stream, if there is one.
+    :param message: details of this error; the meaning of *code* if empty.
+    :param handle: the handle that resumes the stream, if there is one.
     """
     detail: ErrorDetail = {
         'code': code.number,
@@ -69,11 +69,11 @@
 def error_headers(
     code: ResultCode, ran: Ran, retry_after_ms: int = 0
 ) -> list[tuple[str, str]]:
-    """Return the headers that every error answer has.
+    """Return the headers that every error response has.
 
     :param code: the numbered reason.
     :param ran: whether the request ran.
-    :param retry_after_ms: how long to wait; no header for zero.
+    :param retry_after_ms: how long the caller should wait; no header for zero.
     """
     headers = [
         ('content-type', JSON_TYPE),
@@ -81,7 +81,7 @@
         ('x-ran', ran.value),
     ]
     if retry_after_ms > 0:
-        whole_s = -(-retry_after_ms // MS_PER_S)
-        headers.append(('retry-after', str(whole_s)))
+        retry_after_s = -(-retry_after_ms // MS_PER_S)
+        headers.append(('retry-after', str(retry_after_s)))
         headers.append(('x-retry-after-ms', str(retry_after_ms)))
     return headers
--- a/savorychute/http/http_limits.py
+++ b/savorychute/http/http_limits.py
@@ -1,4 +1,4 @@
-"""Bounds of an HTTP server."""
+"""Limits of an HTTP server."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class HttpLimits(NamedTuple):
-    """What a server takes from its callers before it refuses them.
+    """Limits beyond which a server refuses or disconnects callers.
 
-    ``buffered_bytes`` bounds the bodies that all connections together hold.
-    ``pipelined_bytes`` is read ahead of the request that is being answered;
-    after that the connection is not read until the answer is out.
-    ``unread_bytes`` bounds the answers that callers have not read yet, over all
-    connections; beyond it those with the most are given up.
-    ``stalled_ms`` is how long an answer may wait for a caller that does not
-    read.  ``write_buffer_bytes`` is where back-pressure begins,
-    ``write_bound_bytes`` where the connection is given up.
+    ``buffered_bytes`` limits the request bodies that all connections hold together.
+    ``pipelined_bytes`` limits what is read ahead of the request in progress;
+    beyond it the connection is not read until the response has been sent.
+    ``unread_bytes`` limits the responses that callers have not read yet, over all
+    connections; beyond it those with the most unread bytes are aborted.
+    ``stalled_ms`` is how long a response may wait for a caller that does not
+    read.  ``write_buffer_bytes`` is where back-pressure starts, and
+    ``max_write_buffer_bytes`` where the connection is aborted.
     """
 
     connections: int = 4096
@@ -25,7 +25,7 @@
     unread_bytes: int = 16 * 1024 * 1024
     pipelined_bytes: int = 64 * 1024
     write_buffer_bytes: int = 32 * 1024
-    write_bound_bytes: int = 8 * 1024 * 1024
+    max_write_buffer_bytes: int = 8 * 1024 * 1024
     send_buffer_bytes: int = 64 * 1024
     header_timeout_ms: int = 10_000
     body_timeout_ms: int = 30_000
--- a/savorychute/http/http_request.py
+++ b/savorychute/http/http_request.py
@@ -9,7 +9,7 @@
 
 
 class HttpRequest(NamedTuple):
-    """A whole request; header names are lower-case.
+    """A complete request; header names are in lower case.
 
     ``target`` is the path with its query, as on the request line.
     """
@@ -33,10 +33,10 @@
 def encode_headers(
     headers: Iterable[tuple[str, str]],
 ) -> list[tuple[bytes, bytes]]:
-    """Return headers as they were on the wire.
+    """Return headers as bytes for the wire.
 
-    Values are read as Latin-1, in which every byte is a character; written as
-    ASCII, a file name with an accent would lose its answer.
+    Values are decoded as Latin-1, in which every byte is a character.  If they were
+    encoded as ASCII, a file name with an accent would fail its response.
 
     :param headers: names and values.
     """
--- a/savorychute/http/http_response.py
+++ b/savorychute/http/http_response.py
@@ -1,4 +1,4 @@
-"""An HTTP response that was read whole."""
+"""An HTTP response that was read completely."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """Status, headers with lower-case names, and the whole body."""
+    """Status, headers with lower-case names, and the complete body."""
 
     status: int
     headers: dict[str, str]
--- a/savorychute/http/http_server.py
+++ b/savorychute/http/http_server.py
@@ -1,4 +1,4 @@
-"""A listening HTTP server."""
+"""An HTTP server that listens on a port."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING
 
-from savorychute.http.file_bound import connections_by_files
+from savorychute.http.file_limit import connection_limit_by_files
 from savorychute.http.server_connection import ServerConnection
 
 if TYPE_CHECKING:
@@ -19,16 +19,16 @@
     from savorychute.http.server_exchange import ServerExchange
 
 MS_PER_S = 1_000
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 LISTEN_BACKLOG = 512
 
 
 class HttpServer:
-    """Connections, their bounds, and the caller of each request.
+    """The connections of a server, their limits, and the request callback.
 
-    :param limits: bounds towards callers.
-    :param clock: the time for deadlines.
-    :param on_request: called with each whole request; must not block.
+    :param limits: the limits applied to callers.
+    :param clock: the clock for deadlines.
+    :param on_request: called with each complete request; must not block.
     """
 
     def __init__(
@@ -44,38 +44,38 @@
         self.port = 0
         self.listener: asyncio.Server | None = None
         self.connections: set[ServerConnection] = set()
-        self._bound = min(limits.connections, connections_by_files())
+        self._max_connections = min(limits.connections, connection_limit_by_files())
         self.buffered_bytes = 0
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self.connections)
 
     @property
     def unread_bytes(self) -> int:
-        """How much of all answers waits for callers to read."""
+        """Size of all response data that callers have not read yet."""
         return sum(connection.unread_bytes for connection in self.connections)
 
     def add(self, connection: ServerConnection) -> bool:
-        """Take a connection; return false if there are too many.
+        """Register a connection; return false if there are too many.
 
-        :param connection: the one that was accepted.
+        :param connection: the accepted connection.
         """
         self.connections.add(connection)
-        return len(self.connections) <= self._bound
+        return len(self.connections) <= self._max_connections
 
     def remove(self, connection: ServerConnection) -> None:
-        """Forget a connection that was lost.
+        """Remove a lost connection.
 
-        :param connection: the one that was lost.
+        :param connection: the lost connection.
         """
         self.connections.discard(connection)
 
     def reserve(self, size_bytes: int) -> bool:
-        """Count bytes of a body; return false if all bodies are too large.
+        """Reserve memory for a body; return false if all bodies would be too large.
 
-        :param size_bytes: how many more.
+        :param size_bytes: the number of bytes to reserve.
         """
         if self.buffered_bytes + size_bytes > self.limits.buffered_bytes:
             return False
@@ -83,24 +83,24 @@
         return True
 
     def release(self, size_bytes: int) -> None:
-        """Give back reserved bytes.
+        """Release reserved memory.
 
-        :param size_bytes: how many fewer.
+        :param size_bytes: the number of bytes to release.
         """
         self.buffered_bytes -= size_bytes
 
     def sweep(self) -> None:
-        """Give up callers that send or read too slowly."""
+        """Disconnect callers that send or read too slowly."""
         now_ms = self.now_ms()
         for connection in tuple(self.connections):
             connection.check_deadline(now_ms)
-        self._bound_unread()
+        self._limit_unread()
 
-    def _bound_unread(self) -> None:
-        """Give up the callers with the most unread bytes, if there are too many.
+    def _limit_unread(self) -> None:
+        """Disconnect the callers with the most unread bytes above the total limit.
 
-        Each answer is bounded by itself, but a few hundred callers that ask
-        for long ones and do not read would together fill the memory.
+        Each response is limited by itself, but a few hundred callers that request
+        long ones and do not read them would together exhaust the memory.
         """
         slow = [each for each in self.connections if each.writing_paused]
         slow.sort(key=lambda each: each.unread_bytes)
@@ -116,12 +116,12 @@
             connection.close_if_idle()
 
     def stop_listening(self) -> None:
-        """Accept no more connections; the open ones go on."""
+        """Accept no more connections; open ones continue."""
         if self.listener is not None:
             self.listener.close()
 
     def abort_all(self) -> None:
-        """Cut every connection."""
+        """Abort all connections."""
         for connection in tuple(self.connections):
             connection.abort()
 
@@ -136,11 +136,11 @@
 ) -> AsyncIterator[HttpServer]:
     """Accept connections for *server* until the block ends.
 
-    :param server: who takes them; its ``port`` is set.
-    :param host: the IP number to listen on.
-    :param port: the port, or 0 for one of the system's choice.
-    :param tls: the context of encrypted connections, or none for plain ones.
-    :param listener: a socket that listens there already; one is opened if left out.
+    :param server: the server that handles them; its ``port`` is set.
+    :param host: the IP address to listen on.
+    :param port: the port, or 0 to let the system choose one.
+    :param tls: the context of encrypted connections, or None for plain ones.
+    :param listener: a socket that is already listening; by default one is opened.
     """
     loop = asyncio.get_running_loop()
     handshake_s = server.limits.header_timeout_ms / MS_PER_S if tls else None
@@ -149,7 +149,7 @@
         return ServerConnection(server)
 
     if listener is None:
-        accepting = await loop.create_server(
+        asyncio_server = await loop.create_server(
             accept,
             host,
             port,
@@ -158,21 +158,21 @@
             ssl_handshake_timeout=handshake_s,
         )
     else:
-        accepting = await loop.create_server(
+        asyncio_server = await loop.create_server(
             accept, sock=listener, ssl=tls, ssl_handshake_timeout=handshake_s
         )
-    server.listener = accepting
-    server.port = accepting.sockets[0].getsockname()[1]
+    server.listener = asyncio_server
+    server.port = asyncio_server.sockets[0].getsockname()[1]
     sweeper = loop.create_task(_sweep_forever(server))
     try:
         yield server
     finally:
         sweeper.cancel()
-        accepting.close()
+        asyncio_server.close()
         server.abort_all()
 
 
 async def _sweep_forever(server: HttpServer) -> None:
     while True:
-        await asyncio.sleep(SWEEP_S)
+        await asyncio.sleep(SWEEP_INTERVAL_S)
         server.sweep()
--- a/savorychute/http/whole_response.py
+++ b/savorychute/http/response_collector.py
@@ -1,4 +1,4 @@
-"""Calls whose response is small and read whole."""
+"""Collects the complete response of a call."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-BODY_BOUND_BYTES = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
-class WholeResponse:
-    """A handler that collects a response, up to a bound.
+class ResponseCollector:
+    """A response handler that collects a response, up to a maximum size.
 
-    :param on_response: called with the whole response.
+    :param on_response: called with the complete response.
     :param on_failure: called if there is none.
-    :param bound_bytes: the largest body taken.
-    :param may_send: asked right before the first byte; if it says no, nothing
-        is sent and the failure says so.
-    :param on_part: called with each part that arrives.
+    :param max_bytes: the size of the largest accepted body.
+    :param can_send: called immediately before the first byte is sent; if it returns
+        false, nothing is sent and the failure states so.
+    :param on_part: called for each part that arrives.
     """
 
     def __init__(
         self,
         on_response: Callable[[HttpResponse], None],
         on_failure: Callable[[CallFailure], None],
-        bound_bytes: int = BODY_BOUND_BYTES,
-        may_send: Callable[[], bool] | None = None,
+        max_bytes: int = MAX_BODY_BYTES,
+        can_send: Callable[[], bool] | None = None,
         on_part: Callable[[], None] | None = None,
     ) -> None:
         self._on_response = on_response
         self._on_failure = on_failure
-        self._bound_bytes = bound_bytes
-        self._may_send = may_send
+        self._max_bytes = max_bytes
+        self._can_send = can_send
         self._on_part = on_part
         self._status = 0
         self._headers: dict[str, str] = {}
@@ -44,35 +44,35 @@
 
     def about_to_send(self) -> bool:
         """Return whether the call is still wanted."""
-        if self._may_send is None or self._may_send():
+        if self._can_send is None or self._can_send():
             return True
         self._on_failure(CallFailure(sent=False, broken=False, reason='too late'))
         return False
 
     def response_started(self, status: int, headers: dict[str, str]) -> None:
-        """Keep the head."""
+        """Store the head."""
         if self._on_part is not None:
             self._on_part()
         self._status = status
         self._headers = headers
 
     def response_data(self, data: bytes) -> None:
-        """Keep a part, unless the body has grown beyond the bound."""
+        """Store a part, unless the body exceeds the maximum size."""
         if self._on_part is not None:
             self._on_part()
         self._size_bytes += len(data)
-        if self._size_bytes <= self._bound_bytes:
+        if self._size_bytes <= self._max_bytes:
             self._parts.append(data)
 
     def response_ended(self) -> None:
-        """Hand over the response."""
-        if self._size_bytes > self._bound_bytes:
-            reason = f'response larger than {self._bound_bytes} bytes'
+        """Report the response, or a failure if the body is too large."""
+        if self._size_bytes > self._max_bytes:
+            reason = f'response larger than {self._max_bytes} bytes'
             self._on_failure(CallFailure(sent=True, broken=False, reason=reason))
             return
         body = b''.join(self._parts)
         self._on_response(HttpResponse(self._status, self._headers, body))
 
     def call_failed(self, failure: CallFailure) -> None:
-        """Hand over the failure."""
+        """Report the failure."""
         self._on_failure(failure)
--- a/savorychute/http/response_handler.py
+++ b/savorychute/http/response_handler.py
@@ -1,4 +1,4 @@
-"""Who gets the events of an HTTP call."""
+"""The receiver of the events of an HTTP call."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 
 class ResponseHandler(Protocol):
-    """Receiver of one call's events, in this order.
+    """Receives the events of one call in a fixed order.
 
     ``about_to_send`` comes first, then ``response_started``, any number of
-    ``response_data``, and one of ``response_ended`` and ``call_failed``.
-    After a cancel nothing more comes.
+    ``response_data``, and either ``response_ended`` or ``call_failed``.
+    No event follows a cancellation.
     """
 
     def about_to_send(self) -> bool:
-        """Return whether the request is still wanted; no byte has left yet."""
+        """Return whether the request is still wanted; no byte was sent yet."""
         ...
 
     def response_started(self, status: int, headers: dict[str, str]) -> None:
-        """Take the head of the response."""
+        """Handle the head of the response."""
         ...
 
     def response_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Handle a part of the body."""
         ...
 
     def response_ended(self) -> None:
-        """Take the end of a whole response."""
+        """Handle the end of a complete response."""
         ...
 
     def call_failed(self, failure: CallFailure) -> None:
-        """Take the failure; nothing follows."""
+        """Handle the failure; no event follows."""
         ...
--- a/savorychute/http/server_connection.py
+++ b/savorychute/http/server_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection."""
+"""A caller's connection to an HTTP server."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import h11
 
-from savorychute.http.error_answer import encode_error, error_headers, judge_ran
+from savorychute.http.error_response import classify_ran, encode_error, error_headers
 from savorychute.http.http_request import HttpRequest, encode_headers
 from savorychute.http.server_exchange import ServerExchange
 from savorychute.ran import Ran
@@ -20,21 +20,21 @@
     from savorychute.http.http_limits import HttpLimits
     from savorychute.http.http_server import HttpServer
 
-MESSAGE_CHARS = 200
+MAX_MESSAGE_CHARS = 200
 HTTP_VERSION = b'1.1'
 CONTINUE_STATUS = 100
-UNREAD_CODES = (ResultCode.CONNECTIONS_EXHAUSTED, ResultCode.SLOW_CALLER)
+CODES_BEFORE_HEAD = (ResultCode.CONNECTIONS_EXHAUSTED, ResultCode.SLOW_CALLER)
 REFUSAL_RETRY_MS = 1_000
-BODILESS_STATUSES = (204, 304)
-HEADERS_TOO_LARGE_HINT = 431
+STATUSES_WITHOUT_BODY = (204, 304)
+HEADERS_TOO_LARGE_STATUS = 431
 WRITABLE_STATES = (h11.IDLE, h11.SEND_RESPONSE)
 
 
 class ServerConnection(asyncio.Protocol):
-    """Reads requests one by one and answers them in order.
+    """Reads requests one by one and responds to them in order.
 
-    Requests that a caller pipelines wait in h11's buffer, which is bounded:
-    beyond the bound the socket is not read until the answer is out.
+    Pipelined requests wait in h11's buffer, which is limited: beyond the limit
+    the socket is not read until the current response has been sent.
 
     :param server: the server that accepted the connection.
     """
@@ -52,60 +52,60 @@
         self.pipelined_bytes = 0
         self._held = b''
         self._lingering = False
-        self._bodiless = False
-        self._received_any = False
+        self._without_body = False
+        self._request_started = False
         self._paused_since_ms: int | None = None
         self._deadline_ms = 0
         self.writing_paused = False
 
     @property
     def _limits(self) -> HttpLimits:
-        """The bounds in force; they may change while the connection is open."""
+        """The current limits, which may change while the connection is open."""
         return self._server.limits
 
     # -- the transport's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, or refuse it if there are too many."""
+        """Accept the connection, or refuse it if there are too many."""
         self._transport = cast('asyncio.Transport', transport)
-        self._bound_buffers()
-        self._wait(self._limits.idle_timeout_ms)
+        self._limit_buffers()
+        self._set_deadline(self._limits.idle_timeout_ms)
         if not self._server.add(self):
             self._refuse(ResultCode.CONNECTIONS_EXHAUSTED, 'try another instance')
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the caller."""
+        """Process bytes from the caller."""
         if self._lingering:
             return
         if self._exchange is not None:
-            self._hold_pipelined(data)
+            self._buffer_pipelined(data)
             return
-        if not self._received_any:
-            self._received_any = True
-            self._wait(self._limits.header_timeout_ms)
+        if not self._request_started:
+            self._request_started = True
+            self._set_deadline(self._limits.header_timeout_ms)
         self._http.receive_data(data)
         self._advance()
 
     def eof_received(self) -> bool:
-        """Take the caller's end as its leaving; the transport closes."""
-        self._leave()
+        """Treat the end of the stream as a disconnect; the transport closes."""
+        self._report_caller_left()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
-        """Take the loss of the connection as the caller's leaving."""
-        self._leave()
-        self._drop_body()
+        """Treat the loss of the connection as a disconnect of the caller."""
+        self._report_caller_left()
+        self._release_body()
         self._server.remove(self)
 
     def pause_writing(self) -> None:
-        """Pass on that the caller reads too slowly."""
+        """Notify the exchange that the caller reads too slowly."""
         self.writing_paused = True
         self._paused_since_ms = self._server.now_ms()
         if self._exchange is not None and self._exchange.on_pause is not None:
             self._exchange.on_pause()
 
     def resume_writing(self) -> None:
-        """Pass on that the caller reads again."""
+        """Notify the exchange that the caller reads again."""
         self.writing_paused = False
         self._paused_since_ms = None
         if self._exchange is not None and self._exchange.on_resume is not None:
@@ -114,64 +114,68 @@
     # -- called by the exchange
 
     def send_head(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
-        """Send a response's head."""
+        """Send the head of a response."""
         sent = encode_headers(headers)
         if self._server.closing:
             sent.append((b'connection', b'close'))
         is_head = self._exchange is not None and self._exchange.request.method == 'HEAD'
-        self._bodiless = is_head or status in BODILESS_STATUSES
-        self._hold(h11.Response(status_code=status, headers=sent))
-        asyncio.get_running_loop().call_soon(self._release)
+        self._without_body = is_head or status in STATUSES_WITHOUT_BODY
+        self._buffer_event(h11.Response(status_code=status, headers=sent))
+        asyncio.get_running_loop().call_soon(self._flush)
 
     def send_data(self, data: bytes, last: bool = False) -> None:
         """Send a part of a response's body.
 
-        A caller that stops reading while the answer goes on would make the
-        buffer grow without end; at the bound the connection is given up.
+        If a caller stops reading while the response continues, the buffer would
+        grow without limit; beyond ``max_write_buffer_bytes`` the connection is
+        aborted.
 
         :param data: the bytes.
-        :param last: whether the end follows at once, to be written with them.
+        :param last: whether the end follows at once and is written with them.
         """
-        if self._bodiless:
+        if self._without_body:
             return
         event = h11.Data(data=data)
         if last:
-            self._hold(event)
+            self._buffer_event(event)
             return
         self._write(event)
-        if self._transport.get_write_buffer_size() > self._limits.write_bound_bytes:
+        if (
+            self._transport.get_write_buffer_size()
+            > self._limits.max_write_buffer_bytes
+        ):
             self._transport.abort()
 
     def end_exchange(self) -> None:
-        """End a response and go on with the next request."""
+        """End a response and continue with the next request."""
         self._write(h11.EndOfMessage())
         self._exchange = None
-        self._drop_body()
+        self._release_body()
         self.pipelined_bytes = 0
         if h11.MUST_CLOSE in (self._http.our_state, self._http.their_state):
             self._linger()
             return
         self._http.start_next_cycle()
-        self._received_any = False
-        self._wait(self._limits.idle_timeout_ms)
+        self._request_started = False
+        self._set_deadline(self._limits.idle_timeout_ms)
         self._transport.resume_reading()
         asyncio.get_running_loop().call_soon(self._advance)
 
     def abort(self) -> None:
-        """Cut the connection."""
+        """Abort the connection."""
         self._transport.abort()
 
     # -- called by the server
 
     @property
     def unread_bytes(self) -> int:
-        """How much of the answers waits for the caller to read."""
+        """Size of the response data that the caller has not read yet."""
         return self._transport.get_write_buffer_size()
 
     def check_deadline(self, now_ms: int) -> None:
-        """Give up a caller that sends or reads too slowly.
+        """Disconnect a caller that sends or reads too slowly.
 
-        :param now_ms: the server's time.
+        :param now_ms: the current time of the server.
         """
         if self._paused_since_ms is not None:
             if now_ms - self._paused_since_ms >= self._limits.stalled_ms:
@@ -179,14 +183,14 @@
             return
         if self._exchange is not None or now_ms < self._deadline_ms:
             return
-        if self._lingering or not self._received_any:
+        if self._lingering or not self._request_started:
             self._transport.abort()
             return
         self._refuse(ResultCode.SLOW_CALLER, 'the request did not arrive in time')
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is being read or answered."""
-        if self._exchange is None and not self._received_any and not self._lingering:
+        """Close the connection unless a request is in progress."""
+        if self._exchange is None and not self._request_started and not self._lingering:
             self._transport.close()
 
     # -- reading
@@ -194,47 +198,47 @@
     def _advance(self) -> None:
         """Read up to the end of one request.
 
-        The next one is read in a later turn of the loop, so that a caller that
-        pipelines thousands of small requests does not hold up all others.
+        The next request is read in a later iteration of the event loop, so that a
+        caller that pipelines thousands of small requests does not block all others.
         """
         if self._transport.is_closing() or self._exchange is not None:
             return
         try:
-            while self._take_event():
+            while self._handle_event():
                 pass
         except h11.RemoteProtocolError as error:
             self._refuse_malformed(error)
 
-    def _take_event(self) -> bool:
+    def _handle_event(self) -> bool:
         event = self._http.next_event()
         if event is h11.NEED_DATA or event is h11.PAUSED:
-            if self._http.trailing_data[0] and not self._received_any:
-                self._received_any = True
-                self._wait(self._limits.header_timeout_ms)
+            if self._http.trailing_data[0] and not self._request_started:
+                self._request_started = True
+                self._set_deadline(self._limits.header_timeout_ms)
             return False
         if isinstance(event, h11.Request):
-            return self._take_head(event)
+            return self._handle_head(event)
         if isinstance(event, h11.Data):
-            return self._take_body(event.data)
+            return self._handle_body(event.data)
         if isinstance(event, h11.EndOfMessage):
-            return self._take_end()
+            return self._handle_end()
         return False
 
-    def _take_head(self, head: h11.Request) -> bool:
+    def _handle_head(self, head: h11.Request) -> bool:
         self._head = head
-        self._received_any = True
-        self._wait(self._limits.body_timeout_ms)
+        self._request_started = True
+        self._set_deadline(self._limits.body_timeout_ms)
         if head.http_version != HTTP_VERSION:
-            # An answer of unknown length ends with the connection in HTTP/1.0,
-            # so a cut answer would look like a whole one.
+            # In HTTP/1.0 the end of the connection ends a response of unknown
+            # length, so a truncated response would look complete.
             self._refuse(ResultCode.MALFORMED_HTTP, 'HTTP/1.1 is needed')
             return False
-        if _has_two_framings(head):
-            # The two sides of a connection would disagree where the body ends, and
-            # what one takes for the body the other takes for a request.
+        if _has_conflicting_framing(head):
+            # The two sides would disagree about where the body ends: what one reads
+            # as the body, the other reads as a request (request smuggling).
             self._refuse(ResultCode.MALFORMED_HTTP, 'a length and chunks as well')
             return False
-        if _announced_length(head) > self._limits.body_bytes:
+        if _content_length(head) > self._limits.body_bytes:
             self._refuse_body()
             return False
         if self._http.they_are_waiting_for_100_continue:
@@ -243,7 +247,7 @@
             )
         return True
 
-    def _take_body(self, data: bytes) -> bool:
+    def _handle_body(self, data: bytes) -> bool:
         if self._body_bytes + len(data) > self._limits.body_bytes:
             self._refuse_body()
             return False
@@ -254,7 +258,7 @@
         self._body_bytes += len(data)
         return True
 
-    def _take_end(self) -> bool:
+    def _handle_end(self) -> bool:
         head = self._head
         if head is None:
             return False
@@ -274,7 +278,7 @@
         self._server.on_request(exchange)
         return False
 
-    def _hold_pipelined(self, data: bytes) -> None:
+    def _buffer_pipelined(self, data: bytes) -> None:
         self._http.receive_data(data)
         self.pipelined_bytes += len(data)
         if self.pipelined_bytes > self._limits.pipelined_bytes:
@@ -284,18 +288,18 @@
 
     def _refuse_malformed(self, error: h11.RemoteProtocolError) -> None:
         code = ResultCode.MALFORMED_HTTP
-        if error.error_status_hint == HEADERS_TOO_LARGE_HINT:
+        if error.error_status_hint == HEADERS_TOO_LARGE_STATUS:
             code = ResultCode.HEADERS_TOO_LARGE
-        self._refuse(code, str(error)[:MESSAGE_CHARS])
+        self._refuse(code, str(error)[:MAX_MESSAGE_CHARS])
 
     def _refuse_body(self) -> None:
-        bound = self._limits.body_bytes
-        self._refuse(ResultCode.BODY_TOO_LARGE, f'more than {bound} bytes')
+        limit_bytes = self._limits.body_bytes
+        self._refuse(ResultCode.BODY_TOO_LARGE, f'more than {limit_bytes} bytes')
 
     def _refuse(self, code: ResultCode, message: str) -> None:
-        """Answer with an error and take no more requests."""
-        ran = self._judge_ran(code)
-        self._drop_body()
+        """Respond with an error and accept no more requests."""
+        ran = self._classify_ran(code)
+        self._release_body()
         if self._http.our_state in WRITABLE_STATES:
             body = encode_error(code, ran, message)
             headers = [
@@ -309,29 +313,29 @@
         self._linger()
 
     def _linger(self) -> None:
-        """Close the writing half and throw away what still comes.
+        """Close the writing half and discard further input.
 
-        Closing a socket with unread bytes resets the connection, and the
-        caller would lose the answer that it has not read yet.  TLS cannot
-        close one half; there the caller closes when it has the answer.
+        Closing a socket with unread bytes resets the connection, and the caller
+        would lose a response that it has not read yet.  TLS cannot close one half;
+        there the caller closes the connection after it has read the response.
         """
         self._lingering = True
         self._transport.resume_reading()
         if self._transport.can_write_eof():
             self._transport.write_eof()
-        self._wait(self._limits.linger_ms)
+        self._set_deadline(self._limits.linger_ms)
 
-    def _judge_ran(self, code: ResultCode) -> Ran:
-        """Return whether the request can have run, by an earlier try.
+    def _classify_ran(self, code: ResultCode) -> Ran:
+        """Return whether the request may have run when it was sent before.
 
-        What is refused before its head was read may have a key.  A malformed
-        head has been refused at each try.
+        A request that is refused before its head was read may have a key.  A
+        malformed head is refused each time it is sent, so it never ran.
         """
         if self._head is not None:
-            return judge_ran(name.decode('ascii') for name, _ in self._head.headers)
-        return Ran.UNKNOWN if code in UNREAD_CODES else Ran.NOT_RUN
+            return classify_ran(name.decode('ascii') for name, _ in self._head.headers)
+        return Ran.UNKNOWN if code in CODES_BEFORE_HEAD else Ran.NOT_RUN
 
-    # -- small helpers
+    # -- helpers
 
     def _write(self, event: h11.Event) -> None:
         data = self._held + (self._http.send(event) or b'')
@@ -339,52 +343,52 @@
         if data:
             self._transport.write(data)
 
-    def _hold(self, event: h11.Event) -> None:
-        """Keep bytes for the next write; each write is a call of the system."""
+    def _buffer_event(self, event: h11.Event) -> None:
+        """Buffer bytes for the next write, because each write is a system call."""
         self._held += self._http.send(event) or b''
 
-    def _release(self) -> None:
+    def _flush(self) -> None:
         if self._held and not self._transport.is_closing():
             self._transport.write(self._held)
         self._held = b''
 
-    def _wait(self, timeout_ms: int) -> None:
+    def _set_deadline(self, timeout_ms: int) -> None:
         self._deadline_ms = self._server.now_ms() + timeout_ms
 
-    def _leave(self) -> None:
+    def _report_caller_left(self) -> None:
         exchange = self._exchange
         self._exchange = None
         if exchange is not None:
             exchange.caller_left()
 
-    def _drop_body(self) -> None:
-        """Give back what the body took; an answer under way still holds it."""
+    def _release_body(self) -> None:
+        """Release the body's memory, which is held while a response is in progress."""
         self._server.release(self._body_bytes)
         self._body = []
         self._body_bytes = 0
         self._head = None
 
-    def _bound_buffers(self) -> None:
-        """Bound what waits for a caller that does not read.
+    def _limit_buffers(self) -> None:
+        """Limit the data that is buffered for a caller that does not read.
 
-        The kernel grows a socket's send buffer to megabytes by itself; an
-        engine would go on generating far ahead of a caller that has stopped.
+        By default the kernel grows a socket's send buffer to megabytes, and an
+        engine would keep generating far ahead of a caller that stopped reading.
         """
         self._transport.set_write_buffer_limits(high=self._limits.write_buffer_bytes)
-        raw = self._transport.get_extra_info('socket')
-        if raw is not None:
-            raw.setsockopt(
+        raw_socket = self._transport.get_extra_info('socket')
+        if raw_socket is not None:
+            raw_socket.setsockopt(
                 socket.SOL_SOCKET, socket.SO_SNDBUF, self._limits.send_buffer_bytes
             )
 
 
-def _announced_length(head: h11.Request) -> int:
+def _content_length(head: h11.Request) -> int:
     for name, value in head.headers:
         if name == b'content-length':
             return int(value)
     return 0
 
 
-def _has_two_framings(head: h11.Request) -> bool:
+def _has_conflicting_framing(head: h11.Request) -> bool:
     names = {name for name, _ in head.headers}
     return b'content-length' in names and b'transfer-encoding' in names
--- a/savorychute/http/server_exchange.py
+++ b/savorychute/http/server_exchange.py
@@ -1,4 +1,4 @@
-"""One request on a server connection, and its answer."""
+"""A request on a server connection and its response."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class ServerExchange:
-    """A caller's request and the means to answer it.
+    """A caller's request and the methods that respond to it.
 
-    Every method is a no-op once the caller has left, so that an answer under
-    way needs no check before each step.
+    Every method is a no-op once the caller has disconnected, so that a response
+    in progress needs no check before each step.
 
-    :param request: the whole request.
-    :param connection: the connection it came on.
+    :param request: the complete request.
+    :param connection: the connection on which it arrived.
     """
 
     __slots__ = (
@@ -45,10 +45,10 @@
     def respond(
         self, status: int, headers: Sequence[tuple[str, str]], body: bytes
     ) -> None:
-        """Send a whole answer.
+        """Send a complete response.
 
         :param status: the HTTP status.
-        :param headers: headers besides the length.
+        :param headers: the headers, without the content length.
         :param body: the body.
         """
         length = ('content-length', str(len(body)))
@@ -56,7 +56,7 @@
         self.finish(body)
 
     def start(self, status: int, headers: Sequence[tuple[str, str]]) -> None:
-        """Send the head; without a length the body goes in chunks.
+        """Send the head; without a content length the body is sent in chunks.
 
         :param status: the HTTP status.
         :param headers: the headers.
@@ -69,14 +69,14 @@
     def send(self, data: bytes) -> None:
         """Send a part of the body.
 
-        :param data: the bytes; nothing is sent for none.
+        :param data: the bytes; if empty, nothing is sent.
         """
         if self.left or self.finished or not data:
             return
         self._connection.send_data(data)
 
     def finish(self, data: bytes = b'') -> None:
-        """End the answer; the connection takes its next request.
+        """End the response; the connection then reads its next request.
 
         :param data: the last part of the body.
         """
@@ -88,14 +88,14 @@
         self._connection.end_exchange()
 
     def abort(self) -> None:
-        """Close the connection so that the caller sees a cut answer."""
+        """Abort the connection so that the caller sees a truncated response."""
         if self.left or self.finished:
             return
         self.finished = True
         self._connection.abort()
 
     def caller_left(self) -> None:
-        """Note that nobody waits for the answer any more."""
+        """Record that the caller has disconnected, and notify the owner."""
         if self.left or self.finished:
             return
         self.left = True
@@ -104,5 +104,5 @@
 
     @property
     def paused(self) -> bool:
-        """Whether the caller reads more slowly than the answer comes."""
+        """Whether the caller reads more slowly than the response is written."""
         return self._connection.writing_paused
--- a/savorychute/http/sse_reader.py
+++ b/savorychute/http/sse_reader.py
@@ -1,6 +1,6 @@
-"""Reading server-sent events.
+"""Parser of server-sent events.
 
-The format is that of the HTML standard, section "Server-sent events"; only
+The format is defined in the HTML standard, section "Server-sent events"; only
 ``id``, ``event`` and ``data`` are read.
 """
 
@@ -11,12 +11,12 @@
 from savorychute.errors import SavorychuteError
 from savorychute.result_code import ResultCode
 
-EVENT_BOUND_BYTES = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 EVENT_END = b'\n\n'
 
 
 class SseEvent(NamedTuple):
-    """One event; an id or a name that is missing is empty."""
+    """One event; a missing id or name is an empty string."""
 
     event_id: str
     event: str
@@ -24,40 +24,40 @@
 
 
 class EventTooLargeError(SavorychuteError):
-    """A server sent an event beyond the bound."""
+    """A server sent an event that is larger than the limit."""
 
     code = ResultCode.ENDPOINT_FAILED
 
 
 class SseReader:
-    """Cuts a stream of bytes into events.
+    """Splits a stream of bytes into events.
 
-    :param bound_bytes: the largest event taken.
+    :param max_bytes: the size of the largest accepted event.
     """
 
-    __slots__ = ('_bound_bytes', '_buffer')
+    __slots__ = ('_buffer', '_max_bytes')
 
-    def __init__(self, bound_bytes: int = EVENT_BOUND_BYTES) -> None:
-        self._bound_bytes = bound_bytes
+    def __init__(self, max_bytes: int = MAX_EVENT_BYTES) -> None:
+        self._max_bytes = max_bytes
         self._buffer = b''
 
     def feed(self, data: bytes) -> list[SseEvent]:
         """Return the events that *data* completes.
 
         :param data: the next bytes of the stream.
-        :raises EventTooLargeError: if an event passes the bound.
+        :raises EventTooLargeError: if an event exceeds the limit.
         """
         buffer = self._buffer + data
         if b'\r' in buffer:
-            buffer = _unify_line_ends(buffer)
+            buffer = _normalise_line_ends(buffer)
         *blocks, self._buffer = buffer.split(EVENT_END)
-        if len(self._buffer) > self._bound_bytes:
-            raise EventTooLargeError(f'event larger than {self._bound_bytes} bytes')
+        if len(self._buffer) > self._max_bytes:
+            raise EventTooLargeError(f'event larger than {self._max_bytes} bytes')
         return [_parse(block) for block in blocks if block]
 
 
-def _unify_line_ends(data: bytes) -> bytes:
-    """Turn CRLF into LF, leaving a last CR whose LF may still come."""
+def _normalise_line_ends(data: bytes) -> bytes:
+    """Replace CRLF by LF; a final CR stays, because its LF may still follow."""
     return data.replace(b'\r\n', b'\n')
 
 
--- a/savorychute/http/timed_call.py
+++ b/savorychute/http/timed_call.py
@@ -1,4 +1,4 @@
-"""Calls with a bound on their duration, or on the silence of the server."""
+"""Calls with a timeout for the whole response, or between received parts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from savorychute.http.call_failure import CallFailure
-from savorychute.http.whole_response import WholeResponse
+from savorychute.http.response_collector import ResponseCollector
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,50 +26,51 @@
     timeout_ms: int,
     on_response: Callable[[HttpResponse], None],
     on_failure: Callable[[CallFailure], None],
-    may_send: Callable[[], bool] | None = None,
+    can_send: Callable[[], bool] | None = None,
 ) -> ClientCall:
-    """Send a request and hand over its whole response, or a failure in time.
+    """Send a request and report its complete response or a failure.
 
-    :param pool: the connections.
+    :param pool: the connection pool.
     :param address: the server.
-    :param request: what to send.
-    :param timeout_ms: from now to the end of the response.
+    :param request: the request to send.
+    :param timeout_ms: time limit from now until the end of the response.
     :param on_response: called with the response.
-    :param on_failure: called if there is none in time.
-    :param may_send: asked right before the first byte leaves.
+    :param on_failure: called if there is no response in time.
+    :param can_send: called immediately before the first byte is sent; if it returns
+        false, nothing is sent.
     """
     loop = asyncio.get_running_loop()
 
-    def give_up() -> None:
+    def time_out() -> None:
         sent = call.sent
         call.cancel()
         on_failure(CallFailure(sent=sent, broken=False, reason='timeout'))
 
-    def take_response(response: HttpResponse) -> None:
+    def handle_response(response: HttpResponse) -> None:
         timer.cancel()
         on_response(response)
 
-    def take_failure(failure: CallFailure) -> None:
+    def handle_failure(failure: CallFailure) -> None:
         timer.cancel()
         on_failure(failure)
 
-    handler = WholeResponse(take_response, take_failure, may_send=may_send)
+    handler = ResponseCollector(handle_response, handle_failure, can_send=can_send)
     call = pool.submit(address, request, handler)
-    timer = loop.call_later(timeout_ms / MS_PER_S, give_up)
+    timer = loop.call_later(timeout_ms / MS_PER_S, time_out)
     return call
 
 
 async def fetch(
     pool: ClientPool, address: ServerAddress, request: HttpRequest, timeout_ms: int
 ) -> HttpResponse | CallFailure:
-    """Send a request and return its whole response, or how it failed.
+    """Send a request and return its complete response, or its failure.
 
-    :param pool: the connections.
+    :param pool: the connection pool.
     :param address: the server.
-    :param request: what to send.
-    :param timeout_ms: from now to the end of the response.
+    :param request: the request to send.
+    :param timeout_ms: time limit from now until the end of the response.
     """
-    done = _Outcome()
+    done = _CallOutcome()
     call = submit_timed(pool, address, request, timeout_ms, done.settle, done.settle)
     return await done.of(call)
 
@@ -77,50 +78,51 @@
 async def fetch_large(
     pool: ClientPool, address: ServerAddress, request: HttpRequest, silence_ms: int
 ) -> HttpResponse | CallFailure:
-    """Send a request whose response may be large, and return it or how it failed.
+    """Send a request whose response may be large, and return it or its failure.
 
-    Over a slow link a large response takes longer than a server may stay silent.  With a
-    bound on the whole, each try would be given up on its way, and none would ever end.
+    Over a slow link, a large response takes longer than the server may pause between
+    two parts.  With a time limit on the whole response, each call would be cancelled
+    before its end, and none would ever complete.
 
-    :param pool: the connections.
+    :param pool: the connection pool.
     :param address: the server.
-    :param request: what to send.
+    :param request: the request to send.
     :param silence_ms: how long the server may send nothing.
     """
-    done = _Outcome()
-    watch = _SilenceWatch(silence_ms)
-    handler = WholeResponse(done.settle, done.settle, on_part=watch.hear)
+    done = _CallOutcome()
+    monitor = _SilenceMonitor(silence_ms)
+    handler = ResponseCollector(done.settle, done.settle, on_part=monitor.record_data)
     call = pool.submit(address, request, handler)
 
-    def give_up() -> None:
+    def time_out() -> None:
         sent = call.sent
         call.cancel()
         done.settle(CallFailure(sent=sent, broken=False, reason='timeout'))
 
-    watch.start(give_up)
+    monitor.start(time_out)
     try:
         return await done.of(call)
     finally:
-        watch.stop()
+        monitor.stop()
 
 
-class _SilenceWatch:
-    """Calls back when a server has sent nothing for some time.
+class _SilenceMonitor:
+    """Calls back when a server has sent nothing for a given time.
 
-    :param silence_ms: that time.
+    :param silence_ms: how long the server may send nothing.
     """
 
     def __init__(self, silence_ms: int) -> None:
         self._loop = asyncio.get_running_loop()
         self._silence_s = silence_ms / MS_PER_S
-        self._heard_s = self._loop.time()
+        self._last_data_s = self._loop.time()
         self._timer: asyncio.TimerHandle | None = None
 
-    def hear(self) -> None:
-        self._heard_s = self._loop.time()
+    def record_data(self) -> None:
+        self._last_data_s = self._loop.time()
 
     def start(self, on_silence: Callable[[], None]) -> None:
-        left_s = self._heard_s + self._silence_s - self._loop.time()
+        left_s = self._last_data_s + self._silence_s - self._loop.time()
         if left_s <= 0:
             on_silence()
             return
@@ -131,8 +133,8 @@
             self._timer.cancel()
 
 
-class _Outcome:
-    """How a call ends, for one that waits for it."""
+class _CallOutcome:
+    """A future for the outcome of a call."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/test_client/client_rig.py
+++ b/tests/test_client/client_rig.py
@@ -15,7 +15,7 @@
 )
 from savorychute.clock import SystemClock
 from savorychute.http.client_pool import ServerAddress
-from savorychute.http.error_answer import encode_error, error_headers
+from savorychute.http.error_response import encode_error, error_headers
 from savorychute.http.http_limits import HttpLimits
 from savorychute.http.http_server import HttpServer, listen
 from savorychute.ran import Ran
--- a/tests/test_http/pool_rig.py
+++ b/tests/test_http/pool_fixture.py
@@ -1,4 +1,4 @@
-"""Servers that send raw bytes."""
+"""Servers that send raw bytes, for tests of the connection pool."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @asynccontextmanager
 async def raw_server(handle):
-    """A server whose *handle* gets reader, writer and the connection's number."""
+    """Run a server; *handle* gets reader, writer and the connection's number."""
     numbers = iter(range(1_000))
 
     async def accept(reader, writer):
@@ -31,8 +31,8 @@
     return await reader.readuntil(b'\r\n\r\n')
 
 
-def answer_all(numbers):
-    """A handler that answers each request and notes its connection's number."""
+def respond_to_all(numbers):
+    """Return a handler that responds and records its connection's number."""
 
     async def handle(reader, writer, number):
         while await read_head(reader):
--- a/tests/test_http/test_any_bytes.py
+++ b/tests/test_http/test_any_bytes.py
@@ -1,4 +1,4 @@
-"""Tests of both sides of HTTP with any bytes from the other side."""
+"""Tests of the HTTP server and client with arbitrary bytes from the other side."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     b'2\r\nab\r\n0\r\n\r\n'
 )
 RESPONSE = b'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok'
-PIECES = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         REQUEST,
         CHUNKED,
@@ -38,14 +38,14 @@
         b'ffffffff\r\n',
     ]
 )
-BYTES = st.lists(PIECES | st.binary(max_size=20), max_size=6).map(b''.join)
-CUTS = st.lists(st.integers(0, 400), max_size=6)
+BYTES = st.lists(FRAGMENTS | st.binary(max_size=20), max_size=6).map(b''.join)
+SPLIT_POINTS = st.lists(st.integers(0, 400), max_size=6)
 STATUS_LINE = re.compile(rb'HTTP/1\.1 ([0-9]{3}) \r\n')
-SMALL = HttpLimits(header_bytes=200, body_bytes=10, buffered_bytes=20)
+SMALL_LIMITS = HttpLimits(header_bytes=200, body_bytes=10, buffered_bytes=20)
 
 
 class FakeTransport(asyncio.Transport):
-    """Keeps what is written."""
+    """Records what is written."""
 
     def __init__(self):
         super().__init__()
@@ -53,25 +53,25 @@
         self.closed = False
 
     def write(self, data):
-        """Keep the bytes."""
+        """Record the bytes."""
         self.written += data
 
     def is_closing(self):
-        """Return whether it was closed."""
+        """Return whether the transport was closed."""
         return self.closed
 
     def close(self):
-        """Close."""
+        """Close the transport."""
         self.closed = True
 
     abort = close
 
     def can_write_eof(self):
-        """Return that one half can be closed."""
+        """Return that the writing half can be closed."""
         return True
 
     def write_eof(self):
-        """Take no more bytes."""
+        """Accept no more bytes."""
         self.write = None
 
     def pause_reading(self):
@@ -84,14 +84,14 @@
         """Do nothing."""
 
     def get_write_buffer_size(self):
-        """Return that nothing waits."""
+        """Return that the buffer is empty."""
         return 0
 
 
-async def feed(connection, transport, data, cuts):
-    """Give the bytes in parts, then the end, as a transport would."""
-    bounds = [0, *sorted(cut for cut in cuts if cut < len(data)), len(data)]
-    for start, stop in pairwise(bounds):
+async def feed(connection, transport, data, split_points):
+    """Deliver the bytes in parts, then the end, as a transport does."""
+    edges = [0, *sorted(cut for cut in split_points if cut < len(data)), len(data)]
+    for start, stop in pairwise(edges):
         if not transport.closed and start < stop:
             connection.data_received(data[start:stop])
         for _ in range(8):
@@ -102,33 +102,33 @@
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
-@given(BYTES, CUTS)
-def test_server_answers_any_bytes_in_order_or_with_a_refusal(data, cuts):
-    taken = []
+@given(BYTES, SPLIT_POINTS)
+def test_server_responds_to_any_bytes_in_order_or_refuses(data, split_points):
+    received = []
 
-    def answer(exchange):
-        taken.append(exchange.request)
-        exchange.respond(200, [], b'%d' % len(taken))
+    def respond(exchange):
+        received.append(exchange.request)
+        exchange.respond(200, [], b'%d' % len(received))
 
     async def main():
-        server = HttpServer(SMALL, ManualClock(), answer)
+        server = HttpServer(SMALL_LIMITS, ManualClock(), respond)
         connection = ServerConnection(server)
         transport = FakeTransport()
         connection.connection_made(transport)
-        await feed(connection, transport, data, cuts)
+        await feed(connection, transport, data, split_points)
         return server, transport.written
 
     server, written = asyncio.run(main())
 
     assert (server.buffered_bytes, server.open_connections) == (0, 0)
-    assert all(len(request.body) <= SMALL.body_bytes for request in taken)
+    assert all(len(request.body) <= SMALL_LIMITS.body_bytes for request in received)
     statuses = STATUS_LINE.findall(written)
-    assert statuses.count(b'200') == len(taken)
+    assert statuses.count(b'200') == len(received)
     assert set(statuses) <= {b'100', b'200', b'400', b'413', b'431', b'503'}
     assert statuses.count(b'400') <= 1
 
 
-class Ends:
+class EndRecorder:
     """Counts how a call ended."""
 
     def __init__(self):
@@ -136,7 +136,7 @@
         self.body = b''
 
     def about_to_send(self):
-        """Agree."""
+        """Allow the request to be sent."""
         return True
 
     def response_started(self, status, _headers):
@@ -144,7 +144,7 @@
         assert status >= 200
 
     def response_data(self, data):
-        """Keep the part."""
+        """Record the part."""
         assert not self.ends
         self.body += data
 
@@ -153,35 +153,35 @@
         self.ends.append('ended')
 
     def call_failed(self, failure):
-        """Count the failure, which cannot claim that nothing was sent."""
+        """Count the failure, which must state that the request was sent."""
         assert failure.sent
         self.ends.append('failed')
 
 
 @settings(derandomize=True, deadline=None, max_examples=300)
-@given(BYTES, CUTS)
-def test_call_ends_exactly_once_whatever_the_server_sends(data, cuts):
-    kept = []
+@given(BYTES, SPLIT_POINTS)
+def test_call_ends_exactly_once_whatever_the_server_sends(data, split_points):
+    idle = []
 
     async def main():
-        connection = ClientConnection('x', kept.append, lambda _: None)
+        connection = ClientConnection('x', idle.append, lambda _: None)
         transport = FakeTransport()
         connection.connection_made(transport)
-        handler = Ends()
+        handler = EndRecorder()
         connection.send(HttpRequest('GET', '/'), handler)
-        await feed(connection, transport, data, cuts)
+        await feed(connection, transport, data, split_points)
         return handler, transport.closed
 
     handler, closed = asyncio.run(main())
 
     assert len(handler.ends) == 1
     if handler.ends == ['ended']:
-        assert is_whole(data)
-    assert closed or not kept or data.endswith((b'ok', b'\r\n'))
+        assert is_complete(data)
+    assert closed or not idle or data.endswith((b'ok', b'\r\n'))
 
 
-def is_whole(data):
-    """Return whether *data* begins with a whole response."""
+def is_complete(data):
+    """Return whether *data* starts with a complete response."""
     client = h11.Connection(h11.CLIENT)
     client.send(h11.Request(method='GET', target='/', headers=[('host', 'x')]))
     client.send(h11.EndOfMessage())
--- a/tests/test_http/test_client_pool.py
+++ b/tests/test_http/test_client_pool.py
@@ -1,11 +1,11 @@
-"""Tests of calls to servers that fail in every way."""
+"""Tests of calls to servers that fail in different ways."""
 
 from __future__ import annotations
 
 import asyncio
 
 import pytest
-from pool_rig import GET, OK, raw_server, read_head
+from pool_fixture import GET, OK, raw_server, read_head
 
 from savorychute.clock import SystemClock
 from savorychute.http.call_failure import CallFailure
@@ -15,10 +15,10 @@
 from savorychute.http.timed_call import fetch
 
 
-def call_one(handle, timeout_ms=5_000, **bounds):
+def call_one(handle, timeout_ms=5_000, **limits):
     async def main():
         async with raw_server(handle) as address:
-            with open_pool(PoolSettings(**bounds), SystemClock()) as pool:
+            with open_pool(PoolSettings(**limits), SystemClock()) as pool:
                 return await fetch(pool, address, GET, timeout_ms)
 
     return asyncio.run(main())
@@ -41,7 +41,7 @@
         ),
     ],
 )
-def test_response_that_is_no_good_fails_as_sent_and_broken(response, reason):
+def test_invalid_response_fails_as_sent_and_broken(response, reason):
     async def handle(reader, writer, number):
         await read_head(reader)
         writer.write(response)
@@ -65,7 +65,7 @@
     assert response.body == b'all of it'
 
 
-def test_closed_port_is_a_call_not_sent():
+def test_call_to_a_closed_port_fails_as_not_sent():
     async def main():
         async with raw_server(None) as address:
             pass
@@ -77,7 +77,7 @@
     assert (failure.sent, failure.broken) == (False, False)
 
 
-def test_silent_server_times_out_as_sent():
+def test_unresponsive_server_times_out_as_sent():
     async def handle(reader, writer, number):
         await reader.read()
 
@@ -86,7 +86,7 @@
     assert (failure.sent, failure.broken, failure.reason) == (True, False, 'timeout')
 
 
-def test_connections_are_bounded_and_the_refusal_is_not_sent():
+def test_call_over_the_connection_limit_fails_as_not_sent():
     async def handle(reader, writer, number):
         await reader.read()
 
@@ -95,11 +95,11 @@
     assert (failure.sent, failure.reason) == (False, 'too many connections')
 
 
-def test_bytes_that_answer_no_request_end_the_connection():
-    """Response splitting.
+def test_bytes_beyond_the_response_close_the_connection():
+    """Guard against response splitting.
 
-    A server sends two responses to one request.  Kept, the second would be
-    taken for the answer to the next caller's request.
+    A server sends two responses to one request.  On a reused connection, the
+    second would be matched to the next caller's request.
     """
     numbers = []
 
@@ -119,22 +119,22 @@
     assert numbers == [0, 1]
 
 
-def test_early_answer_ends_the_connection():
-    """A long request that was answered before it was read.
+def test_early_response_closes_the_connection():
+    """Guard against reuse while the server still reads the request body.
 
-    The server answers at once, keeps the connection and goes on reading the body.  A
-    next request on that connection would be read as the rest of the body.
+    The server responds at once, keeps the connection open and continues to read the
+    body.  It would read the next request on that connection as the rest of the body.
     """
     seen = []
 
-    async def answer_early(reader, writer, number):
+    async def respond_early(reader, writer, number):
         await read_head(reader)
         seen.append(number)
         writer.write(OK)
         await asyncio.sleep(1)
 
     async def main():
-        async with raw_server(answer_early) as address:
+        async with raw_server(respond_early) as address:
             with open_pool(PoolSettings(), SystemClock()) as pool:
                 long = HttpRequest('POST', '/', (), b'x' * 8_000_000)
                 for request in (long, GET):
--- a/tests/test_http/test_kept_connections.py
+++ b/tests/test_http/test_kept_connections.py
@@ -1,11 +1,11 @@
-"""Tests of connections that a pool keeps for the next call."""
+"""Tests of connections that a pool keeps open for the next call."""
 
 from __future__ import annotations
 
 import asyncio
 from contextlib import AsyncExitStack
 
-from pool_rig import GET, OK, answer_all, raw_server, read_head
+from pool_fixture import GET, OK, raw_server, read_head, respond_to_all
 
 from savorychute.clock import ManualClock, SystemClock
 from savorychute.http.client_pool import PoolSettings, open_pool
@@ -13,31 +13,31 @@
 
 
 class Recorder:
-    """A handler that may refuse to send."""
+    """A response handler that records events and can refuse to send."""
 
     def __init__(self, wanted):
         self.wanted = wanted
         self.events = []
 
     def about_to_send(self):
-        """Note the question and answer it."""
+        """Record the call and return whether the request is wanted."""
         self.events.append('about-to-send')
         return self.wanted
 
     def response_started(self, status, _headers):
-        """Note the status."""
+        """Record the status."""
         self.events.append(status)
 
     def response_data(self, data):
-        """Note the part."""
+        """Record the part."""
         self.events.append(data)
 
     def response_ended(self):
-        """Note the end."""
+        """Record the end."""
         self.events.append('ended')
 
     def call_failed(self, failure):
-        """Note the failure."""
+        """Record the failure."""
         self.events.append(failure)
 
 
@@ -46,7 +46,7 @@
     numbers = []
 
     async def main():
-        async with raw_server(answer_all(numbers)) as address:
+        async with raw_server(respond_to_all(numbers)) as address:
             with open_pool(PoolSettings(idle_ms=1_000), clock) as pool:
                 await fetch(pool, address, GET, 5_000)
                 await fetch(pool, address, GET, 5_000)
@@ -59,11 +59,11 @@
 
 
 def test_reused_connection_closed_before_any_response_counts_as_sent():
-    """Keep-alive race.
+    """Guard against duplicate execution in the keep-alive race.
 
-    A service closes an idle connection at the very moment at which it is used
-    again.  The bytes have left, so the service may have run the request; a
-    silent second try on a fresh connection would book a visit twice.
+    A service closes an idle connection at the moment of its reuse.  The bytes were
+    sent, so the service may have run the request; an automatic retry on a new
+    connection would run it twice.
     """
     numbers = []
 
@@ -112,15 +112,15 @@
     numbers = []
 
     async def main():
-        async with raw_server(answer_all(numbers)) as address:
+        async with raw_server(respond_to_all(numbers)) as address:
             with open_pool(PoolSettings(), SystemClock()) as pool:
-                unwanted = Recorder(False)
-                pool.submit(address, GET, unwanted)
+                rejecting = Recorder(False)
+                pool.submit(address, GET, rejecting)
                 async with asyncio.timeout(10):
-                    while not unwanted.events:
+                    while not rejecting.events:
                         await asyncio.sleep(0.002)
                 await fetch(pool, address, GET, 5_000)
-                return unwanted.events, pool.open_connections
+                return rejecting.events, pool.open_connections
 
     events, connections = asyncio.run(main())
 
@@ -128,17 +128,17 @@
     assert (numbers, connections) == ([0], 1)
 
 
-def test_ended_call_has_no_hold_on_its_connection():
-    """Slow reader of a last part.
+def test_ended_call_does_not_affect_its_connection():
+    """Guard against an ended call that affects the next call on its connection.
 
-    A call's response has ended and its connection carries the next call.  A
-    pause that comes late for the first one stopped the reading of the second
-    one's answer, until it timed out; a late cancel would have cut it.
+    The response of a call has ended and its connection carries the next call.  A
+    late pause of the first call stopped the reading of the second response until
+    it timed out; a late cancel would have aborted it.
     """
     numbers = []
 
     async def main():
-        async with raw_server(answer_all(numbers)) as address:
+        async with raw_server(respond_to_all(numbers)) as address:
             with open_pool(PoolSettings(), SystemClock()) as pool:
                 first = Recorder(True)
                 call = pool.submit(address, GET, first)
@@ -156,11 +156,11 @@
     assert numbers == [0, 0, 0]
 
 
-def test_idle_connections_do_not_keep_out_calls():
-    """Many servers, few connections.
+def test_idle_connections_do_not_block_calls():
+    """Guard against idle connections that use up the limit.
 
-    Connections to servers that were used lately stay open for reuse.  With the
-    bound reached, a call to another server failed, though nothing was going on.
+    Connections to recently used servers stay open for reuse.  When the limit was
+    reached, a call to another server failed although all connections were idle.
     """
 
     async def handle(reader, writer, number):
@@ -173,16 +173,16 @@
             enter = stack.enter_async_context
             servers = [await enter(raw_server(handle)) for _ in range(5)]
             pool = stack.enter_context(open_pool(settings, SystemClock()))
-            answers = [await fetch(pool, each, GET, 5_000) for each in servers * 2]
-            return answers, pool.open_connections
+            responses = [await fetch(pool, each, GET, 5_000) for each in servers * 2]
+            return responses, pool.open_connections
 
-    answers, connections = asyncio.run(main())
+    responses, connections = asyncio.run(main())
 
-    assert [answer.body for answer in answers] == [b'ok'] * 10
+    assert [response.body for response in responses] == [b'ok'] * 10
     assert connections == 2
 
 
-def test_idle_connections_are_closed_in_time():
+def test_expired_idle_connections_are_closed():
     clock = ManualClock()
 
     async def handle(reader, writer, number):
@@ -203,11 +203,11 @@
     assert asyncio.run(main()) == 1
 
 
-def test_connection_is_given_up_before_the_server_closes_it():
-    """A request on a connection that the server was just closing.
+def test_connection_is_discarded_before_the_server_closes_it():
+    """Guard against a request on a connection that the server is closing.
 
-    The server says how long it keeps idle connections; reused at the very end of that
-    time, the request is reset and nobody knows whether it ran.
+    The server states how long it keeps idle connections.  If a connection is reused at
+    the end of that time, the request is reset and it is unknown whether it ran.
     """
     seen = []
 
--- a/tests/test_http/test_sse_reader.py
+++ b/tests/test_http/test_sse_reader.py
@@ -1,4 +1,4 @@
-"""Tests of reading server-sent events."""
+"""Tests of the parser of server-sent events."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.sets(st.integers(0, len(STREAM))))
-def test_events_do_not_depend_on_where_the_bytes_are_cut(cuts):
+def test_events_do_not_depend_on_where_the_bytes_are_split(split_points):
     reader = SseReader()
     events = []
-    bounds = [0, *sorted(cuts), len(STREAM)]
-    for start, stop in pairwise(bounds):
+    edges = [0, *sorted(split_points), len(STREAM)]
+    for start, stop in pairwise(edges):
         events += reader.feed(STREAM[start:stop])
 
     assert events == EVENTS
 
 
-def test_event_without_end_is_bounded():
-    reader = SseReader(bound_bytes=100)
+def test_size_of_an_event_without_end_is_limited():
+    reader = SseReader(max_bytes=100)
     reader.feed(b'data: ' + b'a' * 90)
 
     with pytest.raises(EventTooLargeError):
@@ -46,8 +46,8 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(st.binary(max_size=40), max_size=10))
-def test_no_bytes_raise_anything_else(parts):
-    reader = SseReader(bound_bytes=50)
+def test_any_bytes_raise_no_other_error(parts):
+    reader = SseReader(max_bytes=50)
     try:
         for part in parts:
             reader.feed(part)
