--- a/savorychute/daemon/attempt_runner.py
+++ b/savorychute/daemon/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts at endpoints over HTTP."""
+"""Runs attempts at endpoints over HTTP."""
 
 from __future__ import annotations
 
@@ -19,41 +19,41 @@
     from savorychute.http.client_pool import ClientPool
 
 CANCEL_TIMEOUT_MS = 2_000
-PAUSE_REPORT_MS = 250
+PAUSE_REPORT_INTERVAL_MS = 250
 
 
 class AttemptRunner:
-    """Starts, cancels and slows down attempts.
+    """Starts, cancels, pauses and resumes attempts.
 
-    :param host: gets the inputs.
-    :param pool: connections to endpoints.
+    :param host: receives the inputs for the instance.
+    :param pool: the connections to endpoints.
     """
 
     def __init__(self, host: HostPort, pool: ClientPool) -> None:
         self._host = host
         self._pool = pool
-        self._report_ms = 0
+        self._next_report_ms = 0
         self._attempts: dict[str, RunningAttempt] = {}
         self._by_request: dict[str, RunningAttempt] = {}
 
     @property
     def in_progress(self) -> int:
-        """How many attempts have not ended."""
+        """Number of attempts that have not ended."""
         return len(self._attempts)
 
     def start(self, start: StartAttempt) -> None:
         """Send an attempt to its endpoint.
 
-        :param start: the attempt.
+        :param start: describes the attempt.
         """
         try:
             dialect = DIALECTS.get(start.dialect)
-            passed = self._host.answers.passed_headers(start.request_id)
-            request = dialect.build_attempt(start, passed)
+            forwarded = self._host.responses.forwarded_headers(start.request_id)
+            request = dialect.build_attempt(start, forwarded)
         except (UnknownVariantError, msgspec.MsgspecError) as error:
             self._host.deliver(_describe_unsent(start, str(error)))
             return
-        attempt = RunningAttempt(start, dialect, self._host, self._forget)
+        attempt = RunningAttempt(start, dialect, self._host, self._remove)
         self._attempts[start.attempt_id] = attempt
         self._by_request[start.request_id] = attempt
         attempt.call = self._pool.submit(
@@ -63,16 +63,16 @@
             fresh=dialect.needs_fresh_connection(start),
         )
         attempt.start_timer()
-        if self._host.answers.is_paused(start.request_id):
+        if self._host.responses.is_paused(start.request_id):
             attempt.pause()
 
     def cancel(self, cancel: CancelAttempt) -> None:
-        """Stop an attempt; the instance hears no more of it.
+        """Cancel an attempt; the instance receives no more inputs about it.
 
-        The connection is cut first.  An engine that was asked to keep the
-        stream over a lost connection is told explicitly what to do with it.
+        The connection is aborted first.  An engine that was asked to keep the
+        stream after a lost connection is then told whether to keep it.
 
-        :param cancel: which attempt, and whether its stream is kept.
+        :param cancel: the attempt, and whether its stream is kept.
         """
         attempt = self._attempts.get(cancel.attempt_id)
         if attempt is None:
@@ -92,45 +92,45 @@
                 lambda failure: None,  # noqa: ARG005
             )
 
-    def passed_headers(self, attempt_id: str) -> tuple[tuple[str, str], ...]:
-        """Return the endpoint's headers that the caller gets.
+    def forwarded_headers(self, attempt_id: str) -> tuple[tuple[str, str], ...]:
+        """Return the endpoint's headers that are forwarded to the caller.
 
-        :param attempt_id: the attempt whose answer is passed on.
+        :param attempt_id: the attempt whose response is forwarded.
         """
         attempt = self._attempts.get(attempt_id)
-        return () if attempt is None else attempt.passed_headers
+        return () if attempt is None else attempt.forwarded_headers
 
     def pause(self, request_id: str) -> None:
-        """Stop reading a request's answer, so that its engine waits.
+        """Stop reading a request's response, so that its engine waits.
 
-        :param request_id: whose caller reads too slowly.
+        :param request_id: the request whose caller reads too slowly.
         """
         attempt = self._by_request.get(request_id)
         if attempt is not None:
             attempt.pause()
 
     def resume(self, request_id: str) -> None:
-        """Read a request's answer again.
+        """Resume reading a request's response.
 
-        :param request_id: whose caller reads again.
+        :param request_id: the request whose caller reads again.
         """
         attempt = self._by_request.get(request_id)
         if attempt is not None:
             attempt.resume()
 
     def report_paused(self, now_ms: int) -> None:
-        """Tell the instance now and then which answers wait for their caller.
+        """Report periodically to the instance which responses wait for their caller.
 
-        :param now_ms: the host's time.
+        :param now_ms: the current time of the host.
         """
-        if now_ms < self._report_ms:
+        if now_ms < self._next_report_ms:
             return
-        self._report_ms = now_ms + PAUSE_REPORT_MS
+        self._next_report_ms = now_ms + PAUSE_REPORT_INTERVAL_MS
         paused = [each for each in self._attempts.values() if each.paused]
         for attempt in paused:
             self._host.deliver(AttemptPaused(attempt.start.attempt_id))
 
-    def _forget(self, attempt: RunningAttempt) -> None:
+    def _remove(self, attempt: RunningAttempt) -> None:
         start = attempt.start
         self._attempts.pop(start.attempt_id, None)
         if self._by_request.get(start.request_id) is attempt:
--- a/savorychute/daemon/caller_api.py
+++ b/savorychute/daemon/caller_api.py
@@ -1,4 +1,4 @@
-"""The paths that callers and operators use."""
+"""The HTTP API for callers and operators."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class InstanceDocument(TypedDict):
-    """One address of a discovery answer."""
+    """One address in a discovery response."""
 
     host: str
     port: int
@@ -43,7 +43,7 @@
 
 
 class InstancesDocument(TypedDict):
-    """A discovery answer."""
+    """A discovery response."""
 
     instances: list[InstanceDocument]
     lifetime_ms: int
@@ -56,7 +56,7 @@
 
 
 class CallerApi:
-    """Sends each request to what answers it.
+    """Routes each HTTP request to its handler.
 
     :param host: the host of the instance.
     """
@@ -65,7 +65,7 @@
         self._host = host
         self._request_count = 0
         self._paths: dict[str, tuple[str, Callable[[ServerExchange, str], None]]] = {
-            CHAT_PATH: ('POST', self._take_chat),
+            CHAT_PATH: ('POST', self._handle_chat),
             '/v1/instances': ('GET', self._discover),
             '/v1/keys': ('POST', self._issue_key),
             '/healthz': ('GET', self._show_health),
@@ -73,8 +73,8 @@
             '/metrics': ('GET', self._show_metrics),
         }
 
-    def take(self, exchange: ServerExchange) -> None:
-        """Answer a request, or give it to the instance.
+    def handle(self, exchange: ServerExchange) -> None:
+        """Respond to a request, or deliver it to the instance.
 
         :param exchange: the request on its connection.
         """
@@ -89,32 +89,32 @@
         path = request.target.partition('?')[0]
         if path.startswith(SERVICES_PREFIX):
             call = read_service_call(request_id, request)
-            self._host.answers.take(exchange, call)
+            self._host.responses.handle(exchange, call)
             return
         if path.startswith(OPERATOR_PREFIX):
-            self._require(request.method, 'POST')
+            self._require_method(request.method, 'POST')
             verb = unquote(path[len(OPERATOR_PREFIX) :])
             token = read_token(request)
-            self._host.operators.take(exchange, request_id, token, verb)
+            self._host.operators.handle(exchange, request_id, token, verb)
             return
         if path not in self._paths:
             raise RequestError(ResultCode.NOT_FOUND, f'no path {path!r}')
-        method, answer = self._paths[path]
-        self._require(request.method, method)
-        answer(exchange, request_id)
+        method, handler = self._paths[path]
+        self._require_method(request.method, method)
+        handler(exchange, request_id)
 
-    def _require(self, method: str, wanted: str) -> None:
-        if method != wanted:
+    def _require_method(self, method: str, expected: str) -> None:
+        if method != expected:
             raise RequestError(
-                ResultCode.METHOD_NOT_ALLOWED, f'{method} is not {wanted}'
+                ResultCode.METHOD_NOT_ALLOWED, f'{method} is not {expected}'
             )
 
-    def _take_chat(self, exchange: ServerExchange, request_id: str) -> None:
+    def _handle_chat(self, exchange: ServerExchange, request_id: str) -> None:
         request = read_chat(request_id, exchange.request)
-        self._host.answers.take(exchange, request)
+        self._host.responses.handle(exchange, request)
 
     def _discover(self, exchange: ServerExchange, request_id: str) -> None:
-        found = self._host.instance.discover(read_token(exchange.request))
+        discovery = self._host.instance.discover(read_token(exchange.request))
         document: InstancesDocument = {
             'instances': [
                 {
@@ -122,17 +122,17 @@
                     'port': member.caller_port,
                     'failure_domain': member.failure_domain,
                 }
-                for member in found.addresses
+                for member in discovery.addresses
             ],
-            'lifetime_ms': found.lifetime_ms,
+            'lifetime_ms': discovery.lifetime_ms,
         }
-        _answer_json(exchange, request_id, msgspec.json.encode(document))
+        _respond_json(exchange, request_id, msgspec.json.encode(document))
 
     def _issue_key(self, exchange: ServerExchange, request_id: str) -> None:
         token = read_token(exchange.request)
         key = self._host.instance.issue_key(token, self._host.clock.now_ms())
         document: KeyDocument = {'key': key}
-        _answer_json(exchange, request_id, msgspec.json.encode(document))
+        _respond_json(exchange, request_id, msgspec.json.encode(document))
 
     def _show_health(self, exchange: ServerExchange, request_id: str) -> None:  # noqa: ARG002
         exchange.respond(HTTPStatus.OK, [('content-type', TEXT_TYPE)], b'ok\n')
@@ -157,7 +157,7 @@
         )
 
     def _make_request_id(self) -> str:
-        """Return an id that no other run of any instance gives."""
+        """Return an id that is unique over all instances and their incarnations."""
         self._request_count += 1
         address = self._host.address
         return f'{address.instance}-{address.incarnation:x}-{self._request_count:x}'
@@ -166,12 +166,12 @@
 def refuse(
     exchange: ServerExchange, request_id: str, code: ResultCode, message: str
 ) -> None:
-    """Answer a request that never reached the instance.
+    """Respond with an error to a request that was not delivered to the instance.
 
     :param exchange: the request.
-    :param request_id: its id.
+    :param request_id: the id of the request.
     :param code: the reason.
-    :param message: what is wrong in this case.
+    :param message: details of this error.
     """
     ran = classify_ran(name for name, _ in exchange.request.headers)
     headers = error_headers(code, ran)
@@ -182,7 +182,7 @@
     exchange.respond(code.status, headers, body)
 
 
-def _answer_json(exchange: ServerExchange, request_id: str, body: bytes) -> None:
+def _respond_json(exchange: ServerExchange, request_id: str, body: bytes) -> None:
     headers = [
         ('content-type', JSON_TYPE),
         ('x-request-id', request_id),
--- a/savorychute/daemon/caller_answers.py
+++ b/savorychute/daemon/caller_responses.py
@@ -1,4 +1,4 @@
-"""Answers to callers over HTTP."""
+"""Responses to callers over HTTP."""
 
 from __future__ import annotations
 
@@ -25,48 +25,48 @@
     from savorychute.http.server_exchange import ServerExchange
     from savorychute.inputs import CallerRequest
 
-PASSED_REQUEST_HEADERS = ('accept', 'content-type', 'if-match', 'if-none-match')
+FORWARDED_REQUEST_HEADERS = ('accept', 'content-type', 'if-match', 'if-none-match')
 
 
-class OpenAnswer:
-    """A caller's request that is not answered yet.
+class PendingResponse:
+    """The unfinished response to a caller's request.
 
     :param exchange: the request on its connection.
-    :param streamed: whether the caller asked for a model's stream.
+    :param streamed: whether the caller requested a model's stream.
     """
 
-    __slots__ = ('events', 'exchange', 'streamed')
+    __slots__ = ('event_stream', 'exchange', 'streamed')
 
     def __init__(self, exchange: ServerExchange, streamed: bool) -> None:
         self.exchange = exchange
         self.streamed = streamed
-        self.events = False
+        self.event_stream = False
 
 
-class CallerAnswers:
-    """Passes answers on to the callers that wait for them.
+class CallerResponses:
+    """Sends responses to the callers that wait for them.
 
-    :param host: gets requests and news of callers that left.
+    :param host: receives requests, and notices of callers that disconnected.
     """
 
     def __init__(self, host: HostPort) -> None:
         self._host = host
-        self._answers: dict[str, OpenAnswer] = {}
+        self._pending: dict[str, PendingResponse] = {}
 
     @property
     def in_progress(self) -> int:
-        """How many requests are not answered yet."""
-        return len(self._answers)
+        """Number of requests whose response is not finished."""
+        return len(self._pending)
 
-    def take(self, exchange: ServerExchange, request: CallerRequest) -> None:
-        """Give a request to the instance.
+    def handle(self, exchange: ServerExchange, request: CallerRequest) -> None:
+        """Deliver a request to the instance.
 
         :param exchange: the request on its connection.
-        :param request: what was read from it.
+        :param request: the request as it was parsed.
         """
         request_id = request.request_id
-        self._answers[request_id] = OpenAnswer(exchange, request.stream)
-        exchange.on_left = lambda: self._leave(request_id)
+        self._pending[request_id] = PendingResponse(exchange, request.stream)
+        exchange.on_left = lambda: self._handle_caller_left(request_id)
         exchange.on_pause = lambda: self._host.attempts.pause(request_id)
         exchange.on_resume = lambda: self._host.attempts.resume(request_id)
         self._host.deliver(request)
@@ -76,32 +76,32 @@
 
         :param request_id: the request.
         """
-        answer = self._answers.get(request_id)
-        return answer is not None and answer.exchange.paused
+        response = self._pending.get(request_id)
+        return response is not None and response.exchange.paused
 
-    def passed_headers(self, request_id: str) -> tuple[tuple[str, str], ...]:
-        """Return the caller's headers that its endpoint gets.
+    def forwarded_headers(self, request_id: str) -> tuple[tuple[str, str], ...]:
+        """Return the caller's headers that are forwarded to the endpoint.
 
         :param request_id: the request.
         """
-        answer = self._answers.get(request_id)
-        if answer is None:
+        response = self._pending.get(request_id)
+        if response is None:
             return ()
         return tuple(
             (name, value)
-            for name, value in answer.exchange.request.headers
-            if name in PASSED_REQUEST_HEADERS
+            for name, value in response.exchange.request.headers
+            if name in FORWARDED_REQUEST_HEADERS
         )
 
     def start(self, head: StartResponse) -> None:
-        """Send the head of an answer.
+        """Send the head of a response.
 
-        :param head: status and ids.
+        :param head: the status and ids.
         """
-        answer = self._answers.get(head.request_id)
-        if answer is None:
+        response = self._pending.get(head.request_id)
+        if response is None:
             return
-        answer.events = answer.streamed and head.status == HTTPStatus.OK
+        response.event_stream = response.streamed and head.status == HTTPStatus.OK
         headers = [
             ('x-request-id', head.request_id),
             ('x-attempt-id', head.attempt_id),
@@ -109,58 +109,58 @@
             ('x-result-code', '0'),
             ('x-ran', 'ran'),
         ]
-        content_type = EVENT_STREAM_TYPE if answer.events else head.content_type
-        if answer.streamed and not answer.events:
+        content_type = EVENT_STREAM_TYPE if response.event_stream else head.content_type
+        if response.streamed and not response.event_stream:
             content_type = JSON_TYPE
         if content_type:
             headers.append(('content-type', content_type))
-        headers += self._host.attempts.passed_headers(head.attempt_id)
+        headers += self._host.attempts.forwarded_headers(head.attempt_id)
         if head.handle:
             headers.append(('x-continuation-handle', head.handle))
-        answer.exchange.start(head.status, headers)
+        response.exchange.start(head.status, headers)
 
     def send(self, chunk: SendChunk) -> None:
-        """Send a part of an answer; tokens of a stream as an event.
+        """Send a part of a response; tokens of a stream are sent as an event.
 
-        :param chunk: the text, or the bytes of any other answer.
+        :param chunk: the text of tokens, or the bytes of any other response.
         """
-        answer = self._answers.get(chunk.request_id)
-        if answer is None:
+        response = self._pending.get(chunk.request_id)
+        if response is None:
             return
         data = chunk.data
-        if answer.events:
+        if response.event_stream:
             data = encode_tokens(chunk.offset, chunk.token_count, data)
-        answer.exchange.send(data)
+        response.exchange.send(data)
 
     def finish(self, finish: FinishResponse) -> None:
-        """End an answer, so that a cut one is never taken for a whole one.
+        """End a response, so that a truncated one never looks complete.
 
-        Events end with ``[DONE]`` or an error event.  Any other answer that
-        broke off loses its connection before the last chunk.
+        Events end with ``[DONE]`` or an error event.  For any other truncated
+        response, the connection is aborted before the last chunk.
 
-        :param finish: how it ended.
+        :param finish: how the response ended.
         """
-        answer = self._answers.pop(finish.request_id, None)
-        if answer is None:
+        response = self._pending.pop(finish.request_id, None)
+        if response is None:
             return
-        exchange = answer.exchange
-        whole = finish.code is ResultCode.OK
+        exchange = response.exchange
+        complete = finish.code is ResultCode.OK
         if not exchange.started:
-            self._answer_unstarted(exchange, finish)
-        elif answer.events:
-            exchange.finish(END_EVENT if whole else _encode_error_event(finish))
-        elif whole:
+            self._respond_unstarted(exchange, finish)
+        elif response.event_stream:
+            exchange.finish(END_EVENT if complete else _encode_error_event(finish))
+        elif complete:
             exchange.finish()
         else:
             exchange.abort()
 
     def refuse(self, refusal: RefuseRequest) -> None:
-        """Answer with the reason why there is no other answer.
+        """Respond with an error.
 
         :param refusal: the reason, and whether the request ran.
         """
-        answer = self._answers.pop(refusal.request_id, None)
-        if answer is None:
+        response = self._pending.pop(refusal.request_id, None)
+        if response is None:
             return
         code = refusal.code
         headers = error_headers(code, refusal.ran, refusal.retry_after_ms)
@@ -170,7 +170,7 @@
         if refusal.handle:
             headers.append(('x-continuation-handle', refusal.handle))
         status = code.status
-        exchange = answer.exchange
+        exchange = response.exchange
         if refusal.location:
             status = HTTPStatus.TEMPORARY_REDIRECT
             scheme = self._host.scheme
@@ -179,7 +179,7 @@
         body = encode_error(code, refusal.ran, refusal.message, refusal.handle)
         exchange.respond(status, headers, body)
 
-    def _answer_unstarted(
+    def _respond_unstarted(
         self, exchange: ServerExchange, finish: FinishResponse
     ) -> None:
         code = finish.code
@@ -188,8 +188,8 @@
         body = encode_error(code, finish.ran, finish.message, finish.handle)
         exchange.respond(code.status, headers, body)
 
-    def _leave(self, request_id: str) -> None:
-        if self._answers.pop(request_id, None) is not None:
+    def _handle_caller_left(self, request_id: str) -> None:
+        if self._pending.pop(request_id, None) is not None:
             self._host.deliver(CallerLeft(request_id))
 
 
--- a/savorychute/daemon/engine_control.py
+++ b/savorychute/daemon/engine_control.py
@@ -1,4 +1,4 @@
-"""Load polls and orders over HTTP."""
+"""Load polls of engines and orders to them, over HTTP."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class EngineControl:
-    """Asks engines for their load and gives them orders.
+    """Polls engines for their load and sends them orders.
 
-    :param host: gets the inputs.
-    :param pool: connections to engines.
+    :param host: receives the inputs for the instance.
+    :param pool: the connections to engines.
     """
 
     def __init__(self, host: HostPort, pool: ClientPool) -> None:
@@ -33,9 +33,9 @@
         self._pool = pool
 
     def poll(self, poll: PollEndpoint) -> None:
-        """Fetch a load report; nothing is delivered if there is none.
+        """Fetch a load report; if that fails, no input is delivered.
 
-        :param poll: the endpoint.
+        :param poll: the endpoint to poll.
         """
         if poll.dialect not in DIALECTS:
             return
@@ -52,9 +52,9 @@
         )
 
     def order(self, order: SendOrder) -> None:
-        """Send an order.
+        """Send an order to an engine.
 
-        :param order: with its fencing number.
+        :param order: the order with its fencing number.
         """
         dialect = DIALECTS.get(ORDER_DIALECT)
         request = dialect.build_order(order)
@@ -68,15 +68,15 @@
             self._host.settings.order_timeout_ms,
             partial(self._finish_order, order),
             partial(self._fail_order, order),
-            partial(self._may_send_order, order),
+            partial(self._can_send_order, order),
         )
 
-    def _may_send_order(self, order: SendOrder) -> bool:
-        """Return whether the order's lease still covers the sending.
+    def _can_send_order(self, order: SendOrder) -> bool:
+        """Return whether the order's lease is still valid.
 
-        The process may have been paused, or the connection slow, since the
-        instance checked its lease.  An endpoint that does not check fencing
-        numbers would then carry out an old holder's order.
+        Since the instance checked its lease, the process may have been paused or the
+        connection may have been slow.  An endpoint that does not check fencing
+        numbers would then execute the order of an expired lease.
         """
         if not order.send_before_ms:
             return True
--- a/savorychute/daemon/frame_protocol.py
+++ b/savorychute/daemon/frame_protocol.py
@@ -1,4 +1,4 @@
-"""Receiving length-prefixed frames over TCP."""
+"""Receives length-prefixed frames over TCP."""
 
 from __future__ import annotations
 
@@ -11,46 +11,47 @@
     from collections.abc import Callable
 
 LENGTH_BYTES = 4
-RECEIVERS_BOUND = 64
-IDLE_S = 30.0
+MAX_RECEIVERS = 64
+FRAME_TIMEOUT_S = 30.0
 
 
 class FrameProtocol(asyncio.Protocol):
-    """One accepted connection of a peer, or of a stranger.
+    """One accepted connection, whose sender is not authenticated yet.
 
-    Before a frame is whole nobody knows who sends it, so the connections are
-    few, a frame is bounded, and one that does not arrive in time is given up.
+    The sender is unknown until a frame is complete.  So the number of connections
+    and the size of a frame are limited, and the connection is closed if a frame
+    does not arrive in time.
 
-    :param on_frame: called with each whole frame.
-    :param others: all open connections.
+    :param on_frame: called with each complete frame.
+    :param connections: all open connections.
     """
 
     def __init__(
-        self, on_frame: Callable[[bytes], None], others: set[FrameProtocol]
+        self, on_frame: Callable[[bytes], None], connections: set[FrameProtocol]
     ) -> None:
         self._on_frame = on_frame
-        self._others = others
+        self._connections = connections
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection, unless there are too many."""
+        """Accept the connection, unless there are too many."""
         self._transport = cast('asyncio.Transport', transport)
-        if len(self._others) >= RECEIVERS_BOUND:
+        if len(self._connections) >= MAX_RECEIVERS:
             self._transport.abort()
             return
-        self._others.add(self)
+        self._connections.add(self)
         self._restart_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
-        """Forget the connection."""
-        self._others.discard(self)
+        """Remove the connection."""
+        self._connections.discard(self)
         if self._timer is not None:
             self._timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes and hand over the frames that they complete."""
+        """Process bytes and pass on the frames that they complete."""
         self._buffer += data
         while len(self._buffer) >= LENGTH_BYTES:
             length = int.from_bytes(self._buffer[:LENGTH_BYTES], 'big')
@@ -66,11 +67,11 @@
             self._on_frame(frame)
 
     def close(self) -> None:
-        """Cut the connection."""
+        """Abort the connection."""
         if self._transport is not None:
             self._transport.abort()
 
     def _restart_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(IDLE_S, self.close)
+        self._timer = asyncio.get_running_loop().call_later(FRAME_TIMEOUT_S, self.close)
--- a/savorychute/daemon/host.py
+++ b/savorychute/daemon/host.py
@@ -1,4 +1,4 @@
-"""The loop around an instance."""
+"""The host that connects an instance to asyncio and its sockets."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     StartResponse,
 )
 from savorychute.daemon.attempt_runner import AttemptRunner
-from savorychute.daemon.caller_answers import CallerAnswers
+from savorychute.daemon.caller_responses import CallerResponses
 from savorychute.daemon.engine_control import EngineControl
-from savorychute.daemon.operator_answers import OperatorAnswers
+from savorychute.daemon.operator_handler import OperatorHandler
 from savorychute.daemon.platform_runner import PlatformRunner
 from savorychute.inputs import AttemptChunk, ShutdownRequested
 
@@ -44,21 +44,21 @@
     from savorychute.member_address import MemberAddress
 
 MS_PER_S = 1_000
-SHORTEST_TICK_MS = 1
-LONGEST_TICK_MS = 100
+MIN_TICK_MS = 1
+MAX_TICK_MS = 100
 DRAIN_CHECK_S = 0.02
 
 
 class DaemonHost:
-    """Delivers inputs to an instance and carries out its actions.
+    """Delivers inputs to an instance and executes its actions.
 
-    :param instance: the parts, assembled.
-    :param address: who and where the instance is.
-    :param settings: timeouts.
-    :param clock: the time that the instance is told.
-    :param pool: connections to endpoints and platform.
+    :param instance: the assembled instance.
+    :param address: the identity and address of the instance.
+    :param settings: the timeouts.
+    :param clock: the clock that the instance uses.
+    :param pool: the connections to endpoints and the platform.
     :param peers: the link to other instances.
-    :param server: the listener towards callers.
+    :param server: the HTTP server for callers.
     """
 
     def __init__(
@@ -80,119 +80,119 @@
         self.leaving = False
         self.tls: TlsKeys | None = None
         self.metrics: Callable[[str], MetricsText] | None = None
-        self.answers = CallerAnswers(self)
-        self.operators = OperatorAnswers(self)
+        self.responses = CallerResponses(self)
+        self.operators = OperatorHandler(self)
         self.attempts = AttemptRunner(self, pool)
         self._platform = PlatformRunner(self, pool)
         self._engines = EngineControl(self, pool)
         self._inputs: deque[Input] = deque()
-        self._draining = False
+        self._processing = False
         self._stopped = False
         self._timer: asyncio.TimerHandle | None = None
         self._tick_due_ms = 0
-        self._performers: dict[type, Callable[[Any], None]] = {
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
             AppendRecord: self._platform.append,
             CancelAttempt: self.attempts.cancel,
             FetchListing: self._platform.fetch_listing,
-            FinishResponse: self.answers.finish,
+            FinishResponse: self.responses.finish,
             OperatorReply: self.operators.reply,
             PollEndpoint: self._engines.poll,
             ReadRecords: self._platform.read,
-            RefuseRequest: self.answers.refuse,
-            SendChunk: self.answers.send,
+            RefuseRequest: self.responses.refuse,
+            SendChunk: self.responses.send,
             SendOrder: self._engines.order,
             SendPeer: peers.send,
             StartAttempt: self.attempts.start,
-            StartResponse: self.answers.start,
+            StartResponse: self.responses.start,
         }
 
     @property
     def scheme(self) -> str:
-        """The scheme by which callers reach instances."""
+        """The URL scheme of the addresses of instances."""
         return 'http' if self.tls is None else 'https'
 
     def render_metrics(self, accept: str) -> MetricsText | None:
-        """Return the metrics, or none if none are kept.
+        """Return the rendered metrics, or None if no metrics are collected.
 
-        :param accept: the content types that the caller takes.
+        :param accept: the content types that the caller accepts.
         """
         return None if self.metrics is None else self.metrics(accept)
 
-    def deliver(self, delivered: Input) -> None:
-        """Give an input to the instance and carry out what it asks for.
+    def deliver(self, new_input: Input) -> None:
+        """Deliver an input to the instance and execute the resulting actions.
 
-        An action may bring about the next input at once; that input waits
-        until all actions of the one before are carried out, so the instance
-        sees its own actions done in the order in which it gave them.
+        An action may produce the next input at once.  That input is queued until all
+        actions of the previous one are executed, so the actions are executed in
+        the order in which the instance returned them.
 
-        :param delivered: the input.
+        :param new_input: the input.
         """
         if self._stopped:
             return
-        self._inputs.append(delivered)
-        if self._draining:
+        self._inputs.append(new_input)
+        if self._processing:
             return
-        self._draining = True
+        self._processing = True
         only_chunks = True
         try:
             while self._inputs:
-                first = self._inputs.popleft()
-                only_chunks = only_chunks and type(first) is AttemptChunk
-                self._perform(self.instance.deliver(first, self.clock.now_ms()))
+                next_input = self._inputs.popleft()
+                only_chunks = only_chunks and type(next_input) is AttemptChunk
+                self._perform(self.instance.deliver(next_input, self.clock.now_ms()))
         finally:
-            self._draining = False
-        # Tokens bring nothing that is due before the tick that is planned, and
-        # asking for each of them what is due would cost more than passing it on.
+            self._processing = False
+        # Tokens cause nothing that is due before the scheduled tick, and querying the
+        # next due time for each of them would cost more than forwarding the token.
         if not only_chunks:
             self._schedule_tick()
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start ticking."""
         self._tick()
 
     def stop(self) -> None:
-        """End ticking and take no more inputs.
+        """Stop ticking and accept no more inputs.
 
-        Connections that are cut from here on are the host's own doing and no
-        news of callers or endpoints.
+        Connections that are aborted from now on are aborted by the host itself; they
+        say nothing about callers or endpoints.
         """
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
 
     async def drain(self) -> None:
-        """Leave: finish what is in progress, however long it takes.
+        """Shut down gracefully: finish all requests, however long they take.
 
-        Callers that still have this address are answered until their
-        discovery answers have run out; the instance sends them elsewhere.  A
-        request that is still being read when the listener closes is answered
-        too; how long its reading may take is bounded.
+        Callers that still have this address get responses until their discovery
+        responses have expired; the instance redirects them.  A request that is
+        still being read when the listener closes gets a response too; the time for
+        reading it is limited.
         """
         self.leaving = True
         self.deliver(ShutdownRequested())
         self.server.closing = True
         earliest_ms = self.clock.now_ms() + self.settings.leave_grace_ms
-        while self.answers.in_progress or self.clock.now_ms() < earliest_ms:
+        while self.responses.in_progress or self.clock.now_ms() < earliest_ms:
             await asyncio.sleep(DRAIN_CHECK_S)
         self.server.stop_listening()
-        while self.answers.in_progress or self.server.open_connections:
+        while self.responses.in_progress or self.server.open_connections:
             self.server.close_idle()
             await asyncio.sleep(DRAIN_CHECK_S)
 
     def _perform(self, actions: Sequence[Action]) -> None:
-        """Carry out actions; one that raises does not keep back the others.
+        """Execute actions; one that raises does not prevent the others.
 
-        Among them may be the final answers of callers that have nothing to do
-        with the one that failed.
+        The others may be the final responses to callers that are not related to the
+        failed action.
         """
         for action in actions:
             try:
-                self._performers[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception as error:
                 self._report(error, f'{type(action).__name__} failed')
 
     def _tick(self) -> None:
-        """Let time pass; a tick that raises must not be the last one."""
+        """Tick the instance; after a tick that raises, another one is scheduled."""
         self._timer = None
         now_ms = self.clock.now_ms()
         try:
@@ -210,16 +210,18 @@
 
     def _retry_tick(self) -> None:
         loop = asyncio.get_running_loop()
-        self._tick_due_ms = self.clock.now_ms() + LONGEST_TICK_MS
-        self._timer = loop.call_later(LONGEST_TICK_MS / MS_PER_S, self._tick)
+        self._tick_due_ms = self.clock.now_ms() + MAX_TICK_MS
+        self._timer = loop.call_later(MAX_TICK_MS / MS_PER_S, self._tick)
 
     def _schedule_tick(self) -> None:
         due_ms = self.instance.next_tick_ms
-        if self._draining or (self._timer is not None and due_ms >= self._tick_due_ms):
+        if self._processing or (
+            self._timer is not None and due_ms >= self._tick_due_ms
+        ):
             return
         self._tick_due_ms = due_ms
         wait_ms = due_ms - self.clock.now_ms()
-        wait_ms = min(max(wait_ms, SHORTEST_TICK_MS), LONGEST_TICK_MS)
+        wait_ms = min(max(wait_ms, MIN_TICK_MS), MAX_TICK_MS)
         loop = asyncio.get_running_loop()
         due_s = loop.time() + wait_ms / MS_PER_S
         if self._timer is not None:
--- a/savorychute/daemon/host_port.py
+++ b/savorychute/daemon/host_port.py
@@ -1,4 +1,4 @@
-"""What the parts of a host need of it and of each other."""
+"""Interfaces between a host and its parts."""
 
 from __future__ import annotations
 
@@ -11,65 +11,65 @@
 
 
 class InputPort(Protocol):
-    """Who gives inputs to the instance."""
+    """Delivers inputs to the instance."""
 
-    def deliver(self, delivered: Input) -> None:
-        """Give an input to the instance and carry out what it asks for."""
+    def deliver(self, new_input: Input) -> None:
+        """Deliver an input to the instance and execute the resulting actions."""
         ...
 
 
-class AnswerPort(Protocol):
-    """The callers' side of requests, as attempts see it."""
+class ResponsesPort(Protocol):
+    """The responses to callers, as attempts use them."""
 
-    def passed_headers(self, request_id: str) -> tuple[tuple[str, str], ...]:
-        """Return the headers of a request that its endpoint gets."""
+    def forwarded_headers(self, request_id: str) -> tuple[tuple[str, str], ...]:
+        """Return the headers of a request that are forwarded to its endpoint."""
         ...
 
     def is_paused(self, request_id: str) -> bool:
-        """Return whether the caller reads too slowly."""
+        """Return whether the caller of a request reads too slowly."""
         ...
 
 
 class AttemptsPort(Protocol):
-    """The endpoints' side of requests, as answers see it."""
+    """The attempts at endpoints, as responses to callers use them."""
 
-    def passed_headers(self, attempt_id: str) -> tuple[tuple[str, str], ...]:
-        """Return the headers of an endpoint's answer that the caller gets."""
+    def forwarded_headers(self, attempt_id: str) -> tuple[tuple[str, str], ...]:
+        """Return the headers of a response that are forwarded to the caller."""
         ...
 
     def pause(self, request_id: str) -> None:
-        """Stop reading the answer to a request."""
+        """Stop reading the endpoint's response to a request."""
         ...
 
     def resume(self, request_id: str) -> None:
-        """Read it again."""
+        """Resume reading the endpoint's response to a request."""
         ...
 
 
 class HostPort(InputPort, Protocol):
-    """A host, as its parts see it."""
+    """A host, as its parts use it."""
 
     @property
     def settings(self) -> HostSettings:
-        """Timeouts."""
+        """The timeouts."""
         ...
 
     @property
     def clock(self) -> Clock:
-        """The time that the instance is told."""
+        """The clock that the instance uses."""
         ...
 
     @property
     def scheme(self) -> str:
-        """The scheme by which callers reach instances."""
+        """The URL scheme of the addresses of instances."""
         ...
 
     @property
-    def answers(self) -> AnswerPort:
-        """The callers' side of requests."""
+    def responses(self) -> ResponsesPort:
+        """The responses to callers."""
         ...
 
     @property
     def attempts(self) -> AttemptsPort:
-        """The endpoints' side of requests."""
+        """The attempts at endpoints."""
         ...
--- a/savorychute/daemon/host_settings.py
+++ b/savorychute/daemon/host_settings.py
@@ -10,12 +10,12 @@
 
 
 class HostSettings(NamedTuple):
-    """Where a daemon listens, whom it calls, and its bounds.
+    """Addresses on which a daemon listens and to which it connects, and its limits.
 
-    Ports of 0 are chosen by the system.  ``host`` is the IP number by which
-    others reach the instance; ``bind_host`` is listened on, or ``host`` if
-    empty.  ``leave_grace_ms`` is how long a leaving daemon goes on answering
-    callers who still have its address: the lifetime of discovery answers.
+    Ports of 0 are chosen by the system.  ``host`` is the IP address at which
+    others reach the instance; the daemon listens on ``bind_host``, or on ``host`` if
+    that is empty.  ``leave_grace_ms`` is how long a leaving daemon continues to respond
+    to callers that still have its address: the lifetime of discovery responses.
     """
 
     instance: str
--- a/savorychute/daemon/hosted_instance.py
+++ b/savorychute/daemon/hosted_instance.py
@@ -1,4 +1,4 @@
-"""What the daemon needs of an instance."""
+"""The interface of an instance that the daemon uses."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 
 
 class HostedInstance(Protocol):
-    """An instance as its host sees it."""
+    """An instance, as its host uses it."""
 
     @property
     def next_tick_ms(self) -> int:
-        """When the next tick is due."""
+        """Time at which the next tick is due."""
         ...
 
     @property
     def ready(self) -> bool:
-        """Whether there is a configuration to serve with."""
+        """Whether the instance has a configuration and can serve requests."""
         ...
 
     def deliver(self, message: Input, now_ms: int) -> Sequence[Action]:
-        """Take an input and return what to do."""
+        """Handle an input and return the resulting actions."""
         ...
 
     def tick(self, now_ms: int) -> Sequence[Action]:
-        """Let time pass and return what to do."""
+        """Advance to the current time and return the resulting actions."""
         ...
 
     def discover(self, token: str) -> DiscoveryAnswer:
-        """Return the addresses that the bearer of *token* is to use.
+        """Return the addresses that the bearer of *token* should use.
 
-        :raises RequestError: if the token belongs to nobody.
+        :raises RequestError: if the token is unknown.
         """
         ...
 
     def issue_key(self, token: str, now_ms: int) -> str:
         """Return a request key for the bearer of *token*.
 
-        :raises RequestError: if the token belongs to nobody.
+        :raises RequestError: if the token is unknown.
         """
         ...
--- a/savorychute/daemon/main.py
+++ b/savorychute/daemon/main.py
@@ -1,4 +1,4 @@
-"""The daemon as a process of its own."""
+"""Runs the daemon as a process."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from savorychute.application import Application
 from savorychute.clock import NS_PER_MS, SystemClock
 from savorychute.daemon.run_host import run_host
-from savorychute.daemon.tls import keep_reloading
+from savorychute.daemon.tls import reload_periodically
 from savorychute.host_sample import HostSample
 from savorychute.instance import Instance
 from savorychute.logs import InstanceLog, LogLevel, capture_libraries, open_log
@@ -38,12 +38,12 @@
 
 
 def run_daemon(settings: Settings) -> int:
-    """Run an instance until it is told to leave; return the exit code.
+    """Run an instance until it is signalled to stop; return the exit code.
 
-    SIGTERM and SIGINT make it leave gracefully, however often they come.
-    SIGHUP reads certificate and key anew.
+    SIGTERM and SIGINT start a graceful shutdown; repeated signals have no further
+    effect.  SIGHUP reloads the certificate and key.
 
-    :param settings: of the instance.
+    :param settings: the settings of the instance.
     """
     log = InstanceLog(settings.instance, LogLevel[settings.log_level.upper()])
     with ExitStack() as stack:
@@ -62,11 +62,11 @@
 ) -> AsyncIterator[DaemonHost]:
     """Run an assembled instance with sockets, log and metrics.
 
-    Any number of them runs in one loop.
+    Any number of instances can run in one event loop.
 
-    :param settings: of the instance.
-    :param log: where its lines go.
-    :param clock: the time that the instance is told.
+    :param settings: the settings of the instance.
+    :param log: the log of the instance.
+    :param clock: the clock that the instance uses.
     :param rng: the source of its random choices.
     """
     clock = clock or SystemClock()
@@ -75,18 +75,18 @@
         log, Metrics(settings.instance), settings.operator_token_hashes.values()
     )
     part_settings = _set_epoch(make_instance_settings(settings), clock)
-    made: list[Instance] = []
+    instances: list[Instance] = []
 
-    def make(address: MemberAddress) -> Instance:
+    def make_instance(address: MemberAddress) -> Instance:
         instance = Instance(part_settings, address, rng)
         telemetry.watch(instance.events)
         Application(settings, instance, log).set_up_extensions()
-        made.append(instance)
+        instances.append(instance)
         return instance
 
-    async with run_host(make_host_settings(settings), make, clock) as host:
+    async with run_host(make_host_settings(settings), make_instance, clock) as host:
         telemetry.sample_from(
-            lambda: made[0].status(clock.now_ms()), lambda: sample_host(host)
+            lambda: instances[0].status(clock.now_ms()), lambda: sample_host(host)
         )
         host.metrics = telemetry.render
         address = host.address
@@ -101,7 +101,7 @@
 
 
 def sample_host(host: DaemonHost) -> HostSample:
-    """Return what a host counts on its sockets.
+    """Return the socket counters of a host.
 
     :param host: the host of one instance.
     """
@@ -115,19 +115,19 @@
 
 async def _serve(settings: Settings, log: InstanceLog) -> None:
     loop = asyncio.get_running_loop()
-    told_to_leave = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told_to_leave.set)
+    shutdown_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, shutdown_requested.set)
     async with run_instance(settings, log) as host:
         interval_ms = settings.tls_reload_interval_ms
-        async with keep_reloading(host.tls, interval_ms, log) as reload:
+        async with reload_periodically(host.tls, interval_ms, log) as reload:
             loop.add_signal_handler(signal.SIGHUP, reload)
-            await told_to_leave.wait()
+            await shutdown_requested.wait()
             await host.drain()
     log.info('instance-stopped')
 
 
 def _set_epoch(settings: InstanceSettings, clock: Clock) -> InstanceSettings:
-    """Tell the parts what to add to the clock for Unix time."""
+    """Set the offset that converts times of the clock to Unix time."""
     offset_ms = time.time_ns() // NS_PER_MS - clock.now_ms()
     return settings._replace(epoch_offset_ms=offset_ms)
--- a/savorychute/daemon/operator_answers.py
+++ b/savorychute/daemon/operator_handler.py
@@ -1,4 +1,4 @@
-"""Operators' commands over HTTP."""
+"""Commands of operators over HTTP."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
     from savorychute.http.server_exchange import ServerExchange
 
 
-class OperatorAnswers:
-    """Commands that wait for their reply.
+class OperatorHandler:
+    """Handles commands and sends their replies.
 
-    :param host: gets the commands.
+    :param host: receives the commands for the instance.
     """
 
     def __init__(self, host: InputPort) -> None:
         self._host = host
-        self._exchanges: dict[str, ServerExchange] = {}
+        self._pending: dict[str, ServerExchange] = {}
 
-    def take(
+    def handle(
         self, exchange: ServerExchange, command_id: str, token: str, verb: str
     ) -> None:
-        """Give a command to the instance.
+        """Deliver a command to the instance.
 
         :param exchange: the operator's request.
-        :param command_id: unique.
+        :param command_id: the unique id of the command.
         :param token: the operator's bearer token.
-        :param verb: what to do; the body has its arguments.
+        :param verb: the command's name; the body has its arguments.
         """
-        self._exchanges[command_id] = exchange
-        exchange.on_left = lambda: self._forget(command_id)
+        self._pending[command_id] = exchange
+        exchange.on_left = lambda: self._remove(command_id)
         self._host.deliver(
             OperatorCommand(command_id, token, verb, exchange.request.body)
         )
 
     def reply(self, reply: OperatorReply) -> None:
-        """Answer a command.
+        """Send the reply to a command.
 
-        :param reply: the document, or the reason of a refusal.
+        :param reply: the document, or the reason for a refusal.
         """
-        exchange = self._exchanges.pop(reply.command_id, None)
+        exchange = self._pending.pop(reply.command_id, None)
         if exchange is None:
             return
         code = reply.code
@@ -59,5 +59,5 @@
         headers.append(('x-request-id', reply.command_id))
         exchange.respond(code.status, headers, body)
 
-    def _forget(self, command_id: str) -> None:
-        self._exchanges.pop(command_id, None)
+    def _remove(self, command_id: str) -> None:
+        self._pending.pop(command_id, None)
--- a/savorychute/daemon/peer_link.py
+++ b/savorychute/daemon/peer_link.py
@@ -1,12 +1,12 @@
 """Messages between instances.
 
-A frame that fits into one unfragmented packet goes by UDP: probes and grants
-are small, each matters only for a moment, and a slow or dead peer holds up no
-other.  A larger one, such as a configuration snapshot, goes by TCP with a
-length in front, over a connection that is opened when it is needed and closed
-when it is not.  Both use the same port number.  Nothing here waits: what does
-not fit into a peer's bounded queue is dropped, and the parts send anew what
-still matters.
+A frame that fits into one unfragmented packet is sent by UDP: probes and grants
+are small and soon obsolete, and a slow or dead peer does not delay the others.
+A larger frame, such as a configuration snapshot, is sent by TCP with a length
+prefix, over a connection that is opened on demand and closed when it is idle.
+Both use the same port number.  Sending never blocks: a frame that does not fit
+into a peer's bounded queue is dropped, and its sender repeats it if it is still
+needed.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
     from savorychute.inputs import Input
     from savorychute.wire.peer_codec import PeerCodec
 
-DATAGRAM_BYTES = 1_200
-SENDERS_KEPT = 256
-PORT_TRIES = 20
+MAX_DATAGRAM_BYTES = 1_200
+MAX_SENDERS = 256
+PORT_ATTEMPTS = 20
 
 
 class PeerLink(asyncio.DatagramProtocol):
     """Sends and receives peer messages.
 
-    :param codec: signs and checks frames.
+    :param codec: signs and verifies frames.
     """
 
     def __init__(self, codec: PeerCodec) -> None:
@@ -52,13 +52,13 @@
 
     @property
     def open_receivers(self) -> int:
-        """How many connections of peers, or of strangers, are open."""
+        """Number of open accepted connections, authenticated or not."""
         return len(self._receivers)
 
     def send(self, action: SendPeer) -> None:
-        """Send a message without any guarantee.
+        """Send a message without delivery guarantee.
 
-        :param action: whom to send what.
+        :param action: the recipient and the message.
         """
         try:
             frame = self._codec.encode(action.instance, action.message)
@@ -67,9 +67,9 @@
             return
         address = (action.host, action.peer_port)
         self.sent_bytes += len(frame)
-        if len(frame) <= DATAGRAM_BYTES:
+        if len(frame) <= MAX_DATAGRAM_BYTES:
             self._send_datagram(frame, address)
-        elif not self._find_sender(address).send(frame):
+        elif not self._get_sender(address).send(frame):
             self.dropped += 1
 
     def datagram_received(
@@ -77,24 +77,24 @@
         data: bytes,
         addr: tuple[str | int, ...],  # noqa: ARG002
     ) -> None:
-        """Take a datagram; who sent it is in its signed frame."""
-        self.take_frame(data)
+        """Handle a datagram; its signed frame names the sender."""
+        self.handle_frame(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a peer's port was closed; its silence tells enough."""
+        """Ignore a closed port; the missing messages of the peer suffice to detect it."""
 
     def pause_writing(self) -> None:
-        """Drop datagrams from now on; the host's network takes no more."""
+        """Drop datagrams while the socket's send buffer is full."""
         self._datagrams_paused = True
 
     def resume_writing(self) -> None:
-        """Send datagrams again."""
+        """Resume sending datagrams."""
         self._datagrams_paused = False
 
-    def take_frame(self, frame: bytes) -> None:
+    def handle_frame(self, frame: bytes) -> None:
         """Deliver a frame if it is authentic and new.
 
-        :param frame: bytes from anywhere on the network.
+        :param frame: untrusted bytes from the network.
         """
         try:
             decoded = self._codec.decode(frame)
@@ -105,7 +105,7 @@
             self.on_input(PeerReceived(decoded.sender, decoded.message))
 
     def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         if self._datagrams is not None:
             self._datagrams.close()
         for sender in self._senders.values():
@@ -113,13 +113,13 @@
         for receiver in tuple(self._receivers):
             receiver.close()
 
-    def use(self, transport: asyncio.DatagramTransport) -> None:
-        """Send datagrams by *transport*."""
+    def set_transport(self, transport: asyncio.DatagramTransport) -> None:
+        """Set the transport that sends datagrams."""
         self._datagrams = transport
 
     def make_receiver(self) -> FrameProtocol:
-        """Return the protocol of an accepted connection."""
-        return FrameProtocol(self.take_frame, self._receivers)
+        """Return the protocol for an accepted connection."""
+        return FrameProtocol(self.handle_frame, self._receivers)
 
     def _send_datagram(self, frame: bytes, address: tuple[str, int]) -> None:
         transport = self._datagrams
@@ -130,17 +130,17 @@
             return
         transport.sendto(frame, address)
 
-    def _find_sender(self, address: tuple[str, int]) -> FrameSender:
+    def _get_sender(self, address: tuple[str, int]) -> FrameSender:
         sender = self._senders.get(address)
         if sender is not None:
             return sender
-        if len(self._senders) >= SENDERS_KEPT:
-            self._drop_idle_senders()
+        if len(self._senders) >= MAX_SENDERS:
+            self._remove_idle_senders()
         sender = FrameSender(*address)
         self._senders[address] = sender
         return sender
 
-    def _drop_idle_senders(self) -> None:
+    def _remove_idle_senders(self) -> None:
         idle = [key for key, sender in self._senders.items() if sender.idle]
         for key in idle:
             del self._senders[key]
@@ -150,11 +150,11 @@
 async def open_peer_link(
     codec: PeerCodec, host: str, port: int
 ) -> AsyncIterator[PeerLink]:
-    """Listen for peers, by UDP and TCP on one port number.
+    """Listen for peers on one port number, by UDP and TCP.
 
-    :param codec: signs and checks frames.
-    :param host: the IP number to listen on.
-    :param port: the port, or 0 for one of the system's choice.
+    :param codec: signs and verifies frames.
+    :param host: the IP address to listen on.
+    :param port: the port, or 0 to let the system choose one.
     """
     link = PeerLink(codec)
     listener = await _bind(link, host, port)
@@ -166,21 +166,21 @@
 
 
 async def _bind(link: PeerLink, host: str, port: int) -> asyncio.Server:
-    """Bind TCP, then UDP to the same number, which may be taken."""
+    """Bind TCP, then UDP to the same port number, which may be in use."""
     loop = asyncio.get_running_loop()
-    for attempt in range(PORT_TRIES):
+    for attempt in range(PORT_ATTEMPTS):
         listener = await loop.create_server(link.make_receiver, host, port)
-        bound = listener.sockets[0].getsockname()[1]
+        bound_port = listener.sockets[0].getsockname()[1]
         try:
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: link, local_addr=(host, bound)
+                lambda: link, local_addr=(host, bound_port)
             )
         except OSError:
             listener.close()
-            if port or attempt == PORT_TRIES - 1:
+            if port or attempt == PORT_ATTEMPTS - 1:
                 raise
             continue
-        link.use(transport)
-        link.port = bound
+        link.set_transport(transport)
+        link.port = bound_port
         return listener
     raise OSError('no port is free for both TCP and UDP')
--- a/savorychute/daemon/platform_runner.py
+++ b/savorychute/daemon/platform_runner.py
@@ -1,4 +1,4 @@
-"""The platform's log and list over HTTP."""
+"""Access to the platform's log and instance list over HTTP."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class PlatformRunner:
-    """Carries out appends, reads and fetches.
+    """Executes appends, reads and fetches.
 
-    :param host: gets the inputs.
-    :param pool: connections to the platform.
+    :param host: receives the inputs for the instance.
+    :param pool: the connections to the platform.
     """
 
     def __init__(self, host: HostPort, pool: ClientPool) -> None:
@@ -37,7 +37,7 @@
     def append(self, action: AppendRecord) -> None:
         """Append a record.
 
-        :param action: stream and payload.
+        :param action: the stream and the payload.
         """
         submit_timed(
             self._pool,
@@ -51,7 +51,7 @@
     def read(self, action: ReadRecords) -> None:
         """Read records.
 
-        :param action: stream and first offset.
+        :param action: the stream and the first offset.
         """
         submit_timed(
             self._pool,
--- a/savorychute/daemon/request_reader.py
+++ b/savorychute/daemon/request_reader.py
@@ -1,4 +1,4 @@
-"""Reading callers' requests."""
+"""Parser of callers' requests."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 CLASS_HEADER = 'x-request-class'
 KEY_HEADER = 'x-request-key'
 HANDLE_HEADER = 'x-continuation-handle'
-MOST_TOKENS = 1_000_000
+MAX_TOKENS = 1_000_000
 
 _chat_decoder = msgspec.json.Decoder(ChatRequest)
 
@@ -34,7 +34,7 @@
 def read_token(request: HttpRequest) -> str:
     """Return the bearer token, or an empty string.
 
-    :param request: any request.
+    :param request: the HTTP request.
     """
     value = request.header('authorization')
     if value[: len(BEARER_PREFIX)].lower() != BEARER_PREFIX:
@@ -43,17 +43,17 @@
 
 
 def read_chat(request_id: str, request: HttpRequest) -> CallerRequest:
-    """Return a chat completion's request.
+    """Return the caller's request for a chat completion.
 
-    :param request_id: the id that the instance gave it.
+    :param request_id: the id that the instance assigned.
     :param request: the HTTP request.
-    :raises RequestError: if the body is not what it must be.
+    :raises RequestError: if the body is invalid.
     """
     document = _decode_chat(request.body)
     max_tokens = document.get('max_tokens') or 0
-    if not 0 <= max_tokens <= MOST_TOKENS:
+    if not 0 <= max_tokens <= MAX_TOKENS:
         raise RequestError(
-            ResultCode.BAD_FIELD, f'max_tokens {max_tokens}: 0 to {MOST_TOKENS}'
+            ResultCode.BAD_FIELD, f'max_tokens {max_tokens}: 0 to {MAX_TOKENS}'
         )
     if not document['model']:
         raise RequestError(ResultCode.BAD_FIELD, 'model is empty')
@@ -77,9 +77,9 @@
 
 
 def read_service_call(request_id: str, request: HttpRequest) -> CallerRequest:
-    """Return a plain service's request.
+    """Return the caller's request to a plain service.
 
-    :param request_id: the id that the instance gave it.
+    :param request_id: the id that the instance assigned.
     :param request: the HTTP request.
     :raises RequestError: if the path names no service.
     """
--- a/savorychute/daemon/run_host.py
+++ b/savorychute/daemon/run_host.py
@@ -1,4 +1,4 @@
-"""A daemon inside a running loop."""
+"""Runs a daemon inside a running event loop."""
 
 from __future__ import annotations
 
@@ -33,31 +33,31 @@
     make_instance: Callable[[MemberAddress], HostedInstance],
     clock: Clock | None = None,
 ) -> AsyncIterator[DaemonHost]:
-    """Open all sockets of one instance and drive it until the block ends.
+    """Open all sockets of one instance and run it until the block ends.
 
-    Any number of them runs in one loop.  The instance is made after the
-    sockets, because its address names their ports.
+    Any number of instances can run in one event loop.  The instance is created
+    after the sockets, because its address contains their ports.
 
-    :param settings: where to listen and whom to call.
-    :param make_instance: makes the instance for its address.
-    :param clock: the time that the instance is told.
-    :raises SettingsError: if a port is taken or a file is no good.
+    :param settings: the settings of the host.
+    :param make_instance: creates the instance for its address.
+    :param clock: the clock that the instance uses.
+    :raises SettingsError: if a port is in use or a file cannot be loaded.
     """
     clock = clock or SystemClock()
     incarnation = time.time_ns() // NS_PER_MS
     codec = PeerCodec(settings.instance, incarnation, settings.peer_keys)
     bind_host = settings.bind_host or settings.host
-    waiting = _WaitingRequests()
-    server = HttpServer(settings.http, clock, waiting.take)
+    early_requests = _EarlyRequests()
+    server = HttpServer(settings.http, clock, early_requests.handle)
     tls = _load_tls(settings)
     async with AsyncExitStack() as stack:
         pool = stack.enter_context(open_pool(settings.pool, clock))
-        with _naming(f'peer_port {settings.peer_port} of {bind_host}'):
+        with _convert_errors(f'peer_port {settings.peer_port} of {bind_host}'):
             link = await stack.enter_async_context(
                 open_peer_link(codec, bind_host, settings.peer_port)
             )
-        with _naming(f'caller_port {settings.caller_port} of {bind_host}'):
-            context = tls.listening if tls else None
+        with _convert_errors(f'caller_port {settings.caller_port} of {bind_host}'):
+            context = tls.listening_context if tls else None
             await stack.enter_async_context(
                 listen(server, bind_host, settings.caller_port, context)
             )
@@ -75,44 +75,44 @@
         )
         host.tls = tls
         link.on_input = host.deliver
-        waiting.pass_to(CallerApi(host).take)
+        early_requests.forward_to(CallerApi(host).handle)
         host.start()
         stack.callback(host.stop)
         yield host
 
 
-class _WaitingRequests:
-    """Holds what arrives between the bind and the first tick."""
+class _EarlyRequests:
+    """Queues requests that arrive between the bind and the first tick."""
 
     def __init__(self) -> None:
-        self._take: Callable[[ServerExchange], None] | None = None
-        self._early: list[ServerExchange] = []
+        self._handler: Callable[[ServerExchange], None] | None = None
+        self._queued: list[ServerExchange] = []
 
-    def take(self, exchange: ServerExchange) -> None:
-        """Pass a request on, or hold it for a moment."""
-        if self._take is None:
-            self._early.append(exchange)
+    def handle(self, exchange: ServerExchange) -> None:
+        """Forward a request, or queue it until there is a handler."""
+        if self._handler is None:
+            self._queued.append(exchange)
             return
-        self._take(exchange)
+        self._handler(exchange)
 
-    def pass_to(self, take: Callable[[ServerExchange], None]) -> None:
-        """Pass requests on from now on."""
-        self._take = take
-        for exchange in self._early:
-            take(exchange)
-        self._early.clear()
+    def forward_to(self, handler: Callable[[ServerExchange], None]) -> None:
+        """Forward the queued requests and all later ones to *handler*."""
+        self._handler = handler
+        for exchange in self._queued:
+            handler(exchange)
+        self._queued.clear()
 
 
 def _load_tls(settings: HostSettings) -> TlsKeys | None:
     if not settings.tls_certificate_file:
         return None
-    with _naming(f'tls_certificate_file {settings.tls_certificate_file}'):
+    with _convert_errors(f'tls_certificate_file {settings.tls_certificate_file}'):
         return TlsKeys(settings.tls_certificate_file, settings.tls_key_file)
 
 
 @contextmanager
-def _naming(setting: str) -> Iterator[None]:
-    """Turn what the system refuses into a fault of the setting behind it."""
+def _convert_errors(setting: str) -> Iterator[None]:
+    """Convert an OSError to an error of the setting that caused it."""
     try:
         yield
     except OSError as error:
--- a/savorychute/daemon/running_attempt.py
+++ b/savorychute/daemon/running_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt under way."""
+"""One attempt in progress."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from savorychute.inputs import Input
 
 MS_PER_S = 1_000
-PASSED_RESPONSE_HEADERS = (
+FORWARDED_RESPONSE_HEADERS = (
     'cache-control',
     'content-disposition',
     'etag',
@@ -28,23 +28,23 @@
 
 
 class RunningAttempt:
-    """Hands the events of one call to the instance.
+    """Converts the events of one HTTP call to inputs of the instance.
 
-    :param start: the attempt.
+    :param start: describes the attempt.
     :param dialect: the endpoint's protocol.
-    :param host: gets the inputs.
-    :param on_end: called when the attempt is over.
+    :param host: receives the inputs for the instance.
+    :param on_end: called when the attempt has ended.
     """
 
     __slots__ = (
+        '_ended',
         '_host',
         '_on_end',
-        '_over',
         '_reader',
         '_timer',
         'call',
         'dialect',
-        'passed_headers',
+        'forwarded_headers',
         'paused',
         'start',
     )
@@ -59,49 +59,51 @@
         self.start = start
         self.dialect = dialect
         self.paused = False
-        self.passed_headers: tuple[tuple[str, str], ...] = ()
+        self.forwarded_headers: tuple[tuple[str, str], ...] = ()
         self.call: ClientCall | None = None
         self._host = host
         self._on_end = on_end
         self._reader = dialect.make_reader(start)
-        self._over = False
+        self._ended = False
         self._timer: asyncio.TimerHandle | None = None
 
     def start_timer(self) -> None:
-        """Bound the whole attempt by its timeout."""
+        """Start the timeout of the whole attempt."""
         loop = asyncio.get_running_loop()
         delay_s = self.start.timeout_ms / MS_PER_S
         self._timer = loop.call_later(delay_s, self._time_out)
 
     def stop(self) -> bool:
-        """Cut the call; return whether a byte of the request was sent."""
+        """Cancel the call; return whether a byte of the request was sent."""
         sent = self.call is not None and self.call.sent
-        self._end()
+        self._finish()
         if self.call is not None:
             self.call.cancel()
         return sent
 
     def pause(self) -> None:
-        """Stop reading."""
+        """Stop reading the response."""
         self.paused = True
         if self.call is not None:
             self.call.pause_reading()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading the response."""
         self.paused = False
         if self.call is not None:
             self.call.resume_reading()
 
     def about_to_send(self) -> bool:
-        """Tell the instance; it may cancel, and then nothing is sent."""
+        """Notify the instance; if it cancels the attempt, nothing is sent."""
         self._host.deliver(AttemptSent(self.start.attempt_id))
-        return not self._over
+        return not self._ended
 
     def response_started(self, status: int, headers: dict[str, str]) -> None:
         """Deliver the head."""
-        self.passed_headers = tuple(
-            (name, headers[name]) for name in PASSED_RESPONSE_HEADERS if name in headers
+        self.forwarded_headers = tuple(
+            (name, headers[name])
+            for name in FORWARDED_RESPONSE_HEADERS
+            if name in headers
         )
         self._deliver(self._reader.read_head(status, headers))
 
@@ -118,17 +120,17 @@
         self._deliver(self._reader.read_failure(failure))
 
     def _deliver(self, inputs: Sequence[Input]) -> None:
-        for delivered in inputs:
-            if self._over:
+        for new_input in inputs:
+            if self._ended:
                 return
-            self._host.deliver(delivered)
+            self._host.deliver(new_input)
         if self._reader.closed:
-            self._end()
+            self._finish()
 
-    def _end(self) -> None:
-        if self._over:
+    def _finish(self) -> None:
+        if self._ended:
             return
-        self._over = True
+        self._ended = True
         if self._timer is not None:
             self._timer.cancel()
         self._on_end(self)
--- a/savorychute/daemon/tls.py
+++ b/savorychute/daemon/tls.py
@@ -1,4 +1,4 @@
-"""TLS towards callers, with keys that are reloaded."""
+"""TLS for connections of callers, with keys that can be reloaded."""
 
 from __future__ import annotations
 
@@ -16,29 +16,28 @@
 
 
 class TlsKeys:
-    """The certificate and key that new connections get.
+    """The certificate and key that new connections use.
 
-    :param certificate_file: PEM chain.
-    :param key_file: PEM key of the chain's first certificate.
+    :param certificate_file: the certificate chain in PEM format.
+    :param key_file: the key of the chain's first certificate in PEM format.
     """
 
     def __init__(self, certificate_file: str, key_file: str) -> None:
         self._certificate_file = certificate_file
         self._key_file = key_file
-        self.current = self._load()
-        self.listening = self._load()
-        self.listening.sni_callback = self._choose
+        self.current_context = self._load()
+        self.listening_context = self._load()
+        self.listening_context.sni_callback = self._select_context
 
     def reload(self) -> None:
-        """Read both files anew, for connections that come from now on.
+        """Reload both files for new connections.
 
-        Open connections keep the context they began with.  Files that do not
-        fit together, as in the middle of a replacement, leave the keys as
-        they are.
+        Open connections keep their context.  If the files do not match, for example
+        in the middle of a replacement, the previous keys stay in use.
 
-        :raises OSError: if a file cannot be read or is no good.
+        :raises OSError: if a file cannot be read or is invalid.
         """
-        self.current = self._load()
+        self.current_context = self._load()
 
     def _load(self) -> ssl.SSLContext:
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -47,25 +46,25 @@
         context.load_cert_chain(self._certificate_file, self._key_file)
         return context
 
-    def _choose(
+    def _select_context(
         self,
         connection: ssl.SSLSocket | ssl.SSLObject,
         name: str | None,  # noqa: ARG002
         context: ssl.SSLContext,  # noqa: ARG002
     ) -> None:
-        """Give a connection the newest context, whichever name it asks for."""
-        connection.context = self.current
+        """Set the current context on a connection, for any server name."""
+        connection.context = self.current_context
 
 
 @asynccontextmanager
-async def keep_reloading(
+async def reload_periodically(
     keys: TlsKeys | None, interval_ms: int, log: InstanceLog
 ) -> AsyncIterator[Callable[[], None]]:
-    """Reload keys from time to time until the block ends.
+    """Reload keys periodically until the block ends.
 
-    :param keys: the keys, or none without TLS.
+    :param keys: the keys, or None without TLS.
     :param interval_ms: the time between two reloads.
-    :param log: where a failed reload is reported.
+    :param log: the log for failed reloads.
     :returns: a function that reloads at once.
     """
 
--- a/savorychute/daemon/token_event.py
+++ b/savorychute/daemon/token_event.py
@@ -1,4 +1,4 @@
-"""Tokens of a streamed answer as server-sent events."""
+"""Encodes tokens of a streamed response as server-sent events."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 def encode_tokens(offset: int, token_count: int, text: bytes) -> bytes:
-    """Return the event of some tokens.
+    """Return the event for a group of tokens.
 
-    :param offset: the first token's place in the whole answer.
-    :param token_count: how many tokens.
-    :param text: their text in UTF-8.
+    :param offset: the position of the first token in the complete response.
+    :param token_count: the number of tokens.
+    :param text: the text of the tokens in UTF-8.
     """
     content = _encoder.encode(text.decode('utf-8', 'replace'))
     return TOKEN_EVENT % (offset, content, token_count)
--- a/tests/test_daemon/daemon_fakes.py
+++ b/tests/test_daemon/daemon_fakes.py
@@ -1,4 +1,4 @@
-"""A tiny instance and small servers for the daemon's tests."""
+"""A fake instance and fake servers for tests of the daemon."""
 
 from __future__ import annotations
 
@@ -45,19 +45,19 @@
     from savorychute.member_address import MemberAddress
 
 TOKEN = 'secret'
-NOWHERE = ServerAddress('127.0.0.1', 9)
+CLOSED_ADDRESS = ServerAddress('127.0.0.1', 9)
 KEYS = PeerKeys(PeerKey(1, b'0123456789abcdef'))
 
 
-class Found(NamedTuple):
-    """What a fake instance answers to discovery."""
+class FakeDiscovery(NamedTuple):
+    """The discovery response of a fake instance."""
 
     addresses: tuple[MemberAddress, ...]
     lifetime_ms: int
 
 
-class PassingInstance:
-    """Sends every request to one endpoint and passes the answer on."""
+class ForwardingInstance:
+    """Sends each request to one endpoint and forwards the response."""
 
     def __init__(self, address: MemberAddress, endpoint: ServerAddress) -> None:
         self.address = address
@@ -75,23 +75,23 @@
         self.next_tick_ms = now_ms + 1_000
         return []
 
-    def discover(self, token: str) -> Found:
-        """Name the own address."""
+    def discover(self, token: str) -> FakeDiscovery:
+        """Return the own address."""
         if token != TOKEN:
             raise RequestError(ResultCode.UNAUTHENTICATED, 'nobody')
-        return Found((self.address,), 1_000)
+        return FakeDiscovery((self.address,), 1_000)
 
     def issue_key(self, token: str, now_ms: int) -> str:
-        """Return some key."""
+        """Return a key."""
         self.discover(token)
         return f'key-{now_ms}'
 
     def deliver(self, delivered: object, now_ms: int) -> list[object]:  # noqa: ARG002
-        """Pass requests to the endpoint and its answers back."""
+        """Forward requests to the endpoint and its responses to the caller."""
         self.inputs.append(delivered)
         match delivered:
             case CallerRequest():
-                return self._start(delivered)
+                return self._start_attempt(delivered)
             case CallerLeft():
                 return [CancelAttempt(f'a-{delivered.request_id}')]
             case AttemptStarted():
@@ -100,7 +100,7 @@
             case AttemptChunk():
                 request_id = delivered.attempt_id[2:]
                 return [
-                    *self._begin(delivered.attempt_id),
+                    *self._start_response(delivered.attempt_id),
                     SendChunk(
                         request_id,
                         delivered.offset,
@@ -110,18 +110,18 @@
                 ]
             case AttemptEnded():
                 finish = FinishResponse(delivered.attempt_id[2:])
-                return [*self._begin(delivered.attempt_id), finish]
+                return [*self._start_response(delivered.attempt_id), finish]
             case AttemptFailed():
                 return [self._fail(delivered)]
         if self.cancel_when_sent:
             return [CancelAttempt(delivered.attempt_id)]
         return []
 
-    def of(self, kind: type) -> list[object]:
+    def inputs_of(self, kind: type) -> list[object]:
         """Return the inputs of one kind."""
         return [each for each in self.inputs if isinstance(each, kind)]
 
-    def _start(self, request: CallerRequest) -> list[object]:
+    def _start_attempt(self, request: CallerRequest) -> list[object]:
         self.requests[request.request_id] = request
         if request.token != TOKEN:
             code = ResultCode.UNAUTHENTICATED
@@ -147,7 +147,7 @@
             )
         ]
 
-    def _begin(self, attempt_id: str) -> list[StartResponse]:
+    def _start_response(self, attempt_id: str) -> list[StartResponse]:
         """Send the head with the first part, once."""
         started = self.heads.pop(attempt_id, None)
         if started is None:
@@ -167,71 +167,74 @@
         request_id = failed.attempt_id[2:]
         code = ResultCode.ENDPOINT_FAILED
         ran = Ran.UNKNOWN if failed.sent and not failed.refused else Ran.NOT_RUN
-        if any(each.attempt_id == failed.attempt_id for each in self.of(AttemptChunk)):
+        if any(
+            each.attempt_id == failed.attempt_id
+            for each in self.inputs_of(AttemptChunk)
+        ):
             return FinishResponse(request_id, code, ran, failed.reason)
         return RefuseRequest(request_id, code, ran, failed.reason, 1_500)
 
 
-class SmallServer:
-    """A server whose answers are functions of the exchange."""
+class FakeServer:
+    """A server that responds to each exchange by a given function."""
 
-    def __init__(self, answer: Callable[[ServerExchange], None]) -> None:
+    def __init__(self, respond: Callable[[ServerExchange], None]) -> None:
         self.exchanges: list[ServerExchange] = []
-        self._answer = answer
+        self._respond = respond
 
-    def take(self, exchange: ServerExchange) -> None:
-        """Answer an exchange."""
+    def handle(self, exchange: ServerExchange) -> None:
+        """Record an exchange and respond to it."""
         self.exchanges.append(exchange)
-        self._answer(exchange)
+        self._respond(exchange)
 
     @property
     def targets(self) -> list[str]:
-        """Return the targets asked for."""
+        """Return the requested targets."""
         return [exchange.request.target for exchange in self.exchanges]
 
 
 @asynccontextmanager
-async def serve(server: SmallServer) -> AsyncIterator[ServerAddress]:
-    http = HttpServer(HttpLimits(), SystemClock(), server.take)
+async def serve(server: FakeServer) -> AsyncIterator[ServerAddress]:
+    http = HttpServer(HttpLimits(), SystemClock(), server.handle)
     async with listen(http, '127.0.0.1', 0):
         yield ServerAddress('127.0.0.1', http.port)
 
 
 @asynccontextmanager
-async def run_passing(
-    endpoint: ServerAddress = NOWHERE, **changes: object
-) -> AsyncIterator[tuple[DaemonHost, PassingInstance]]:
+async def run_forwarding(
+    endpoint: ServerAddress = CLOSED_ADDRESS, **changes: object
+) -> AsyncIterator[tuple[DaemonHost, ForwardingInstance]]:
     settings = HostSettings(
         instance='i1',
         region='kerala',
         failure_domain='kochi-hall',
         host='127.0.0.1',
-        log_address=NOWHERE,
-        list_address=NOWHERE,
+        log_address=CLOSED_ADDRESS,
+        list_address=CLOSED_ADDRESS,
         peer_keys=KEYS,
         leave_grace_ms=0,
     )._replace(**changes)
-    made: list[PassingInstance] = []
+    instances: list[ForwardingInstance] = []
 
-    def make(address: MemberAddress) -> PassingInstance:
-        made.append(PassingInstance(address, endpoint))
-        return made[0]
+    def make_instance(address: MemberAddress) -> ForwardingInstance:
+        instances.append(ForwardingInstance(address, endpoint))
+        return instances[0]
 
-    async with run_host(settings, make) as host:
-        yield host, made[0]
+    async with run_host(settings, make_instance) as host:
+        yield host, instances[0]
 
 
-class Answer(NamedTuple):
-    """One response as a caller saw it; ``whole`` if its end arrived."""
+class Response(NamedTuple):
+    """One response as a caller received it; ``complete`` if its end arrived."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 class RawCaller:
-    """A caller that writes bytes and reads responses by h11."""
+    """A caller that writes raw bytes and reads responses with h11."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -243,7 +246,7 @@
     def write_request(
         self, method: str, target: str, headers: dict[str, str], body: bytes = b''
     ) -> None:
-        """Write a whole request."""
+        """Write a complete request."""
         fields = {'host': 'x', 'content-length': str(len(body)), **headers}
         pairs = encode_headers(fields.items())
         head = h11.Request(method=method, target=target, headers=pairs)
@@ -251,8 +254,8 @@
         self._http.send(h11.EndOfMessage())
         self.writer.write(data)
 
-    async def read_answer(self) -> Answer:
-        """Read until the answer ends or the connection does."""
+    async def read_response(self) -> Response:
+        """Read until the response or the connection ends."""
         status = 0
         headers: dict[str, str] = {}
         body = b''
@@ -260,12 +263,12 @@
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError:
-                return Answer(status, headers, body, False)
+                return Response(status, headers, body, False)
             if event is h11.NEED_DATA:
                 try:
                     self._http.receive_data(await self.reader.read(65_536))
                 except ConnectionError:
-                    return Answer(status, headers, body, False)
+                    return Response(status, headers, body, False)
             elif isinstance(event, h11.Response):
                 status = event.status_code
                 headers = {
@@ -277,9 +280,9 @@
             elif isinstance(event, h11.EndOfMessage):
                 if self._http.our_state is h11.DONE is self._http.their_state:
                     self._http.start_next_cycle()
-                return Answer(status, headers, body, True)
+                return Response(status, headers, body, True)
             elif isinstance(event, h11.ConnectionClosed):
-                return Answer(status, headers, body, False)
+                return Response(status, headers, body, False)
 
 
 @asynccontextmanager
@@ -293,7 +296,7 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Wait for *condition*; a test that waits in vain fails by this bound."""
+    """Wait for *condition*, and fail the test after a timeout of 10 s."""
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/test_daemon/system_rig.py
+++ b/tests/test_daemon/system_fixture.py
@@ -1,4 +1,4 @@
-"""A configured system over sockets for the daemon's tests."""
+"""A configured system over sockets, for tests of the daemon."""
 
 from __future__ import annotations
 
@@ -80,24 +80,24 @@
     }
 
 
-async def ask(port, method, target, headers, document=None):
+async def send_request(port, method, target, headers, document=None):
     body = json.dumps(document).encode() if document is not None else b''
     async with call(port) as caller:
         caller.write_request(method, target, headers, body)
-        return await caller.read_answer()
+        return await caller.read_response()
 
 
-async def operate(port, verb, arguments):
-    """Give a command; until the daemon has read the log it refuses them."""
+async def send_command(port, verb, arguments):
+    """Send a command; retry while the daemon has not read the log yet."""
     async with asyncio.timeout(20):
         while True:
             path = f'/v1/operator/{verb}'
-            answer = await ask(port, 'POST', path, OPERATOR, arguments)
-            if answer.headers['x-result-code'] != '2007':
+            response = await send_request(port, 'POST', path, OPERATOR, arguments)
+            if response.headers['x-result-code'] != '2007':
                 break
             await asyncio.sleep(0.05)
-    assert answer.status == 200, answer
-    return json.loads(answer.body)
+    assert response.status == 200, response
+    return json.loads(response.body)
 
 
 def describe_engine(name, port):
@@ -121,8 +121,8 @@
 
 
 async def configure(port, *endpoints):
-    """Enter the contract and the endpoints."""
-    await operate(
+    """Configure the contract and the endpoints."""
+    await send_command(
         port,
         'contract-amend',
         {
@@ -134,20 +134,22 @@
     )
     for document in endpoints:
         arguments = {'document': document, 'base_version': 0, 'why': 'first'}
-        await operate(port, 'endpoint-add', arguments)
+        await send_command(port, 'endpoint-add', arguments)
 
 
-async def wait_for_answer(port, document):
+async def wait_for_response(port, document):
     async with asyncio.timeout(20):
         while True:
-            answer = await ask(port, 'POST', '/v1/chat/completions', CALLER, document)
-            if answer.status == 200:
-                return answer
+            response = await send_request(
+                port, 'POST', '/v1/chat/completions', CALLER, document
+            )
+            if response.status == 200:
+                return response
             await asyncio.sleep(0.1)
 
 
 class System:
-    """Instances that can crash, two engines and a service."""
+    """Instances that can crash, with two engines and a service."""
 
     def __init__(self, stack):
         self.hosts = {}
@@ -158,7 +160,7 @@
         self._tasks = {}
         self._stack = stack
 
-    async def start_stand_ins(self):
+    async def start_fakes(self):
         """Start the platform and the endpoints."""
         enter = self._stack.enter_async_context
         log = AppendLog(LogSettings(latency_ms=1.0), Random(2))
@@ -173,38 +175,38 @@
             self.engines.append(await enter(serve_engine(engine)))
 
     async def start(self, name, domain):
-        """Start an instance in a task of its own."""
+        """Start an instance in its own task."""
         settings = make_settings(self.ports['log'], self.ports['list'], name, domain)
         self._tasks[name] = asyncio.create_task(self._run(name, settings))
         await wait_until(lambda: name in self.hosts)
         self.listing.put(self.hosts[name].address, loop_ms())
 
-    async def leave(self, name):
-        """Let an instance leave, as its replacement does."""
+    async def drain(self, name):
+        """Shut an instance down gracefully, as for its replacement."""
         await self.hosts[name].drain()
         await self.crash(name)
 
     async def crash(self, name):
-        """End an instance without a word."""
+        """Stop an instance without a graceful shutdown."""
         self.hosts.pop(name)
         task = self._tasks.pop(name)
         task.cancel()
         await asyncio.wait([task])
 
     async def close(self):
-        """End all instances."""
+        """Stop all instances."""
         for name in tuple(self._tasks):
             await self.crash(name)
 
-    def find_carrier(self):
-        """Return the name of the instance that carries a request."""
+    def find_busy_instance(self):
+        """Return the name of an instance with a request in progress."""
         return next(
-            name for name, host in self.hosts.items() if host.answers.in_progress
+            name for name, host in self.hosts.items() if host.responses.in_progress
         )
 
     @property
     def client_settings(self):
-        """What a caller knows at first."""
+        """The initial settings of a caller."""
         seeds = tuple(
             ServerAddress('127.0.0.1', host.address.caller_port)
             for host in self.hosts.values()
@@ -221,10 +223,10 @@
 
 @asynccontextmanager
 async def run_system():
-    """Run six configured instances, as many as a site has, until the block ends."""
+    """Run six configured instances, the number at one site, until the block ends."""
     async with AsyncExitStack() as stack:
         system = System(stack)
-        await system.start_stand_ins()
+        await system.start_fakes()
         domains = ('kochi-hall', 'thrissur-hall', 'kozhikode-hall')
         try:
             for number, domain in enumerate(domains * 2, 1):
@@ -245,4 +247,4 @@
 async def _wait_for_configuration(system):
     document = {'model': 'model', 'messages': [{'role': 'user', 'content': 'ready?'}]}
     for host in system.hosts.values():
-        await wait_for_answer(host.address.caller_port, document)
+        await wait_for_response(host.address.caller_port, document)
--- a/tests/test_daemon/test_bad_input.py
+++ b/tests/test_daemon/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Tests of input that is at fault: a 4xx with a code, and no effect."""
+"""Tests of invalid input, which gets a 4xx status with a code and has no effect."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import json
 
 import pytest
-from daemon_fakes import TOKEN, SmallServer, call, run_passing, serve, wait_until
+from daemon_fakes import TOKEN, FakeServer, call, run_forwarding, serve, wait_until
 
 from savorychute.http.http_limits import HttpLimits
 from savorychute.inputs import CallerRequest
@@ -14,29 +14,29 @@
 HEADERS = {'authorization': f'Bearer {TOKEN}', 'x-request-class': 'diagnosis'}
 CHAT_PATH = '/v1/chat/completions'
 CHAT = b'{"model":"m","messages":[]}'
-SMALL = HttpLimits(header_bytes=4_096, body_bytes=4_096, buffered_bytes=6_000)
+SMALL_LIMITS = HttpLimits(header_bytes=4_096, body_bytes=4_096, buffered_bytes=6_000)
 CHAT_HEAD = b'POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\n'
 
 
-def answer_ok(exchange):
+def respond_ok(exchange):
     exchange.respond(200, [('content-type', 'application/json')], b'{}')
 
 
-def send_raw(raw, limits=SMALL):
-    """Send bytes to a daemon; return the answer and the instance."""
+def send_raw(raw, limits=SMALL_LIMITS):
+    """Send bytes to a daemon; return the response and the instance."""
 
     async def main():
         async with (
-            run_passing(http=limits) as (host, instance),
+            run_forwarding(http=limits) as (host, instance),
             call(host.address.caller_port) as caller,
         ):
             caller.writer.write(raw)
-            return await caller.read_answer(), instance
+            return await caller.read_response(), instance
 
     return asyncio.run(main())
 
 
-def frame(body):
+def make_chat(body):
     return CHAT_HEAD + b'content-length: %d\r\n\r\n%b' % (len(body), body)
 
 
@@ -62,17 +62,17 @@
             413,
             '1010',
         ),
-        (frame(b''), 400, '1002'),
-        (frame(b'{"model":'), 400, '1002'),
-        (frame(b'\xff\xfe'), 400, '1002'),
-        (frame(b'{"model":"m","messages":[],"x":' + b'[' * 4_000), 400, '1002'),
-        (frame(b'{"model":"m","messages":' + b'[' * 4_000), 400, '1003'),
-        (frame(b'[]'), 400, '1003'),
-        (frame(b'{"model":7,"messages":[]}'), 400, '1003'),
-        (frame(b'{"model":"","messages":[]}'), 400, '1003'),
-        (frame(b'{"model":"m"}'), 400, '1003'),
-        (frame(b'{"model":"m","messages":[],"max_tokens":-1}'), 400, '1003'),
-        (frame(b'{"model":"m","messages":[],"stream":"yes"}'), 400, '1003'),
+        (make_chat(b''), 400, '1002'),
+        (make_chat(b'{"model":'), 400, '1002'),
+        (make_chat(b'\xff\xfe'), 400, '1002'),
+        (make_chat(b'{"model":"m","messages":[],"x":' + b'[' * 4_000), 400, '1002'),
+        (make_chat(b'{"model":"m","messages":' + b'[' * 4_000), 400, '1003'),
+        (make_chat(b'[]'), 400, '1003'),
+        (make_chat(b'{"model":7,"messages":[]}'), 400, '1003'),
+        (make_chat(b'{"model":"","messages":[]}'), 400, '1003'),
+        (make_chat(b'{"model":"m"}'), 400, '1003'),
+        (make_chat(b'{"model":"m","messages":[],"max_tokens":-1}'), 400, '1003'),
+        (make_chat(b'{"model":"m","messages":[],"stream":"yes"}'), 400, '1003'),
         (b'GET /v1/chat/completions HTTP/1.1\r\nhost: x\r\n\r\n', 405, '1012'),
         (b'GET /nothing HTTP/1.1\r\nhost: x\r\n\r\n', 404, '1008'),
         (b'GET /v1/services/ HTTP/1.1\r\nhost: x\r\n\r\n', 404, '1008'),
@@ -80,58 +80,57 @@
     ],
 )
 def test_bad_input_is_refused_without_effect(raw, status, code):
-    answer, instance = send_raw(raw)
+    response, instance = send_raw(raw)
 
-    assert (answer.status, answer.headers['x-result-code']) == (status, code)
-    assert answer.headers['x-ran'] == 'not-run'
-    assert json.loads(answer.body)['error']['code'] == int(code)
-    assert instance.of(CallerRequest) == []
+    assert (response.status, response.headers['x-result-code']) == (status, code)
+    assert response.headers['x-ran'] == 'not-run'
+    assert json.loads(response.body)['error']['code'] == int(code)
+    assert instance.inputs_of(CallerRequest) == []
 
 
 @pytest.mark.parametrize(
     'raw',
     [
-        frame(b'{'),
-        frame(b'{"model":"","messages":[]}'),
+        make_chat(b'{'),
+        make_chat(b'{"model":"","messages":[]}'),
         CHAT_HEAD + b'content-length: 9000\r\n\r\n',
         b'GET /nothing HTTP/1.1\r\nhost: x\r\n\r\n',
     ],
 )
 @pytest.mark.parametrize('header', [b'x-request-key', b'X-Continuation-Handle'])
-def test_refusal_at_the_edge_does_not_speak_for_earlier_tries(raw, header):
-    """Lost reply, then a bad copy.
+def test_refusal_does_not_state_not_run_for_a_repeated_request(raw, header):
+    """Guard against a false 'not run' for a request that was sent before.
 
-    A visit ran and its reply was lost.  Its caller sends it again with the key
-    and a cut body.  That try did not run; told so, the caller would log the
-    visit a second time under a new key.
+    A request ran and its response was lost.  Its caller sends it again with the same
+    key and a truncated body.  That second request did not run, but if the response
+    said so, the caller would send the same work again under a new key.
     """
-    answer, _ = send_raw(raw.replace(b'host: x', b'host: x\r\n' + header + b': k'))
+    response, _ = send_raw(raw.replace(b'host: x', b'host: x\r\n' + header + b': k'))
 
-    assert answer.status >= 400
-    assert answer.headers['x-ran'] == 'unknown'
+    assert response.status >= 400
+    assert response.headers['x-ran'] == 'unknown'
 
 
-def test_slow_sender_gets_an_answer():
-    """Slow sender.
+def test_slow_sender_gets_a_timeout_response():
+    """Guard against callers that send half a request and then nothing.
 
-    A caller sends half a request and then nothing.  Without a bound each such
-    caller holds a connection for ever, and a few hundred of them keep all
-    others out.  It gets 408 and loses the connection.
+    Without a timeout each such caller holds a connection for ever, and a few
+    hundred of them block all others.  It gets 408 and is disconnected.
     """
-    answer, instance = send_raw(
+    response, instance = send_raw(
         CHAT_HEAD + b'content-length: 100\r\n\r\n{"mod',
         HttpLimits(body_timeout_ms=50),
     )
 
-    assert (answer.status, answer.headers['x-result-code']) == (408, '1011')
-    assert instance.of(CallerRequest) == []
+    assert (response.status, response.headers['x-result-code']) == (408, '1011')
+    assert instance.inputs_of(CallerRequest) == []
 
 
-def test_silent_connection_is_closed():
+def test_idle_connection_is_closed():
     async def main():
         limits = HttpLimits(idle_timeout_ms=50)
         async with (
-            run_passing(http=limits) as (host, _),
+            run_forwarding(http=limits) as (host, _),
             call(host.address.caller_port) as caller,
         ):
             try:
@@ -144,65 +143,65 @@
     assert asyncio.run(main()) == b''
 
 
-def test_bodies_in_memory_are_bounded_over_all_connections():
-    """Many large bodies at once.
+def test_size_of_bodies_is_limited_over_all_connections():
+    """Guard against many large bodies at once.
 
-    Callers each send most of a permitted body and wait.  Single bounds hold,
-    but all bodies together would fill the instance's memory.  The one that
-    passes the common bound is refused; the others still get their answers.
+    Several callers each send most of a permitted body and wait.  Each is within
+    its own limit, but all bodies together would exhaust the instance's memory.  The
+    one that exceeds the common limit is refused; the others get their responses.
     """
 
     async def main():
-        engine = SmallServer(answer_ok)
+        engine = FakeServer(respond_ok)
         body = CHAT[:-1] + b',"pad":"' + b'a' * 3_000 + b'"}'
         async with (
             serve(engine) as address,
-            run_passing(address, http=SMALL) as (host, _),
+            run_forwarding(address, http=SMALL_LIMITS) as (host, _),
             call(host.address.caller_port) as first,
             call(host.address.caller_port) as second,
         ):
-            whole = frame(body).replace(
+            request = make_chat(body).replace(
                 b'host: x', b'host: x\r\nauthorization: Bearer secret'
             )
-            first.writer.write(whole[:-10])
+            first.writer.write(request[:-10])
             await wait_until(lambda: host.server.buffered_bytes > 2_000)
-            second.writer.write(whole)
-            refused = await second.read_answer()
-            first.writer.write(whole[-10:])
-            return refused, await first.read_answer(), host.server.buffered_bytes
+            second.writer.write(request)
+            refused = await second.read_response()
+            first.writer.write(request[-10:])
+            return refused, await first.read_response(), host.server.buffered_bytes
 
-    refused, answered, left_bytes = asyncio.run(main())
+    refused, accepted, buffered_bytes = asyncio.run(main())
 
     assert (refused.status, refused.headers['x-result-code']) == (503, '2014')
-    assert answered.status == 200
-    assert left_bytes == 0
+    assert accepted.status == 200
+    assert buffered_bytes == 0
 
 
-def test_connections_beyond_the_bound_get_a_clear_refusal():
+def test_connections_over_the_limit_are_refused_with_a_reason():
     async def main():
         limits = HttpLimits(connections=2)
         async with (
-            run_passing(http=limits) as (host, _),
+            run_forwarding(http=limits) as (host, _),
             call(host.address.caller_port),
             call(host.address.caller_port) as second,
             call(host.address.caller_port) as third,
         ):
-            refused = await third.read_answer()
+            refused = await third.read_response()
             second.write_request('GET', '/healthz', {})
-            return refused, await second.read_answer()
+            return refused, await second.read_response()
 
-    refused, answered = asyncio.run(main())
+    refused, accepted = asyncio.run(main())
 
     assert (refused.status, refused.headers['x-result-code']) == (503, '2009')
     assert refused.headers['x-ran'] == 'unknown'
     assert int(refused.headers['retry-after']) >= 1
-    assert answered.status == 200
+    assert accepted.status == 200
 
 
-def test_pipelined_requests_are_answered_in_order():
+def test_pipelined_requests_get_responses_in_order():
     async def main():
         async with (
-            run_passing() as (host, _),
+            run_forwarding() as (host, _),
             call(host.address.caller_port) as caller,
         ):
             paths = (b'/healthz', b'/nothing', b'/readyz', b'/v1/keys')
@@ -213,31 +212,36 @@
 
     data = asyncio.run(main())
 
-    places = [data.index(mark) for mark in (b'\r\nok', b'no path', b'ready', b'1012')]
-    assert places == sorted(places)
+    positions = [
+        data.index(marker) for marker in (b'\r\nok', b'no path', b'ready', b'1012')
+    ]
+    assert positions == sorted(positions)
 
 
-async def _read_until(caller, mark):
+async def _read_until(caller, marker):
     data = b''
     async with asyncio.timeout(10):
-        while mark not in data:
+        while marker not in data:
             data += await caller.reader.read(65_536)
     return data
 
 
-def test_pipelined_bytes_are_bounded():
-    """Pipelining without end.
+def test_pipelined_bytes_are_limited():
+    """Guard against unlimited pipelining.
 
-    While one request waits for a slow engine, its caller sends further
-    requests without reading.  They would pile up in memory; at the bound the
-    socket is read no more, and the caller's own buffers fill.
+    While one request waits for a slow engine, its caller sends further requests
+    without reading.  They would accumulate in memory, so beyond the limit the
+    socket is not read, and the caller's own buffers fill.
     """
 
     async def main():
-        engine = SmallServer(id)
+        engine = FakeServer(id)
         async with (
             serve(engine) as address,
-            run_passing(address, http=HttpLimits(pipelined_bytes=10_000)) as (host, _),
+            run_forwarding(address, http=HttpLimits(pipelined_bytes=10_000)) as (
+                host,
+                _,
+            ),
             call(host.address.caller_port) as caller,
         ):
             caller.write_request('POST', CHAT_PATH, HEADERS, CHAT)
@@ -253,12 +257,12 @@
     assert asyncio.run(main()) < 10_000 + 512 * 1024
 
 
-def test_pipelined_requests_go_on_after_the_bound_was_passed():
+def test_pipelined_requests_continue_after_the_limit_was_exceeded():
     async def main():
-        engine = SmallServer(answer_ok)
+        engine = FakeServer(respond_ok)
         async with (
             serve(engine) as address,
-            run_passing(address, http=HttpLimits(pipelined_bytes=100)) as (host, _),
+            run_forwarding(address, http=HttpLimits(pipelined_bytes=100)) as (host, _),
             call(host.address.caller_port) as caller,
         ):
             caller.write_request('POST', CHAT_PATH, HEADERS, CHAT)
@@ -277,12 +281,12 @@
 def test_head_request_gets_no_body():
     async def main():
         async with (
-            run_passing() as (host, _),
+            run_forwarding() as (host, _),
             call(host.address.caller_port) as caller,
         ):
             caller.write_request('HEAD', '/nothing', {})
-            return await caller.read_answer()
+            return await caller.read_response()
 
-    answer = asyncio.run(main())
+    response = asyncio.run(main())
 
-    assert (answer.status, answer.headers['x-result-code']) == (404, '1008')
+    assert (response.status, response.headers['x-result-code']) == (404, '1008')
--- a/tests/test_daemon/test_orders.py
+++ b/tests/test_daemon/test_orders.py
@@ -1,4 +1,4 @@
-"""Tests of orders to engines at the daemon's sockets."""
+"""Tests of orders that the daemon sends to engines."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 import pytest
-from daemon_fakes import SmallServer, serve, wait_until
+from daemon_fakes import FakeServer, serve, wait_until
 
 from savorychute.actions import SendOrder
 from savorychute.clock import ManualClock
@@ -15,22 +15,22 @@
 
 
 class OrderSettings(NamedTuple):
-    """What orders need of a host's settings."""
+    """The settings of a host that orders need."""
 
     order_timeout_ms: int = 5_000
 
 
 class OrderingHost:
-    """As much of a host as orders need."""
+    """A fake host with the parts that orders need."""
 
     def __init__(self) -> None:
         self.settings = OrderSettings()
         self.clock = ManualClock(1_000)
         self.delivered: list[object] = []
 
-    def deliver(self, told: object) -> None:
-        """Keep what the instance would be told."""
-        self.delivered.append(told)
+    def deliver(self, new_input: object) -> None:
+        """Record the input for the instance."""
+        self.delivered.append(new_input)
 
 
 def make_order(address, send_before_ms):
@@ -51,16 +51,17 @@
     ('send_before_ms', 'outcome', 'requests'),
     [(2_000, 'done', 1), (1_000, 'refused', 0)],
 )
-def test_order_leaves_only_while_its_lease_covers_it(send_before_ms, outcome, requests):
-    """An engine would carry out the order of an instance that lost its lease.
+def test_order_is_sent_only_while_its_lease_is_valid(send_before_ms, outcome, requests):
+    """Guard against an order of an instance that has lost its lease.
 
-    The instance checks its lease, hands the order over, and is paused before
-    the first byte leaves; the engine does not check fencing numbers.
+    The instance checks its lease and submits the order, and its process is paused
+    before the first byte is sent.  An engine that does not check fencing numbers
+    would execute the order.
     """
 
     async def run():
         host = OrderingHost()
-        server = SmallServer(
+        server = FakeServer(
             lambda exchange: exchange.respond(200, (), b'{"outcome":"done"}')
         )
         async with serve(server) as address:
--- a/tests/test_daemon/test_peer_link.py
+++ b/tests/test_daemon/test_peer_link.py
@@ -9,8 +9,8 @@
 from daemon_fakes import KEYS, wait_until
 
 from savorychute.actions import SendPeer
-from savorychute.daemon.frame_protocol import RECEIVERS_BOUND
-from savorychute.daemon.frame_sender import QUEUE_FRAMES, FrameSender
+from savorychute.daemon.frame_protocol import MAX_RECEIVERS
+from savorychute.daemon.frame_sender import MAX_QUEUED_FRAMES, FrameSender
 from savorychute.daemon.peer_link import open_peer_link
 from savorychute.member_address import MemberAddress
 from savorychute.membership.member_update import MemberUpdate
@@ -33,8 +33,8 @@
 
 
 def run_link(act, keys=KEYS):
-    """Run *act* with a sending and a receiving link; return what arrived."""
-    arrived = []
+    """Run *act* with a sending and a receiving link; return the received inputs."""
+    inputs = []
 
     async def main():
         sender = PeerCodec('i1', 1, KEYS)
@@ -43,9 +43,9 @@
             open_peer_link(sender, '127.0.0.1', 0) as out,
             open_peer_link(receiver, '127.0.0.1', 0) as into,
         ):
-            into.on_input = arrived.append
-            await act(out, into, arrived)
-        return arrived
+            into.on_input = inputs.append
+            await act(out, into, inputs)
+        return inputs
 
     return asyncio.run(main())
 
@@ -54,16 +54,16 @@
     link.send(SendPeer('i2', '127.0.0.1', to.port, message))
 
 
-def test_small_message_goes_by_datagram_and_a_large_one_by_connection():
+def test_small_message_is_sent_by_datagram_and_large_one_by_connection():
     small = make_ping(1)
     large = make_ping(500)
 
-    async def act(out, into, arrived):
+    async def act(out, into, inputs):
         send(out, into, small)
-        await wait_until(lambda: len(arrived) == 1)
+        await wait_until(lambda: len(inputs) == 1)
         assert into.open_receivers == 0
         send(out, into, large)
-        await wait_until(lambda: len(arrived) == 2)
+        await wait_until(lambda: len(inputs) == 2)
         assert into.open_receivers == 1
 
     received = run_link(act)
@@ -72,14 +72,14 @@
     assert [each.message for each in received] == [small, large]
 
 
-def test_stranger_is_not_heard():
-    """Stranger on the network.
+def test_messages_without_the_peer_key_are_rejected():
+    """Guard against messages from a sender without the peer key.
 
-    Somebody who can reach the peer port sends well-formed messages.  Without
-    the key they are dropped and counted, by datagram and by connection.
+    A sender that can reach the peer port sends well-formed messages.  Without the
+    key they are dropped and counted, by datagram and by connection.
     """
 
-    async def act(out, into, arrived):
+    async def act(out, into, inputs):
         send(out, into, make_ping(1))
         send(out, into, make_ping(500))
         await wait_until(lambda: into.rejected == 2)
@@ -88,7 +88,7 @@
 
 
 def test_garbage_on_the_peer_port_is_dropped():
-    async def act(out, into, arrived):
+    async def act(out, into, inputs):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             sock.sendto(b'garbage', ('127.0.0.1', into.port))
         reader, writer = await asyncio.open_connection('127.0.0.1', into.port)
@@ -98,25 +98,25 @@
         writer.close()
         await wait_until(lambda: into.rejected == 1)
         send(out, into, make_ping(0))
-        await wait_until(lambda: arrived)
+        await wait_until(lambda: inputs)
 
     assert len(run_link(act)) == 1
 
 
-def test_unfinished_frames_are_few():
-    """Many half frames.
+def test_number_of_unfinished_frames_is_limited():
+    """Guard against many connections with unfinished frames.
 
-    A stranger opens connection after connection and sends half a frame on
-    each.  Only so many are open at once; the rest are closed.
+    An unauthenticated sender opens many connections and sends half a frame on
+    each.  The number of open connections is limited; the others are closed.
     """
 
-    async def act(out, into, arrived):
+    async def act(out, into, inputs):
         writers = []
-        for _ in range(RECEIVERS_BOUND + 5):
+        for _ in range(MAX_RECEIVERS + 5):
             _, writer = await asyncio.open_connection('127.0.0.1', into.port)
             writer.write(b'\0\0\1')
             writers.append(writer)
-        await wait_until(lambda: into.open_receivers == RECEIVERS_BOUND)
+        await wait_until(lambda: into.open_receivers == MAX_RECEIVERS)
         for writer in writers:
             writer.transport.abort()
         await wait_until(lambda: into.open_receivers == 0)
@@ -124,13 +124,13 @@
     assert run_link(act) == []
 
 
-def test_queue_towards_a_silent_peer_is_bounded():
+def test_queue_for_an_unresponsive_peer_is_limited():
     async def main():
         sender = FrameSender('127.0.0.1', 9)
-        accepted = [sender.send(b'x') for _ in range(QUEUE_FRAMES + 1)]
+        accepted = [sender.send(b'x') for _ in range(MAX_QUEUED_FRAMES + 1)]
         sender.close()
         return accepted
 
     accepted = asyncio.run(main())
 
-    assert accepted == [True] * QUEUE_FRAMES + [False]
+    assert accepted == [True] * MAX_QUEUED_FRAMES + [False]
--- a/tests/test_daemon/test_process.py
+++ b/tests/test_daemon/test_process.py
@@ -1,4 +1,4 @@
-"""Tests of a daemon that runs as a process of its own."""
+"""Tests of a daemon that runs as its own process."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from contextlib import asynccontextmanager
 from random import Random
 
-from daemon_fakes import SmallServer, call, serve, wait_until
-from system_rig import (
+from daemon_fakes import FakeServer, call, serve, wait_until
+from system_fixture import (
     CALLER,
-    ask,
     configure,
     describe_engine,
     make_settings,
-    wait_for_answer,
+    send_request,
+    wait_for_response,
 )
 
 from savorychute.testing.append_log import AppendLog, LogSettings
@@ -29,14 +29,14 @@
 
 
 class Daemon:
-    """A daemon's process and what it logged."""
+    """The process of a daemon and its log lines."""
 
     def __init__(self, process):
         self.process = process
         self.lines = []
 
     async def read_port(self):
-        """Return the port of callers."""
+        """Return the port for callers."""
         async for line in self.process.stdout:
             entry = json.loads(line)
             self.lines.append(entry)
@@ -65,17 +65,17 @@
         await process.wait()
 
 
-def test_port_that_is_taken_is_named(tmp_path):
+def test_error_names_the_port_that_is_in_use(tmp_path):
     async def main():
         async with (
-            serve(SmallServer(id)) as taken,
+            serve(FakeServer(id)) as in_use,
             run_process(
                 tmp_path / 'settings.json',
-                {**make_settings(1, 1), 'caller_port': taken.port},
+                {**make_settings(1, 1), 'caller_port': in_use.port},
             ) as daemon,
         ):
             errors = await daemon.process.stderr.read()
-            return taken.port, errors.decode(), await daemon.process.wait()
+            return in_use.port, errors.decode(), await daemon.process.wait()
 
     port, errors, code = asyncio.run(main())
 
@@ -83,11 +83,11 @@
     assert code != 0
 
 
-def test_process_answers_streams_and_leaves_without_cutting_one(tmp_path):
-    """Restart of an instance.
+def test_process_responds_and_stops_without_truncating_a_stream(tmp_path):
+    """Guard against streams that a restart of the instance truncates.
 
-    Operators replace a running instance with SIGTERM while an answer streams.
-    The stream goes on to its end, and the process exits with 0.
+    Operators stop a running instance with SIGTERM while a response is streamed.
+    The stream continues to its end, and the process exits with 0.
     """
 
     async def main():
@@ -109,31 +109,35 @@
                 'model': 'model',
                 'messages': [{'role': 'user', 'content': content}],
             }
-            whole = await wait_for_answer(port, document)
-            found = await ask(port, 'GET', '/v1/instances', CALLER)
-            metrics = await ask(port, 'GET', '/metrics', {})
+            document_response = await wait_for_response(port, document)
+            discovered = await send_request(port, 'GET', '/v1/instances', CALLER)
+            metrics = await send_request(port, 'GET', '/metrics', {})
             async with call(port) as caller:
                 body = json.dumps({**document, 'stream': True}).encode()
                 caller.write_request('POST', '/v1/chat/completions', CALLER, body)
                 await wait_until(lambda: engine.generated_tokens > 110)
                 daemon.process.send_signal(signal.SIGTERM)
-                streamed = await caller.read_answer()
+                streamed = await caller.read_response()
             async with asyncio.timeout(20):
                 code = await daemon.process.wait()
             errors = await daemon.process.stderr.read()
-            return port, found, metrics, whole, streamed, code, errors
+            return port, discovered, metrics, document_response, streamed, code, errors
 
-    port, found, metrics, whole, streamed, code, errors = asyncio.run(main())
+    port, discovered, metrics, document_response, streamed, code, errors = asyncio.run(
+        main()
+    )
 
     assert (code, errors) == (0, b'')
-    assert json.loads(found.body)['instances'] == [
+    assert json.loads(discovered.body)['instances'] == [
         {'host': '127.0.0.1', 'port': port, 'failure_domain': 'kochi-hall'}
     ]
     assert b'savorychute_requests_total' in metrics.body
-    assert streamed.whole
+    assert streamed.complete
     *events, end = streamed.body.strip().split(b'\n\n')
     assert end == b'data: [DONE]'
     chunks = [json.loads(event.split(b'data: ')[1]) for event in events]
     text = ''.join(chunk['choices'][0]['delta']['content'] for chunk in chunks)
-    assert text == json.loads(whole.body)['choices'][0]['message']['content']
+    assert (
+        text == json.loads(document_response.body)['choices'][0]['message']['content']
+    )
     assert sum(chunk['token_count'] for chunk in chunks) == 100
--- a/tests/test_daemon/test_slow_callers.py
+++ b/tests/test_daemon/test_slow_callers.py
@@ -1,12 +1,18 @@
-"""Tests of callers that read slowly for a while."""
+"""Tests of callers that read slowly for some time."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 
-from daemon_fakes import TOKEN, SmallServer, call, run_passing, serve, wait_until
-from test_callers import CHAT_PATH, EVENT, STREAM, CountingServer, connect_small
+from daemon_fakes import TOKEN, FakeServer, call, run_forwarding, serve, wait_until
+from test_callers import (
+    CHAT_PATH,
+    EVENT,
+    STREAM,
+    FloodingServer,
+    connect_with_small_buffer,
+)
 
 from savorychute.actions import CancelAttempt, FinishResponse, StartAttempt
 from savorychute.http.http_limits import HttpLimits
@@ -20,15 +26,15 @@
 )
 from savorychute.testing.solo import Solo, make_contract, make_engine, make_request
 
-STALL_MS = 4_000
+PAUSE_MS = 4_000
 
 
-def test_slow_caller_is_not_taken_for_a_silent_endpoint():
-    """Caller in a tunnel.
+def test_slow_caller_does_not_make_an_endpoint_seem_unresponsive():
+    """Guard against ejecting engines because of a slow caller.
 
     A caller reads nothing for some seconds, so the host stops reading from the
-    engine.  The engine's silence was taken for the engine's fault: the answer
-    was run anew elsewhere, and one slow caller got engine after engine ejected.
+    engine.  The engine then seemed unresponsive: the request was retried at another
+    engine, and one slow caller caused one engine after another to be ejected.
     """
     solo = Solo(
         contracts=[make_contract()],
@@ -41,7 +47,7 @@
     started = AttemptStarted(start.attempt_id, 200, 'text/event-stream', 's')
     solo.deliver(started)
     solo.deliver(AttemptChunk(start.attempt_id, 0, 1, b'air'))
-    for _ in range(STALL_MS // 250):
+    for _ in range(PAUSE_MS // 250):
         solo.deliver(AttemptPaused(start.attempt_id))
         solo.run_for(250)
     solo.deliver(AttemptChunk(start.attempt_id, 1, 1, b' lock'))
@@ -52,25 +58,25 @@
     assert solo.find(FinishResponse) == [FinishResponse('r1')]
 
 
-def test_host_reports_an_answer_that_waits_for_its_caller():
+def test_host_reports_a_response_that_waits_for_its_caller():
     async def main():
-        engine = CountingServer()
+        engine = FloodingServer()
         limits = HttpLimits(send_buffer_bytes=16_384)
         async with (
             serve(engine) as address,
-            run_passing(address, http=limits) as (host, instance),
+            run_forwarding(address, http=limits) as (host, instance),
         ):
-            small = await connect_small(host.address.caller_port)
-            async with call(None, sock=small, limit=1) as caller:
+            sock = await connect_with_small_buffer(host.address.caller_port)
+            async with call(None, sock=sock, limit=1) as caller:
                 headers = {'authorization': f'Bearer {TOKEN}'}
                 caller.write_request('POST', CHAT_PATH, headers, STREAM)
-                await wait_until(lambda: instance.of(AttemptPaused))
-                count = len(instance.of(AttemptChunk))
+                await wait_until(lambda: instance.inputs_of(AttemptPaused))
+                count = len(instance.inputs_of(AttemptChunk))
                 await caller.reader.read(1)
                 read_bytes = 0
-                while len(instance.of(AttemptChunk)) <= count + 5:
+                while len(instance.inputs_of(AttemptChunk)) <= count + 5:
                     read_bytes += len(await caller.reader.read(65_536))
-                return read_bytes, instance.of(CallerLeft)
+                return read_bytes, instance.inputs_of(CallerLeft)
 
     read_bytes, left = asyncio.run(main())
 
@@ -78,11 +84,11 @@
     assert left == []
 
 
-def test_tick_that_raises_is_not_the_last_one():
-    """Defect in a part.
+def test_ticks_continue_after_one_that_raises():
+    """Guard against the end of ticking after an error.
 
-    One tick raises.  Without a further tick the instance would answer, and
-    never again notice a deadline or a dead peer.
+    One tick raises.  Without further ticks the instance would still respond, but
+    never again detect an expired deadline or a dead peer.
     """
     ticks = []
 
@@ -90,7 +96,7 @@
         reports = []
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: reports.append(context))
-        async with run_passing() as (_, instance):
+        async with run_forwarding() as (_, instance):
 
             def raise_once(now_ms):
                 ticks.append(now_ms)
@@ -109,36 +115,36 @@
     assert [report['message'] for report in reports] == ['tick failed']
 
 
-def test_action_that_raises_keeps_back_no_other():
+def test_action_that_raises_does_not_prevent_others():
     async def main():
         reports = []
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: reports.append(context))
         async with (
-            run_passing() as (host, instance),
+            run_forwarding() as (host, instance),
             call(host.address.caller_port) as caller,
         ):
-            answer = instance.deliver
-            instance.deliver = lambda *arguments: [None, *answer(*arguments)]
+            deliver = instance.deliver
+            instance.deliver = lambda *arguments: [None, *deliver(*arguments)]
             caller.write_request('POST', CHAT_PATH, {}, STREAM)
-            return (await caller.read_answer()).status, len(reports)
+            return (await caller.read_response()).status, len(reports)
 
     assert asyncio.run(main()) == (401, 1)
 
 
-def test_unread_answers_are_bounded_over_all_connections():
-    """Many slow callers.
+def test_unread_responses_are_limited_over_all_connections():
+    """Guard against many slow callers that together exhaust the memory.
 
-    Callers ask for long answers and read nothing.  Each answer is within its
-    bound, but together they would fill the memory.  The one with the most
-    unread is given up; the other still gets all of its answer.
+    Callers request long responses and do not read them.  Each response is within
+    its own limit, but not all together.  The caller with the most unread bytes is
+    disconnected; the other still gets its complete response.
     """
 
-    def answer_by_size(exchange):
+    def respond_by_size(exchange):
         size = json.loads(exchange.request.body)['max_tokens']
         exchange.respond(200, [], b'x' * size)
 
-    def ask(caller, size):
+    def send_request(caller, size):
         body = b'{"model":"m","messages":[],"max_tokens":%d}' % size
         headers = {'authorization': f'Bearer {TOKEN}'}
         caller.write_request('POST', CHAT_PATH, headers, body)
@@ -146,22 +152,22 @@
     async def main():
         limits = HttpLimits(send_buffer_bytes=16_384, unread_bytes=800_000)
         async with (
-            serve(SmallServer(answer_by_size)) as address,
-            run_passing(address, http=limits) as (host, _),
+            serve(FakeServer(respond_by_size)) as address,
+            run_forwarding(address, http=limits) as (host, _),
         ):
             port = host.address.caller_port
-            socks = [await connect_small(port) for _ in range(2)]
+            socks = [await connect_with_small_buffer(port) for _ in range(2)]
             async with (
                 call(None, sock=socks[0], limit=1) as large,
                 call(None, sock=socks[1], limit=1) as small,
             ):
-                ask(small, 700_000)
+                send_request(small, 700_000)
                 await wait_until(lambda: host.server.unread_bytes > 500_000)
-                ask(large, 900_000)
+                send_request(large, 900_000)
                 await wait_until(lambda: host.server.open_connections == 1)
-                return await large.read_answer(), await small.read_answer()
+                return await large.read_response(), await small.read_response()
 
-    large, small = asyncio.run(main())
+    large_response, small_response = asyncio.run(main())
 
-    assert not large.whole
-    assert (small.whole, len(small.body)) == (True, 700_000)
+    assert not large_response.complete
+    assert (small_response.complete, len(small_response.body)) == (True, 700_000)
--- a/tests/test_daemon/test_system.py
+++ b/tests/test_daemon/test_system.py
@@ -1,4 +1,4 @@
-"""Tests of several instances over sockets, with faults in the middle."""
+"""Tests of several instances over sockets, with faults during requests."""
 
 from __future__ import annotations
 
@@ -6,45 +6,45 @@
 
 import pytest
 from daemon_fakes import wait_until
-from system_rig import run_system, wait_for_answer
+from system_fixture import run_system, wait_for_response
 
 from savorychute.client import CallError, ChatCall, ServiceCall, open_client
 from savorychute.ran import Ran
 from savorychute.testing.answers import write_answer
 
-BOUND_S = 60
+TEST_TIMEOUT_S = 60
 TOKENS = 60
 PROMPT = f'why is there no water? #tokens={TOKENS}'
 CHAT = ChatCall('model', ({'role': 'user', 'content': PROMPT},), 'diagnosis')
-VISIT = ServiceCall(
+SERVICE_CALL = ServiceCall(
     'desk', 'POST', '/visits', 'visit-log', b'{"visit":7}', idempotent=False
 )
 
 
 def test_faults_in_the_middle_of_requests():
-    """Replacement and crashes of instances and engines.
+    """Guard against lost or duplicate work when instances or engines fail.
 
-    One system, one event after the other.  A stream's instance is replaced,
-    another one crashes, a third while a visit is being logged, at last the
-    engine of a stream.  Callers see whole answers or an honest 'unknown', and
-    nothing runs twice.
+    The faults happen one after the other in one system: the instance of a stream is
+    replaced, another one crashes during a stream, a third one during a service call,
+    and at last the engine of a stream crashes.  Callers get complete responses or
+    'unknown', and nothing runs twice.
     """
 
     async def main():
         async with (
-            asyncio.timeout(BOUND_S),
+            asyncio.timeout(TEST_TIMEOUT_S),
             run_system() as system,
             open_client(system.client_settings) as client,
         ):
-            await stream_over_the_replacement_of_its_instance(system, client)
-            await stream_over_a_crash_of_its_instance(system, client)
-            await log_visit_over_a_crash_of_its_instance(system, client)
-            await stream_over_a_crash_of_its_engine(system, client)
+            await check_stream_when_its_instance_is_replaced(system, client)
+            await check_stream_when_its_instance_crashes(system, client)
+            await check_service_call_when_its_instance_crashes(system, client)
+            await check_stream_when_its_engine_crashes(system, client)
 
     asyncio.run(main())
 
 
-def count_generated(system):
+def count_generated_tokens(system):
     return sum(each.engine.generated_tokens for each in system.engines)
 
 
@@ -56,61 +56,61 @@
     return text
 
 
-async def stream_over_the_replacement_of_its_instance(system, client):
+async def check_stream_when_its_instance_is_replaced(system, client):
     leaving = []
 
-    async def leave_at_the_tenth(offset):
+    async def drain_at_token_10(offset):
         if offset == 10:
-            name = system.find_carrier()
+            name = system.find_busy_instance()
             leaving.append(name)
-            leaving.append(asyncio.create_task(system.leave(name)))
-            answer = await client.complete(CHAT)
-            assert not answer.request_id.startswith(f'{name}-')
+            leaving.append(asyncio.create_task(system.drain(name)))
+            response = await client.complete(CHAT)
+            assert not response.request_id.startswith(f'{name}-')
 
-    generated = count_generated(system)
-    text = await read_stream(client, leave_at_the_tenth)
+    generated = count_generated_tokens(system)
+    text = await read_stream(client, drain_at_token_10)
     async with asyncio.timeout(10):
         await leaving[1]
 
     assert text == write_answer(PROMPT, 0)
-    assert count_generated(system) - generated == 2 * TOKENS
+    assert count_generated_tokens(system) - generated == 2 * TOKENS
     await system.start('entry-7', 'kochi-hall')
     port = system.hosts['entry-7'].address.caller_port
-    await wait_for_answer(port, {'model': 'model', 'messages': CHAT.messages})
+    await wait_for_response(port, {'model': 'model', 'messages': CHAT.messages})
 
 
-async def stream_over_a_crash_of_its_instance(system, client):
-    generated = count_generated(system)
+async def check_stream_when_its_instance_crashes(system, client):
+    generated = count_generated_tokens(system)
 
-    async def crash_at_the_tenth(offset):
+    async def crash_at_token_10(offset):
         if offset == 10:
-            await system.crash(system.find_carrier())
+            await system.crash(system.find_busy_instance())
 
-    text = await read_stream(client, crash_at_the_tenth)
+    text = await read_stream(client, crash_at_token_10)
 
     assert text == write_answer(PROMPT, 0)
-    assert count_generated(system) - generated == TOKENS
+    assert count_generated_tokens(system) - generated == TOKENS
 
 
-async def log_visit_over_a_crash_of_its_instance(system, client):
-    running = asyncio.create_task(client.call_service(VISIT))
+async def check_service_call_when_its_instance_crashes(system, client):
+    running = asyncio.create_task(client.call_service(SERVICE_CALL))
     await wait_until(lambda: system.service.executions)
-    await system.crash(system.find_carrier())
+    await system.crash(system.find_busy_instance())
 
-    with pytest.raises(CallError) as caught:
+    with pytest.raises(CallError) as raised:
         await running
 
-    assert caught.value.ran is Ran.UNKNOWN
+    assert raised.value.ran is Ran.UNKNOWN
     assert system.service.bodies_executed == {b'{"visit":7}': 1}
 
 
-async def stream_over_a_crash_of_its_engine(system, client):
-    async def crash_at_the_tenth(offset):
+async def check_stream_when_its_engine_crashes(system, client):
+    async def crash_at_token_10(offset):
         if offset == 10:
             for each in system.engines:
                 if each.engine.batch.running_count:
                     each.crash()
 
-    text = await read_stream(client, crash_at_the_tenth)
+    text = await read_stream(client, crash_at_token_10)
 
     assert text == write_answer(PROMPT, 0)
--- a/tests/test_daemon/test_tls.py
+++ b/tests/test_daemon/test_tls.py
@@ -1,6 +1,6 @@
-"""Tests of TLS towards callers.
+"""Tests of TLS for connections of callers.
 
-The certificates are for these tests alone; their names are ``first.example``
+The certificates are used only by these tests; their names are ``first.example``
 and ``second.example``.
 """
 
@@ -12,22 +12,22 @@
 from pathlib import Path
 
 import pytest
-from daemon_fakes import call, run_passing, wait_until
+from daemon_fakes import call, run_forwarding, wait_until
 
-from savorychute.daemon.tls import TlsKeys, keep_reloading
+from savorychute.daemon.tls import TlsKeys, reload_periodically
 from savorychute.http.http_limits import HttpLimits
 
 CERTIFICATES = Path(__file__).parent / 'certificates'
 
 
-class Lines:
-    """Collects what would be logged."""
+class FakeLog:
+    """A fake log that records events."""
 
     def __init__(self):
         self.events = []
 
     def warning(self, event, **fields):
-        """Keep the event."""
+        """Record the event."""
         self.events.append((event, fields))
 
 
@@ -36,27 +36,27 @@
     shutil.copy(CERTIFICATES / f'{name}.key', directory / 'key.pem')
 
 
-def trust_any():
+def trust_both():
     context = ssl.create_default_context(cafile=CERTIFICATES / 'first.pem')
     context.load_verify_locations(CERTIFICATES / 'second.pem')
     return context
 
 
-def read_name(caller):
+def read_common_name(caller):
     certificate = caller.writer.get_extra_info('peercert')
     return dict(pair[0] for pair in certificate['subject'])['commonName']
 
 
-async def ask(caller):
+async def request_health(caller):
     caller.write_request('GET', '/healthz', {})
-    return (await caller.read_answer()).status
+    return (await caller.read_response()).status
 
 
-def test_reloaded_keys_serve_new_connections_and_drop_no_old_one(tmp_path):
-    """Renewal of the certificate.
+def test_reloaded_keys_serve_new_connections_and_drop_no_open_one(tmp_path):
+    """Guard against dropped connections when the certificate is renewed.
 
     Operators replace certificate and key while callers are connected.  Open
-    connections go on as they are, new ones get the new certificate.
+    connections continue unchanged; new ones get the new certificate.
     """
     install(tmp_path, 'first')
 
@@ -66,37 +66,37 @@
             'tls_key_file': str(tmp_path / 'key.pem'),
         }
         async with (
-            run_passing(**files) as (host, _),
-            call(host.address.caller_port, ssl=trust_any()) as old,
+            run_forwarding(**files) as (host, _),
+            call(host.address.caller_port, ssl=trust_both()) as old,
         ):
-            assert await ask(old) == 200
+            assert await request_health(old) == 200
             install(tmp_path, 'second')
             host.tls.reload()
-            async with call(host.address.caller_port, ssl=trust_any()) as new:
-                statuses = [await ask(old), await ask(new)]
-                return read_name(old), read_name(new), statuses
+            async with call(host.address.caller_port, ssl=trust_both()) as new:
+                statuses = [await request_health(old), await request_health(new)]
+                return read_common_name(old), read_common_name(new), statuses
 
     assert asyncio.run(main()) == ('first.example', 'second.example', [200, 200])
 
 
 def test_failed_reload_keeps_the_keys_and_is_logged(tmp_path):
-    """Half a renewal.
+    """Guard against a reload in the middle of a renewal.
 
-    The reload happens between the writing of the chain and of its key.  The
-    daemon goes on with the keys that it has, and says so.
+    The reload happens after the chain was written and before its key was.  The
+    daemon continues with its current keys and logs the failure.
     """
     install(tmp_path, 'first')
     keys = TlsKeys(str(tmp_path / 'chain.pem'), str(tmp_path / 'key.pem'))
-    before = keys.current
+    before = keys.current_context
     shutil.copy(CERTIFICATES / 'second.pem', tmp_path / 'chain.pem')
-    lines = Lines()
+    lines = FakeLog()
 
     async def main():
-        async with keep_reloading(keys, 5, lines) as reload:
+        async with reload_periodically(keys, 5, lines) as reload:
             reload()
             await wait_until(lambda: len(lines.events) > 2)
             shutil.copy(CERTIFICATES / 'second.key', tmp_path / 'key.pem')
-            await wait_until(lambda: keys.current is not before)
+            await wait_until(lambda: keys.current_context is not before)
 
     with pytest.raises(ssl.SSLError):
         keys.reload()
@@ -105,7 +105,7 @@
     assert lines.events[0] == ('tls-reload-failed', {'error': 'SSLError'})
 
 
-def test_plain_request_to_a_tls_port_is_cut(tmp_path):
+def test_plain_request_to_a_tls_port_is_aborted(tmp_path):
     install(tmp_path, 'first')
 
     async def main():
@@ -114,15 +114,15 @@
             'tls_key_file': str(tmp_path / 'key.pem'),
         }
         async with (
-            run_passing(**files) as (host, instance),
+            run_forwarding(**files) as (host, instance),
             call(host.address.caller_port) as caller,
         ):
             caller.write_request('GET', '/healthz', {})
-            return await caller.read_answer(), instance.inputs
+            return await caller.read_response(), instance.inputs
 
-    answer, inputs = asyncio.run(main())
+    response, inputs = asyncio.run(main())
 
-    assert (answer.status, answer.whole, inputs) == (0, False, [])
+    assert (response.status, response.complete, inputs) == (0, False, [])
 
 
 def test_refusal_over_tls_reaches_the_caller(tmp_path):
@@ -135,12 +135,12 @@
         }
         limits = HttpLimits(body_bytes=100)
         async with (
-            run_passing(http=limits, **files) as (host, _),
-            call(host.address.caller_port, ssl=trust_any()) as caller,
+            run_forwarding(http=limits, **files) as (host, _),
+            call(host.address.caller_port, ssl=trust_both()) as caller,
         ):
             caller.write_request('POST', '/v1/keys', {}, b'a' * 200_000)
-            return await caller.read_answer()
+            return await caller.read_response()
 
-    answer = asyncio.run(main())
+    response = asyncio.run(main())
 
-    assert (answer.status, answer.headers['x-result-code']) == (413, '1010')
+    assert (response.status, response.headers['x-result-code']) == (413, '1010')
