--- a/benches/capacity_roles/client_role.py
+++ b/benches/capacity_roles/client_role.py
@@ -12,7 +12,7 @@
 from benches.capacity_roles.roles import role
 from benches.capacity_roles.site import make_members, make_view
 from benches.capacity_roles.target import SIZES
-from savorychute.client.address_book import AddressBook, DiscoveryDocument
+from savorychute.client.address_table import AddressTable, DiscoveryDocument
 from savorychute.client.client_settings import ClientSettings
 from savorychute.clock import ManualClock
 from savorychute.http.client_pool import ClientPool, ServerAddress
@@ -65,8 +65,8 @@
     )
 
 
-def build_book() -> AddressBook:
+def build_book() -> AddressTable:
     """Return a library's address book; its connections are not counted."""
     seeds = tuple(ServerAddress(f'10.0.0.{n}', 8400) for n in range(SEEDS))
     pool: ClientPool = None  # type: ignore[assignment]
-    return AddressBook(ClientSettings(seeds, TOKEN), pool, ManualClock())
+    return AddressTable(ClientSettings(seeds, TOKEN), pool, ManualClock())
--- a/savorychute/client/__init__.py
+++ b/savorychute/client/__init__.py
@@ -1,7 +1,7 @@
 """A client library for callers, built on asyncio.
 
-It asks the system which instances to use and keeps the answer, gets request
-keys, goes on to another instance when one fails, and resumes streams.
+It discovers the instances to use and caches their addresses, obtains request
+keys, switches to another instance when one fails, and resumes streams.
 """
 
 from __future__ import annotations
--- a/savorychute/client/address_book.py
+++ b/savorychute/client/address_table.py
@@ -1,4 +1,4 @@
-"""Which instances a client uses."""
+"""The addresses of the instances that a client uses."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     from savorychute.http.client_pool import ClientPool
 
 OK_STATUS = 200
-FAILED_MS = 3_000
-LEAST_LIFETIME_MS = 1_000
+FAILURE_MEMORY_MS = 3_000
+MIN_LIFETIME_MS = 1_000
 
 
 class AddressDocument(TypedDict):
-    """One address of a discovery answer."""
+    """One address in a discovery response."""
 
     host: str
     port: int
 
 
 class DiscoveryDocument(TypedDict):
-    """A discovery answer."""
+    """A discovery response."""
 
     instances: list[AddressDocument]
     lifetime_ms: int
@@ -38,17 +38,17 @@
 _decoder = msgspec.json.Decoder(DiscoveryDocument)
 
 
-class AddressBook:
-    """Keeps the answer to discovery for its lifetime.
+class AddressTable:
+    """Caches the discovery response for its lifetime.
 
-    When an instance fails or leaves, the answer is out of date: its
-    replacement is not in it, and if all of them were replaced nobody would be
-    left to ask.  So the others are asked again at once.  An answer that has run
-    out stays in use while no instance gives a new one.
+    When an instance fails or leaves, the response is obsolete: it lacks the
+    replacement, and if all instances were replaced, none of its addresses could
+    be queried any more.  So the other instances are queried again at once.  An
+    expired response stays in use until an instance returns a new one.
 
-    :param settings: seeds and token.
-    :param pool: connections to instances.
-    :param clock: the time for lifetimes.
+    :param settings: the seeds and the token.
+    :param pool: the connections to instances.
+    :param clock: the clock for lifetimes.
     """
 
     def __init__(
@@ -57,66 +57,66 @@
         self._settings = settings
         self._pool = pool
         self._clock = clock
-        self._known: tuple[ServerAddress, ...] = ()
+        self._addresses: tuple[ServerAddress, ...] = ()
         self._expiry_ms = 0
-        self._asked_ms = -LEAST_LIFETIME_MS
+        self._queried_ms = -MIN_LIFETIME_MS
         self._failed_ms: dict[ServerAddress, int] = {}
 
     async def choose(self) -> ServerAddress:
         """Return the address to use now.
 
-        It is the first one that has not failed lately; if all have, the one
-        whose failure is the longest ago.
+        It is the first one without a recent failure, or if all have failed
+        recently, the one whose failure is the oldest.
         """
         if self._clock.now_ms() >= self._expiry_ms:
             await self._refresh()
-        addresses = self._known or self._settings.seeds
+        addresses = self._addresses or self._settings.seeds
         return min(addresses, key=self._rank)
 
-    def note_failure(self, address: ServerAddress) -> None:
-        """Avoid an address for a while.
+    def record_failure(self, address: ServerAddress) -> None:
+        """Avoid an address for some time.
 
         :param address: the instance that failed or is leaving.
         """
         now_ms = self._clock.now_ms()
         self._failed_ms[address] = now_ms
-        earliest_ms = self._asked_ms + LEAST_LIFETIME_MS
+        earliest_ms = self._queried_ms + MIN_LIFETIME_MS
         self._expiry_ms = min(self._expiry_ms, max(now_ms, earliest_ms))
 
     def _rank(self, address: ServerAddress) -> int:
         failed_ms = self._failed_ms.get(address)
         if failed_ms is None:
             return 0
-        if self._clock.now_ms() - failed_ms >= FAILED_MS:
+        if self._clock.now_ms() - failed_ms >= FAILURE_MEMORY_MS:
             del self._failed_ms[address]
             return 0
         return failed_ms + 1
 
     async def _refresh(self) -> None:
-        self._asked_ms = self._clock.now_ms()
-        asked = dict.fromkeys((*self._known, *self._settings.seeds))
-        for address in sorted(asked, key=self._rank):
-            document = await self._ask(address)
+        self._queried_ms = self._clock.now_ms()
+        candidates = dict.fromkeys((*self._addresses, *self._settings.seeds))
+        for address in sorted(candidates, key=self._rank):
+            document = await self._query(address)
             if document is None:
                 self._failed_ms[address] = self._clock.now_ms()
                 continue
-            self._known = tuple(
+            self._addresses = tuple(
                 ServerAddress(each['host'], each['port'])
                 for each in document['instances']
             )
             self._expiry_ms = self._clock.now_ms() + document['lifetime_ms']
             return
-        self._expiry_ms = self._asked_ms + LEAST_LIFETIME_MS
+        self._expiry_ms = self._queried_ms + MIN_LIFETIME_MS
 
-    async def _ask(self, address: ServerAddress) -> DiscoveryDocument | None:
+    async def _query(self, address: ServerAddress) -> DiscoveryDocument | None:
         headers = (('authorization', f'Bearer {self._settings.token}'),)
         request = HttpRequest('GET', '/v1/instances', headers)
-        outcome = await fetch(
+        result = await fetch(
             self._pool, address, request, self._settings.discovery_timeout_ms
         )
-        if not isinstance(outcome, HttpResponse) or outcome.status != OK_STATUS:
+        if not isinstance(result, HttpResponse) or result.status != OK_STATUS:
             return None
         try:
-            return _decoder.decode(outcome.body)
+            return _decoder.decode(result.body)
         except msgspec.DecodeError:
             return None
--- a/savorychute/client/call_error.py
+++ b/savorychute/client/call_error.py
@@ -1,4 +1,4 @@
-"""Calls without a whole answer."""
+"""The error of a failed call."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class CallError(SavorychuteError):
-    """There is no whole answer, and the library will not try again.
+    """There is no complete response, and the library does not retry.
 
     :param code: the numbered reason.
     :param ran: whether the request ran.
-    :param message: what is wrong in this case.
-    :param retry_after_ms: when a new call may succeed; 0 if nobody said.
-    :param request_id: names the last try in the system's logs, or empty.
+    :param message: details of this error.
+    :param retry_after_ms: when a new call may succeed; 0 if unknown.
+    :param request_id: the id of the last attempt in the system's logs, or empty.
     """
 
     def __init__(
--- a/savorychute/client/calls.py
+++ b/savorychute/client/calls.py
@@ -1,4 +1,4 @@
-"""What a caller can ask for."""
+"""The calls that a caller can make."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class ChatCall(NamedTuple):
-    """A question to a model.
+    """A chat completion by a model.
 
-    ``timeout_ms`` bounds the call with all its tries; a patient call has a
-    long one.  ``idempotent`` says what the contract says of the class.
+    ``timeout_ms`` limits the call with all its attempts; calls of patient classes
+    need a long one.  ``idempotent`` must match the contract's setting of the class.
     """
 
     model: str
@@ -23,7 +23,7 @@
 
 
 class ServiceCall(NamedTuple):
-    """A call to a plain service; ``path`` begins with a slash."""
+    """A call to a plain service; ``path`` starts with a slash."""
 
     service: str
     method: str
--- a/savorychute/client/client.py
+++ b/savorychute/client/client.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from savorychute.client.address_book import AddressBook
+from savorychute.client.address_table import AddressTable
 from savorychute.client.call_error import CallError
-from savorychute.client.call_run import CallRun
+from savorychute.client.call_execution import CallExecution
 from savorychute.client.response_stream import ResponseBrokenError
 from savorychute.client.stream_position import StreamPosition
 from savorychute.client.whole_answer import WholeAnswer
@@ -36,12 +36,12 @@
 
 
 class Client:
-    """Calls that end with a whole answer or a :class:`CallError`.
+    """Makes calls that end with a complete response or a :class:`CallError`.
 
-    :param settings: seeds, token and bounds.
-    :param pool: connections to instances.
-    :param clock: the time for deadlines.
-    :param rng: the source of random waits.
+    :param settings: the seeds, the token and the limits.
+    :param pool: the connections to instances.
+    :param clock: the clock for deadlines.
+    :param rng: the source of random backoffs.
     """
 
     def __init__(
@@ -55,21 +55,21 @@
         self._pool = pool
         self._clock = clock
         self._rng = rng
-        self._book = AddressBook(settings, pool, clock)
+        self._addresses = AddressTable(settings, pool, clock)
 
     async def complete(self, call: ChatCall) -> WholeAnswer:
-        """Return a model's whole answer.
+        """Return a model's complete response.
 
-        :param call: the question.
+        :param call: the chat call.
         :raises CallError: if there is none.
         """
         request = _write_chat(call, stream=False)
         return await self._fetch(request, call.idempotent, call.timeout_ms)
 
     async def call_service(self, call: ServiceCall) -> WholeAnswer:
-        """Return a plain service's whole answer.
+        """Return a plain service's complete response.
 
-        :param call: the call.
+        :param call: the service call.
         :raises CallError: if there is none.
         """
         target = f'/v1/services/{quote(call.service, safe="")}{call.path}'
@@ -80,21 +80,21 @@
         return await self._fetch(request, call.idempotent, call.timeout_ms)
 
     async def stream(self, call: ChatCall) -> AsyncIterator[Tokens]:
-        """Yield a model's answer as it comes; it ends only if it is whole.
+        """Yield a model's response as it arrives; the end means that it is complete.
 
-        A stream that breaks off is resumed at another instance, at the token
-        that is missing; nothing is yielded twice.
+        A truncated stream is resumed at another instance, at the first missing
+        token; no token is yielded twice.
 
-        :param call: the question.
-        :raises CallError: if the answer breaks off for good.
+        :param call: the chat call.
+        :raises CallError: if the response is truncated and cannot be resumed.
         """
-        run = self._start(
+        execution = self._start_execution(
             _write_chat(call, stream=True), call.idempotent, call.timeout_ms
         )
         position = StreamPosition()
         while True:
-            response = await run.open()
-            position.enter(response)
+            response = await execution.open()
+            position.set_handle(response)
             try:
                 async for tokens in position.read(response):
                     yield tokens
@@ -102,41 +102,45 @@
             except TimeoutError:
                 raise _describe_timeout(response) from None
             except ResponseBrokenError as error:
-                await run.note_broken(_describe_break(response, error), cut=True)
+                await execution.prepare_retry(
+                    _describe_break(response, error), connection_broken=True
+                )
             except CallError as error:
                 if error.ran is Ran.NOT_RUN or not position.resumable:
                     raise
-                await run.note_broken(error, cut=False)
+                await execution.prepare_retry(error, connection_broken=False)
             finally:
                 response.close()
             if position.next_offset and not position.resumable:
-                raise _describe_lost(response)
-            run.handle = position.write_handle()
-            run.continue_from(position.next_offset, position.text)
+                raise _describe_unresumable(response)
+            execution.handle = position.encode_handle()
+            execution.continue_from(position.next_offset, position.text)
 
     async def _fetch(
         self, request: HttpRequest, idempotent: bool, timeout_ms: int
     ) -> WholeAnswer:
-        run = self._start(request, idempotent, timeout_ms)
+        execution = self._start_execution(request, idempotent, timeout_ms)
         while True:
-            response = await run.open()
+            response = await execution.open()
             try:
-                body = await response.read_whole()
+                body = await response.read_body()
                 return _make_answer(response, body)
             except TimeoutError:
                 raise _describe_timeout(response) from None
             except ResponseBrokenError as error:
-                await run.note_broken(_describe_break(response, error), cut=True)
+                await execution.prepare_retry(
+                    _describe_break(response, error), connection_broken=True
+                )
             finally:
                 response.close()
 
-    def _start(
+    def _start_execution(
         self, request: HttpRequest, idempotent: bool, timeout_ms: int
-    ) -> CallRun:
-        return CallRun(
+    ) -> CallExecution:
+        return CallExecution(
             self._settings,
             self._pool,
-            self._book,
+            self._addresses,
             self._clock,
             self._rng,
             request,
@@ -152,12 +156,12 @@
     clock: Clock | None = None,
     rng: random.Random | None = None,
 ) -> AsyncIterator[Client]:
-    """Give a client and close its connections when the block ends.
+    """Yield a client and close its connections when the block ends.
 
-    :param settings: seeds, token and bounds.
-    :param tls: the context of encrypted connections, or none for plain ones.
-    :param clock: the time for deadlines.
-    :param rng: the source of random waits.
+    :param settings: the seeds, the token and the limits.
+    :param tls: the context of encrypted connections, or None for plain ones.
+    :param clock: the clock for deadlines.
+    :param rng: the source of random backoffs.
     """
     clock = clock or SystemClock()
     with open_pool(settings.pool, clock, tls) as pool:
@@ -186,15 +190,17 @@
 
 
 def _describe_timeout(response: ResponseStream) -> CallError:
-    return _describe(response, ResultCode.ANSWER_TIMEOUT, 'not whole in time')
+    return _describe(
+        response, ResultCode.ANSWER_TIMEOUT, 'the response was not complete in time'
+    )
 
 
 def _describe_break(response: ResponseStream, error: ResponseBrokenError) -> CallError:
     return _describe(response, ResultCode.ANSWER_TRUNCATED, error.message)
 
 
-def _describe_lost(response: ResponseStream) -> CallError:
-    message = 'the answer broke off and cannot be resumed'
+def _describe_unresumable(response: ResponseStream) -> CallError:
+    message = 'the response was truncated and cannot be resumed'
     return _describe(response, ResultCode.ANSWER_TRUNCATED, message)
 
 
--- a/savorychute/client/client_settings.py
+++ b/savorychute/client/client_settings.py
@@ -8,12 +8,12 @@
 
 
 class ClientSettings(NamedTuple):
-    """Whom to ask first, with which token, and how often to try.
+    """Initial addresses, the token, and limits for retries.
 
-    ``seeds`` are addresses of some instances; the answer to discovery replaces
-    them.  ``max_failures`` bounds the tries after a failure that may have
-    cost work; refusals that say 'not run' are bounded by the call's deadline
-    alone.  Waits double from ``min_backoff_ms`` to ``max_backoff_ms``.
+    ``seeds`` are addresses of some instances; the discovery response replaces
+    them.  ``max_failures`` limits the retries after failures that may have wasted
+    work; retries after refusals with 'not run' are limited only by the call's
+    deadline.  Backoffs double from ``min_backoff_ms`` to ``max_backoff_ms``.
     """
 
     seeds: tuple[ServerAddress, ...]
--- a/savorychute/client/refusal.py
+++ b/savorychute/client/refusal.py
@@ -1,4 +1,4 @@
-"""Reading answers that say why there is none."""
+"""Parser of error responses."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 def is_refusal(response: ResponseStream) -> bool:
-    """Return whether the system itself answers, and not an endpoint.
+    """Return whether the response is an error of the system, not of an endpoint.
 
-    :param response: with its head.
+    :param response: a response whose head has arrived.
     """
     return response.headers.get('x-result-code', '0') != '0'
 
 
 def read_code(response: ResponseStream) -> ResultCode | None:
-    """Return the result code of an answer, or none if it is unknown.
+    """Return the result code of a response, or None if it is unknown.
 
-    :param response: with its head.
+    :param response: a response whose head has arrived.
     """
     return CODES.get(_read_number(response.headers.get('x-result-code', '')))
 
@@ -38,10 +38,11 @@
 def read_refusal(response: ResponseStream, body: bytes) -> CallError:
     """Return a refusal as an exception.
 
-    What cannot be read is taken for the worst: it may have run.
+    If the refusal cannot be parsed, the worst case is assumed: the request may have
+    run.
 
-    :param response: with its head.
-    :param body: the whole body.
+    :param response: a response whose head has arrived.
+    :param body: the complete body.
     """
     headers = response.headers
     code = read_code(response)
@@ -62,12 +63,12 @@
 def read_error_event(response: ResponseStream, data: bytes) -> CallError:
     """Return the error event that ends a stream as an exception.
 
-    :param response: with its head.
-    :param data: the event's JSON.
+    :param response: a response whose head has arrived.
+    :param data: the JSON document of the event.
     """
     code: ResultCode | None = None
     ran = Ran.UNKNOWN
-    message = 'the answer broke off'
+    message = 'the response was truncated'
     try:
         detail = _decoder.decode(data)['error']
         code = CODES.get(detail['code'])
--- a/savorychute/client/response_stream.py
+++ b/savorychute/client/response_stream.py
@@ -15,13 +15,13 @@
     from savorychute.http.call_failure import CallFailure
     from savorychute.http.client_call import ClientCall
 
-UNREAD_BYTES = 64 * 1024
+MAX_UNREAD_BYTES = 64 * 1024
 
 
 class ResponseBrokenError(SavorychuteError):
-    """A call ended without a whole response.
+    """A call ended without a complete response.
 
-    :param failure: whether a byte was sent, and why it failed.
+    :param failure: whether a byte was sent, and the reason.
     """
 
     code = ResultCode.ANSWER_TRUNCATED
@@ -32,12 +32,12 @@
 
 
 class ResponseStream:
-    """A handler whose head and parts are awaited.
+    """A response handler whose head and parts can be awaited.
 
-    Beyond a bound of unread bytes the connection is read no more, so a slow
-    reader slows the system down instead of filling its own memory.
+    Beyond a maximum of unread bytes, reading of the connection pauses, so that a
+    slow reader applies back-pressure instead of filling its own memory.
 
-    :param deadline_s: the loop's time after which every wait ends.
+    :param deadline_s: the time of the event loop at which every wait ends.
     """
 
     def __init__(self, deadline_s: float) -> None:
@@ -53,77 +53,77 @@
         self._changed = asyncio.Event()
 
     async def wait_for_head(self) -> None:
-        """Wait until status and headers are there.
+        """Wait until the status and headers have arrived.
 
-        :raises ResponseBrokenError: if they do not come.
-        :raises TimeoutError: if they do not come in time.
+        :raises ResponseBrokenError: if the call fails before.
+        :raises TimeoutError: if they do not arrive in time.
         """
         while not self.status:
-            await self._wait()
+            await self._wait_for_change()
 
     async def read_parts(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the body as it arrives.
 
-        :raises ResponseBrokenError: if its end does not come.
-        :raises TimeoutError: if it does not come in time.
+        :raises ResponseBrokenError: if the call fails before its end.
+        :raises TimeoutError: if the end does not arrive in time.
         """
         while True:
             while self._parts:
-                yield self._take_part()
+                yield self._next_part()
             if self._ended:
                 return
-            await self._wait()
+            await self._wait_for_change()
 
-    async def read_whole(self) -> bytes:
-        """Return the whole body.
+    async def read_body(self) -> bytes:
+        """Return the complete body.
 
-        :raises ResponseBrokenError: if its end does not come.
+        :raises ResponseBrokenError: if the call fails before its end.
         """
         return b''.join([part async for part in self.read_parts()])
 
     def close(self) -> None:
-        """Stop; a response that is not whole costs its connection."""
+        """Stop reading; if the response is incomplete, its connection is aborted."""
         if self.call is not None and not self._ended:
             self.call.cancel()
 
     def about_to_send(self) -> bool:
-        """Agree; whoever waits no longer has cancelled the call."""
+        """Allow the request to be sent; an unwanted call was cancelled before."""
         return True
 
     def response_started(self, status: int, headers: dict[str, str]) -> None:
-        """Keep the head."""
+        """Store the head."""
         self.status = status
         self.headers = headers
         self._changed.set()
 
     def response_data(self, data: bytes) -> None:
-        """Keep a part."""
+        """Store a part."""
         self._parts.append(data)
         self._unread_bytes += len(data)
-        if self._unread_bytes > UNREAD_BYTES and self.call is not None:
+        if self._unread_bytes > MAX_UNREAD_BYTES and self.call is not None:
             self._paused = True
             self.call.pause_reading()
         self._changed.set()
 
     def response_ended(self) -> None:
-        """Note the end."""
+        """Record the end."""
         self._ended = True
         self._changed.set()
 
     def call_failed(self, failure: CallFailure) -> None:
-        """Note the failure; what came before it can still be read."""
+        """Record the failure; parts that arrived before can still be read."""
         self._failure = failure
         self._changed.set()
 
-    def _take_part(self) -> bytes:
+    def _next_part(self) -> bytes:
         part = self._parts.popleft()
         self._unread_bytes -= len(part)
-        if self._paused and self._unread_bytes <= UNREAD_BYTES and self.call:
+        if self._paused and self._unread_bytes <= MAX_UNREAD_BYTES and self.call:
             self._paused = False
             self.call.resume_reading()
         return part
 
-    async def _wait(self) -> None:
+    async def _wait_for_change(self) -> None:
         if self._failure is not None:
             raise ResponseBrokenError(self._failure)
         async with asyncio.timeout_at(self._deadline_s):
--- a/savorychute/client/stream_position.py
+++ b/savorychute/client/stream_position.py
@@ -1,4 +1,4 @@
-"""How far a caller has read a streamed answer."""
+"""The read position in a streamed response."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class StreamPosition:
-    """Joins the parts of one answer by their offsets."""
+    """Joins the parts of one streamed response by their offsets."""
 
     def __init__(self) -> None:
         self.next_offset = 0
@@ -40,13 +40,13 @@
 
     @property
     def resumable(self) -> bool:
-        """Whether there is a handle to go on with."""
+        """Whether there is a handle with which to resume the stream."""
         return self._handle is not None
 
-    def enter(self, response: ResponseStream) -> None:
-        """Take the handle of a response.
+    def set_handle(self, response: ResponseStream) -> None:
+        """Store the continuation handle of a response.
 
-        :param response: with its head.
+        :param response: a response whose head has arrived.
         """
         text = response.headers.get('x-continuation-handle', '')
         if not text:
@@ -56,17 +56,17 @@
         except RequestError:
             self._handle = None
 
-    def write_handle(self) -> str:
-        """Return the handle for the first token that is missing, or nothing."""
+    def encode_handle(self) -> str:
+        """Return the handle for the first missing token, or an empty string."""
         if self._handle is None:
             return ''
         return self._handle._replace(offset=self.next_offset).encode()
 
     async def read(self, response: ResponseStream) -> AsyncIterator[Tokens]:
-        """Yield what is new in a response; return at the end of the answer.
+        """Yield the new tokens of a response; return at the end of the stream.
 
-        :param response: with its head.
-        :raises ResponseBrokenError: if the response breaks off.
+        :param response: a response whose head has arrived.
+        :raises ResponseBrokenError: if the response is truncated.
         :raises CallError: if an error event ends it, or tokens are missing.
         """
         reader = SseReader()
@@ -83,10 +83,10 @@
         raise ResponseBrokenError(failure)
 
     def _join(self, event: SseEvent) -> Tokens | None:
-        """Return the tokens of an event, or nothing if they were read before.
+        """Return the tokens of an event, or None if they were read before.
 
-        A gap, or a part that begins inside what was read, would give the
-        caller an answer that no engine has made.
+        A gap, or an event that starts inside the tokens that were read, would give
+        the caller a response that no engine has generated.
         """
         try:
             chunk = _decoder.decode(event.data)
--- a/savorychute/client/tokens.py
+++ b/savorychute/client/tokens.py
@@ -1,4 +1,4 @@
-"""A part of a streamed answer."""
+"""A part of a streamed response."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Tokens(NamedTuple):
-    """Tokens ``offset`` to ``offset + token_count`` of an answer."""
+    """The tokens of a response from ``offset`` to ``offset + token_count``."""
 
     offset: int
     token_count: int
--- a/savorychute/client/whole_answer.py
+++ b/savorychute/client/whole_answer.py
@@ -1,4 +1,4 @@
-"""An answer that is not streamed."""
+"""A response that is not streamed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WholeAnswer(NamedTuple):
-    """A whole answer and who gave it."""
+    """A complete response, with the ids of its request, attempt and endpoint."""
 
     status: int
     content_type: str
--- a/tests/test_client/client_rig.py
+++ b/tests/test_client/client_fixture.py
@@ -1,4 +1,4 @@
-"""Scripted instances, and a client that calls them."""
+"""Fake instances with scripted responses, and a client that calls them."""
 
 from __future__ import annotations
 
@@ -23,13 +23,15 @@
 from savorychute.result_code import ResultCode
 
 CHAT = ChatCall('m', ({'role': 'user', 'content': 'why?'},), 'diagnosis')
-VISIT = ServiceCall('desk', 'POST', '/visits', 'visit-log', b'{}', idempotent=False)
+SERVICE_CALL = ServiceCall(
+    'desk', 'POST', '/visits', 'visit-log', b'{}', idempotent=False
+)
 HANDLE = ContinuationHandle('engine', 's1', 0).encode()
 TEXTS = ('air', ' lock', ' in', ' the', ' pump')
 
 
-class Instance:
-    """Answers with the next function of its script; the last one repeats."""
+class FakeInstance:
+    """Responds with the next function of its script; the last one repeats."""
 
     def __init__(self, name, script):
         self.name = name
@@ -41,8 +43,8 @@
         self.lifetime_ms = 60_000
         self.address = None
 
-    def take(self, exchange):
-        """Answer one request."""
+    def handle(self, exchange):
+        """Respond to one request."""
         target = exchange.request.target
         if target == '/v1/instances':
             self.discoveries += 1
@@ -61,7 +63,7 @@
             act(exchange)
 
 
-def answer(exchange):
+def respond(exchange):
     exchange.respond(200, [('x-result-code', '0'), ('x-ran', 'ran')], b'answer')
 
 
@@ -73,13 +75,13 @@
     return act
 
 
-def cut(exchange):
+def truncate(exchange):
     exchange.start(200, [('x-result-code', '0'), ('content-length', '99')])
     exchange.send(b'half')
     asyncio.get_running_loop().call_later(0.01, exchange.abort)
 
 
-def drop(exchange):
+def abort(exchange):
     exchange.abort()
 
 
@@ -94,7 +96,7 @@
 
 
 def stream(start, stop, end='done', handle=HANDLE):
-    """Send the texts from *start* to *stop*, then end in some way."""
+    """Send the texts from *start* to *stop*, then end as *end* states."""
 
     def act(exchange):
         headers = [('x-result-code', '0'), ('content-type', 'text/event-stream')]
@@ -128,14 +130,14 @@
     async with AsyncExitStack() as stack:
         for instance in instances:
             instance.peers = list(instances)
-            server = HttpServer(HttpLimits(), SystemClock(), instance.take)
+            server = HttpServer(HttpLimits(), SystemClock(), instance.handle)
             await stack.enter_async_context(listen(server, '127.0.0.1', 0))
             instance.address = ServerAddress('127.0.0.1', server.port)
         yield
 
 
 def run(act, *instances, clock=None, **changes):
-    """Run *act* with a client whose one seed is the first instance."""
+    """Run *act* with a client whose only seed is the first instance."""
 
     async def main():
         async with run_instances(instances):
@@ -148,5 +150,5 @@
     return asyncio.run(main())
 
 
-async def read(client, call=CHAT):
+async def read_text(client, call=CHAT):
     return ''.join([tokens.text async for tokens in client.stream(call)])
--- a/tests/test_client/test_discovery.py
+++ b/tests/test_client/test_discovery.py
@@ -1,9 +1,18 @@
-"""Tests of how a client finds instances."""
+"""Tests of how a client discovers instances."""
 
 from __future__ import annotations
 
 import pytest
-from client_rig import CHAT, VISIT, Instance, answer, drop, redirect_to, refuse, run
+from client_fixture import (
+    CHAT,
+    SERVICE_CALL,
+    FakeInstance,
+    abort,
+    redirect_to,
+    refuse,
+    respond,
+    run,
+)
 
 from savorychute.client import (
     CallError,
@@ -12,8 +21,8 @@
 from savorychute.result_code import ResultCode
 
 
-def test_discovery_is_kept_for_its_lifetime():
-    instance = Instance('i1', [answer])
+def test_discovery_response_is_reused_for_its_lifetime():
+    instance = FakeInstance('i1', [respond])
 
     async def act(client):
         for _ in range(3):
@@ -26,8 +35,8 @@
     assert instance.requests[0].header('x-request-class') == 'diagnosis'
 
 
-def test_discovery_that_has_run_out_is_asked_for_again():
-    instance = Instance('i1', [answer])
+def test_expired_discovery_response_is_refreshed():
+    instance = FakeInstance('i1', [respond])
     instance.lifetime_ms = 0
 
     async def act(client):
@@ -39,63 +48,65 @@
     assert instance.discoveries == 2
 
 
-def test_addresses_are_asked_for_again_when_one_fails():
-    """All instances replaced.
+def test_addresses_are_refreshed_when_one_fails():
+    """Guard against a client without any usable address.
 
-    Within one lifetime of the answer every instance that it names is replaced,
-    one after the other.  A client that kept the answer would be left with
-    addresses at which nobody is, and no one to ask for new ones.
+    Within the lifetime of one discovery response, every instance in it is replaced,
+    one after the other.  A client that only cached the response would have no
+    address left at which to query for new ones.
     """
-    first, second = Instance('i1', [answer]), Instance('i2', [answer])
-    third = Instance('i3', [answer])
+    first, second = FakeInstance('i1', [respond]), FakeInstance('i2', [respond])
+    third = FakeInstance('i3', [respond])
     clock = ManualClock()
 
     async def act(client):
         first.peers = second.peers = [first, second]
         await client.complete(CHAT)
-        first.script = [drop]
+        first.script = [abort]
         first.peers = second.peers = [second, third]
         clock.advance_to(2_000)
         await client.complete(CHAT)
         clock.advance_to(4_000)
         await client.complete(CHAT)
-        second.script = [drop]
+        second.script = [abort]
         return await client.complete(CHAT)
 
-    got = run(act, first, second, third, clock=clock)
+    response = run(act, first, second, third, clock=clock)
 
-    assert got.body == b'answer'
+    assert response.body == b'answer'
     assert len(third.requests) == 1
 
 
-def test_instance_that_does_not_answer_is_left_for_another():
-    first, second = Instance('i1', [drop]), Instance('i2', [answer])
+def test_call_moves_from_a_failing_instance_to_another():
+    first, second = FakeInstance('i1', [abort]), FakeInstance('i2', [respond])
 
-    got = run(lambda client: client.complete(CHAT), first, second)
+    response = run(lambda client: client.complete(CHAT), first, second)
 
-    assert got.body == b'answer'
+    assert response.body == b'answer'
     assert len(first.requests) == 1
 
 
-def test_leaving_instance_is_left_for_another():
-    first = Instance('i1', [refuse(ResultCode.SHUTTING_DOWN, retry_after_ms=60_000)])
-    second = Instance('i2', [answer])
+def test_call_moves_from_a_leaving_instance_to_another():
+    first = FakeInstance(
+        'i1', [refuse(ResultCode.SHUTTING_DOWN, retry_after_ms=60_000)]
+    )
+    second = FakeInstance('i2', [respond])
 
     assert run(lambda client: client.complete(CHAT), first, second).body == b'answer'
 
 
 def test_redirect_is_followed():
-    second = Instance('i2', [answer])
-    first = Instance('i1', [redirect_to(second)])
+    second = FakeInstance('i2', [respond])
+    first = FakeInstance('i1', [redirect_to(second)])
 
-    run(lambda client: client.call_service(VISIT), first, second)
+    run(lambda client: client.call_service(SERVICE_CALL), first, second)
 
     assert second.requests[0].header('x-request-key') == 'i1-1'
     assert second.requests[0].target == '/v1/services/desk/visits'
 
 
-def test_redirects_without_end_raise():
-    instance = Instance('i1', [])
+def test_too_many_redirects_raise():
+    instance = FakeInstance('i1', [])
     instance.script = [redirect_to(instance)]
 
     with pytest.raises(CallError, match='redirects'):
--- a/tests/test_client/test_streams.py
+++ b/tests/test_client/test_streams.py
@@ -1,11 +1,11 @@
-"""Tests of streams that break off."""
+"""Tests of truncated streams."""
 
 from __future__ import annotations
 
 import asyncio
 
 import pytest
-from client_rig import CHAT, TEXTS, Instance, read, run, stream
+from client_fixture import CHAT, TEXTS, FakeInstance, read_text, run, stream
 
 from savorychute.client import (
     CallError,
@@ -15,49 +15,48 @@
 
 
 @pytest.mark.parametrize('end', ['abort', 'error', 'silent-end'])
-def test_stream_that_breaks_off_is_resumed_at_the_missing_token(end):
-    """Instance dies mid-stream.
+def test_truncated_stream_is_resumed_at_the_missing_token(end):
+    """Guard against missing or repeated tokens when an instance crashes.
 
-    Two tokens have arrived when the stream breaks off.  The client goes on at
-    another instance with the handle, at the third token; the text has neither
-    a gap nor a token twice.
+    Two tokens have arrived when the stream ends.  The client resumes it at another
+    instance with the handle, at the third token.
     """
-    first = Instance('i1', [stream(0, 2, end), stream(2, 5)])
-    second = Instance('i2', [stream(2, 5)])
+    first = FakeInstance('i1', [stream(0, 2, end), stream(2, 5)])
+    second = FakeInstance('i2', [stream(2, 5)])
 
-    assert run(read, first, second) == ''.join(TEXTS)
+    assert run(read_text, first, second) == ''.join(TEXTS)
 
     resumed = (first.requests + second.requests)[1]
     handle = decode_handle(resumed.header('x-continuation-handle'))
     assert (handle.stream_id, handle.offset) == ('s1', 2)
 
 
-def test_tokens_that_come_again_are_dropped():
-    first = Instance('i1', [stream(0, 3, 'abort')])
-    second = Instance('i2', [stream(1, 5)])
+def test_repeated_tokens_are_dropped():
+    first = FakeInstance('i1', [stream(0, 3, 'abort')])
+    second = FakeInstance('i2', [stream(1, 5)])
 
-    assert run(read, first, second) == ''.join(TEXTS)
+    assert run(read_text, first, second) == ''.join(TEXTS)
 
 
 def test_gap_in_a_stream_raises():
-    instance = Instance('i1', [stream(0, 2, 'abort'), stream(3, 5)])
+    instance = FakeInstance('i1', [stream(0, 2, 'abort'), stream(3, 5)])
 
     with pytest.raises(CallError, match='expected token 2'):
-        run(read, instance, max_failures=1)
+        run(read_text, instance, max_failures=1)
 
 
-def test_stream_without_a_handle_is_not_run_anew_after_its_first_token():
-    instance = Instance('i1', [stream(0, 2, 'abort', handle='')])
+def test_stream_without_a_handle_is_not_retried_after_its_first_token():
+    instance = FakeInstance('i1', [stream(0, 2, 'abort', handle='')])
 
-    with pytest.raises(CallError) as caught:
-        run(read, instance)
+    with pytest.raises(CallError) as raised:
+        run(read_text, instance)
 
-    assert caught.value.ran is Ran.UNKNOWN
+    assert raised.value.ran is Ran.UNKNOWN
     assert len(instance.requests) == 1
 
 
 def test_reader_that_stops_early_cancels_the_stream():
-    instance = Instance('i1', [stream(0, 2, 'open')])
+    instance = FakeInstance('i1', [stream(0, 2, 'open')])
     left = []
 
     def keep_open(exchange):
