--- a/savorychute/testing/callers.py
+++ b/savorychute/testing/callers.py
@@ -78,7 +78,7 @@
     def failed(self, call: Call, refusal: Refusal, call_try: CallTry) -> None:
         """Go on after a refusal or a cut answer, or take it as the end.
 
-        The rules are those of :class:`savorychute.client.call_execution.CallRun`.
+        The rules are those of :class:`savorychute.client.call_execution.CallExecution`.
         """
         self._open.pop(call.call_id, None)
         if refusal.location and call.redirects < MAX_REDIRECTS:
