--- a/savorychute/daemon/host.py
+++ b/savorychute/daemon/host.py
@@ -189,7 +189,7 @@
             try:
                 self._action_handlers[type(action)](action)
             except Exception as error:
-                self._report(error, f'{type(action).__name__} failed')
+                self._report_error(error, f'{type(action).__name__} failed')
 
     def _tick(self) -> None:
         """Tick the instance; after a tick that raises, another one is scheduled."""
@@ -199,12 +199,12 @@
             self.attempts.report_paused(now_ms)
             self._perform(self.instance.tick(now_ms))
         except Exception as error:
-            self._report(error, 'tick failed')
+            self._report_error(error, 'tick failed')
             self._retry_tick()
         else:
             self._schedule_tick()
 
-    def _report(self, error: Exception, message: str) -> None:
+    def _report_error(self, error: Exception, message: str) -> None:
         context = {'message': message, 'exception': error}
         asyncio.get_running_loop().call_exception_handler(context)
 
--- a/savorychute/http/client_pool.py
+++ b/savorychute/http/client_pool.py
@@ -25,7 +25,7 @@
 
 
 class ServerAddress(NamedTuple):
-    """IP number and port of a server."""
+    """IP address and port of a server."""
 
     host: str
     port: int
--- a/savorychute/http/server_connection.py
+++ b/savorychute/http/server_connection.py
@@ -50,7 +50,7 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self.pipelined_bytes = 0
-        self._held = b''
+        self._unwritten = b''
         self._lingering = False
         self._without_body = False
         self._request_started = False
@@ -338,19 +338,19 @@
     # -- helpers
 
     def _write(self, event: h11.Event) -> None:
-        data = self._held + (self._http.send(event) or b'')
-        self._held = b''
+        data = self._unwritten + (self._http.send(event) or b'')
+        self._unwritten = b''
         if data:
             self._transport.write(data)
 
     def _buffer_event(self, event: h11.Event) -> None:
         """Buffer bytes for the next write, because each write is a system call."""
-        self._held += self._http.send(event) or b''
+        self._unwritten += self._http.send(event) or b''
 
     def _flush(self) -> None:
-        if self._held and not self._transport.is_closing():
-            self._transport.write(self._held)
-        self._held = b''
+        if self._unwritten and not self._transport.is_closing():
+            self._transport.write(self._unwritten)
+        self._unwritten = b''
 
     def _set_deadline(self, timeout_ms: int) -> None:
         self._deadline_ms = self._server.now_ms() + timeout_ms
--- a/savorychute/http/timed_call.py
+++ b/savorychute/http/timed_call.py
@@ -72,7 +72,7 @@
     """
     done = _CallOutcome()
     call = submit_timed(pool, address, request, timeout_ms, done.settle, done.settle)
-    return await done.of(call)
+    return await done.wait_for(call)
 
 
 async def fetch_large(
@@ -101,7 +101,7 @@
 
     monitor.start(time_out)
     try:
-        return await done.of(call)
+        return await done.wait_for(call)
     finally:
         monitor.stop()
 
@@ -144,7 +144,7 @@
         if not self._done.done():
             self._done.set_result(outcome)
 
-    async def of(self, call: ClientCall) -> HttpResponse | CallFailure:
+    async def wait_for(self, call: ClientCall) -> HttpResponse | CallFailure:
         try:
             return await self._done
         except asyncio.CancelledError:
--- a/tests/test_daemon/daemon_fakes.py
+++ b/tests/test_daemon/daemon_fakes.py
@@ -86,35 +86,35 @@
         self.discover(token)
         return f'key-{now_ms}'
 
-    def deliver(self, delivered: object, now_ms: int) -> list[object]:  # noqa: ARG002
+    def deliver(self, new_input: object, now_ms: int) -> list[object]:  # noqa: ARG002
         """Forward requests to the endpoint and its responses to the caller."""
-        self.inputs.append(delivered)
-        match delivered:
+        self.inputs.append(new_input)
+        match new_input:
             case CallerRequest():
-                return self._start_attempt(delivered)
+                return self._start_attempt(new_input)
             case CallerLeft():
-                return [CancelAttempt(f'a-{delivered.request_id}')]
+                return [CancelAttempt(f'a-{new_input.request_id}')]
             case AttemptStarted():
-                self.heads[delivered.attempt_id] = delivered
+                self.heads[new_input.attempt_id] = new_input
                 return []
             case AttemptChunk():
-                request_id = delivered.attempt_id[2:]
+                request_id = new_input.attempt_id[2:]
                 return [
-                    *self._start_response(delivered.attempt_id),
+                    *self._start_response(new_input.attempt_id),
                     SendChunk(
                         request_id,
-                        delivered.offset,
-                        delivered.data,
-                        delivered.token_count,
+                        new_input.offset,
+                        new_input.data,
+                        new_input.token_count,
                     ),
                 ]
             case AttemptEnded():
-                finish = FinishResponse(delivered.attempt_id[2:])
-                return [*self._start_response(delivered.attempt_id), finish]
+                finish = FinishResponse(new_input.attempt_id[2:])
+                return [*self._start_response(new_input.attempt_id), finish]
             case AttemptFailed():
-                return [self._fail(delivered)]
+                return [self._fail(new_input)]
         if self.cancel_when_sent:
-            return [CancelAttempt(delivered.attempt_id)]
+            return [CancelAttempt(new_input.attempt_id)]
         return []
 
     def inputs_of(self, kind: type) -> list[object]:
--- a/tests/test_daemon/test_orders.py
+++ b/tests/test_daemon/test_orders.py
@@ -20,7 +20,7 @@
     order_timeout_ms: int = 5_000
 
 
-class OrderingHost:
+class FakeHost:
     """A fake host with the parts that orders need."""
 
     def __init__(self) -> None:
@@ -60,7 +60,7 @@
     """
 
     async def run():
-        host = OrderingHost()
+        host = FakeHost()
         server = FakeServer(
             lambda exchange: exchange.respond(200, (), b'{"outcome":"done"}')
         )
--- a/tests/test_http/test_kept_connections.py
+++ b/tests/test_http/test_kept_connections.py
@@ -87,7 +87,7 @@
     assert numbers == [0, 0]
 
 
-def test_kept_connection_that_is_already_closed_is_replaced():
+def test_idle_connection_that_is_already_closed_is_replaced():
     numbers = []
 
     async def handle(reader, writer, number):
@@ -211,7 +211,7 @@
     """
     seen = []
 
-    async def keep_briefly(reader, writer, number):
+    async def respond_with_short_keep_alive(reader, writer, number):
         while True:
             await read_head(reader)
             seen.append(number)
@@ -220,7 +220,7 @@
 
     async def main():
         clock = ManualClock()
-        async with raw_server(keep_briefly) as address:
+        async with raw_server(respond_with_short_keep_alive) as address:
             with open_pool(PoolSettings(), clock) as pool:
                 for now_ms in (0, 900, 2_500):
                     clock.advance_to(now_ms)
