--- a/savorychute/gateway/daemon/attempt_sender.py
+++ b/savorychute/gateway/daemon/attempt_sender.py
@@ -16,9 +16,9 @@
     from savorychute.gateway.endpoint_telemetry import EndpointTelemetry
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
     from savorychute.gateway.endpoints.engine_load import EngineLoad
-    from savorychute.gateway.endpoints.statement_book import StatementBook
+    from savorychute.gateway.endpoints.statement_table import StatementTable
     from savorychute.gateway.permits.permit import Permit
-    from savorychute.gateway.permits.permit_desk import PermitDesk
+    from savorychute.gateway.permits.permit_handler import PermitHandler
     from savorychute.gateway.platform_adapter import PlatformAdapter
     from savorychute.gateway.requests.attempt_port import AttemptListener
     from savorychute.gateway.requests.outbound_attempt import OutboundAttempt
@@ -48,8 +48,8 @@
         self,
         pool: ClientPool,
         adapter: PlatformAdapter,
-        statements: StatementBook,
-        permits: PermitDesk,
+        statements: StatementTable,
+        permits: PermitHandler,
         telemetry: EndpointTelemetry,
         clock: Clock,
     ) -> None:
@@ -126,9 +126,9 @@
         run, now_ms = endpoint.run, self._clock.now_ms()
         if kind is CallKind.ATTEMPT and run in self._statements.leaving:
             return False
-        if self._statements.rests.left_ms(run, now_ms):
+        if self._statements.pauses.remaining_ms(run, now_ms):
             return False
-        if not self._permits.may_send(run, permit, now_ms):
+        if not self._permits.can_send(run, permit, now_ms):
             return False
         limit_per_s = self._statements.limits.limit_per_s(run)
         if limit_per_s is not None:
@@ -148,7 +148,7 @@
         statement = self._adapter.decode_statement(status, headers)
         for unreadable in statement.unreadable:
             self._telemetry.statement_unreadable(run, unreadable)
-        self._statements.take(run, statement, sent_ms, self._clock.now_ms())
+        self._statements.apply(run, statement, sent_ms, self._clock.now_ms())
 
 
 class _ResponseHandler:
--- a/savorychute/gateway/requests/progress_deadline.py
+++ b/savorychute/gateway/requests/progress_deadline.py
@@ -32,7 +32,7 @@
     """
     last_received_ms = max(attempt.started_ms, attempt.last_received_ms)
     if route.kind is RequestKind.STREAM:
-        last_received_ms = max(last_received_ms, attempt.choice.record.heard_ms)
+        last_received_ms = max(last_received_ms, attempt.choice.record.last_contact_ms)
     return last_received_ms + _progress_timeout_ms(attempt, route)
 
 
--- a/tests/test_fleet/test_attempt_sender.py
+++ b/tests/test_fleet/test_attempt_sender.py
@@ -10,10 +10,10 @@
 from savorychute.gateway.daemon.attempt_sender import AttemptSender
 from savorychute.gateway.endpoint_telemetry import EndpointTelemetry
 from savorychute.gateway.endpoints.endpoint_statement import EndpointStatement
-from savorychute.gateway.endpoints.statement_book import StatementBook
+from savorychute.gateway.endpoints.statement_table import StatementTable
 from savorychute.gateway.metric_rows import GATEWAY_METRICS
 from savorychute.gateway.permits.permit import Permit
-from savorychute.gateway.permits.permit_desk import PermitDesk
+from savorychute.gateway.permits.permit_handler import PermitHandler
 from savorychute.gateway.telemetry import GatewayTelemetry
 from savorychute.logs import InstanceLog
 from savorychute.metrics import Metrics
@@ -61,8 +61,8 @@
         metrics = Metrics('k1', GATEWAY_METRICS)
         telemetry = GatewayTelemetry(InstanceLog('k1'), metrics, clock)
         endpoint_telemetry = EndpointTelemetry(telemetry)
-        self.statements = StatementBook(endpoint_telemetry)
-        permits = PermitDesk(self.statements.limits, clock, None)
+        self.statements = StatementTable(endpoint_telemetry)
+        permits = PermitHandler(self.statements.limits, clock, None)
         self.pool = FakePool()
         self.listener = FakeListener()
         self.sender = AttemptSender(
@@ -75,7 +75,7 @@
         )
 
     def state_limit(self):
-        self.statements.take(ENTRY.run, EndpointStatement(1.0), NOW_MS, NOW_MS)
+        self.statements.apply(ENTRY.run, EndpointStatement(1.0), NOW_MS, NOW_MS)
 
     def start_attempt(self, permit=None):
         """Start an attempt; return the handler of its call."""
@@ -107,7 +107,7 @@
 def test_attempt_is_withheld_from_leaving_endpoint(sender_fixture):
     """Guards against a call that was prepared before its endpoint stated that."""
     handler = sender_fixture.start_attempt()
-    sender_fixture.statements.leaving.state(ENTRY.run, NOW_MS)
+    sender_fixture.statements.leaving.record_leaving(ENTRY.run, NOW_MS)
 
     assert not handler.about_to_send()
     assert sender_fixture.listener.events == ['withheld']
@@ -116,7 +116,7 @@
 def test_attempt_is_withheld_from_resting_endpoint(sender_fixture):
     """Guards against a call that was prepared before its endpoint requested rest."""
     handler = sender_fixture.start_attempt()
-    sender_fixture.statements.rests.state(ENTRY.run, 500, NOW_MS)
+    sender_fixture.statements.pauses.record_pause(ENTRY.run, 500, NOW_MS)
 
     assert not handler.about_to_send()
     assert sender_fixture.listener.events == ['withheld']
