--- a/savorychute/cmd/__init__.py
+++ b/savorychute/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The command-line interface."""
--- a/savorychute/cmd/call.py
+++ b/savorychute/cmd/call.py
@@ -29,45 +29,54 @@
 
 @COMMANDS.register('call')
 class Call:
-    """Send one request as a caller."""
+    """Send one request, as a caller does."""
 
-    summary = 'send a question to a model, or a call to a plain service'
+    summary = 'send a prompt to a model, or a call to a plain service'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the request and whom to send it to."""
-        parser.add_argument('class_name', metavar='class', help='the class of request')
+        """Add the request and its destination."""
+        parser.add_argument('class_name', metavar='class', help='the request class')
         target = parser.add_mutually_exclusive_group(required=True)
         target.add_argument('--model', help='the model to ask')
         target.add_argument('--service', help='the plain service to call')
         parser.add_argument(
-            'text', help='the prompt, or the body for a service; "-" reads it'
+            'text',
+            help='the prompt, or the body for a service; "-" reads standard input',
         )
-        parser.add_argument('--path', default='/', help="the service's path (else /)")
-        parser.add_argument('--method', default='POST', help='else POST')
         parser.add_argument(
-            '--max-tokens', type=int, default=0, metavar='N', help='of the answer'
+            '--path', default='/', help='the path at the service (default /)'
         )
         parser.add_argument(
-            '--once', action='store_true', help='the class is not idempotent'
+            '--method', default='POST', help='HTTP method at the service (default POST)'
+        )
+        parser.add_argument(
+            '--max-tokens',
+            type=int,
+            default=0,
+            metavar='N',
+            help='maximum number of tokens in the response',
+        )
+        parser.add_argument(
+            '--once', action='store_true', help='the request class is not idempotent'
         )
         add_connection_arguments(parser, TOKEN_VARIABLE, DEFAULT_TIMEOUT_MS)
         add_output_arguments(parser)
 
     def run(self, arguments: Namespace) -> int:
-        """Print the answer as it comes."""
-        # The client is loaded only here: no other command needs it.
+        """Print the response as it arrives."""
+        # Imported here because no other command needs the client.
         from savorychute.client import CallError
 
         try:
-            return asyncio.run(_call(arguments))
+            return asyncio.run(_send_request(arguments))
         except (OSError, ValueError) as error:
             print(f'savorychute: {error}', file=sys.stderr)
             return ExitCode.USAGE
         except CallError as error:
-            return _report(error, arguments.json)
+            return _report_error(error, arguments.json)
 
 
-async def _call(arguments: Namespace) -> ExitCode:
+async def _send_request(arguments: Namespace) -> ExitCode:
     from savorychute.client import ClientSettings, open_client
     from savorychute.http.client_pool import ServerAddress
 
@@ -80,13 +89,13 @@
         if arguments.service:
             document = await _call_service(client, arguments)
         else:
-            document = await _ask_model(client, arguments)
+            document = await _call_model(client, arguments)
     if arguments.json:
         print_document(document, True)
     return ExitCode.OK
 
 
-async def _ask_model(client: Client, arguments: Namespace) -> dict[str, Any]:
+async def _call_model(client: Client, arguments: Namespace) -> dict[str, Any]:
     texts: list[str] = []
     tokens = 0
     async for part in client.stream(_make_chat(arguments)):
@@ -100,15 +109,15 @@
 
 
 async def _call_service(client: Client, arguments: Namespace) -> dict[str, Any]:
-    answer = await client.call_service(_make_service_call(arguments))
-    text = answer.body.decode('utf-8', 'replace')
+    response = await client.call_service(_make_service_call(arguments))
+    text = response.body.decode('utf-8', 'replace')
     if not arguments.json:
         print(text)
     return {
-        'status': answer.status,
+        'status': response.status,
         'body': text,
-        'request_id': answer.request_id,
-        'endpoint': answer.endpoint,
+        'request_id': response.request_id,
+        'endpoint': response.endpoint,
     }
 
 
@@ -143,8 +152,8 @@
     return sys.stdin.read() if text == STANDARD_INPUT else text
 
 
-def _report(error: CallError, as_json: bool) -> ExitCode:
-    """Tell why there is no answer, and whether the request ran."""
+def _report_error(error: CallError, as_json: bool) -> ExitCode:
+    """Print why there is no response, and whether the request ran."""
     if as_json:
         document = {
             'code': error.code.number,
--- a/savorychute/cmd/capacity.py
+++ b/savorychute/cmd/capacity.py
@@ -18,27 +18,33 @@
 
 @COMMANDS.register('capacity')
 class Capacity:
-    """Print how many endpoints each policy would order for a service."""
+    """Print how many endpoints each policy would request for a service."""
 
-    summary = 'print how many endpoints would be ordered, of which kind, and why'
+    summary = (
+        'print how many endpoints of which kind each policy would request, and why'
+    )
 
     def add_arguments(self, parser: ArgumentParser) -> None:
         """Add the description of the service."""
         parser.add_argument(
-            'service', type=Path, help='JSON with comments: what stands, bounds, prices'
+            'service',
+            type=Path,
+            help='JSON with comments: current endpoints, limits and prices',
+        )
+        parser.add_argument(
+            '--plot', type=Path, help='write a plot of the fleets to this file'
         )
-        parser.add_argument('--plot', type=Path, help='write a picture of the fleets')
         add_output_arguments(parser)
 
     def run(self, arguments: Namespace) -> int:
-        """Decide by each policy, and print what it comes to."""
-        # Imported late: no other command decides on endpoints.
+        """Apply each policy and print its decision."""
+        # Imported here because no other command applies these policies.
         from savorychute.gateway.duties.server_policies import SERVER_POLICIES
         from savorychute.gateway.duties.service_file import read_service_file
 
-        standing, scaling = read_service_file(arguments.service)
+        current_fleet, scaling = read_service_file(arguments.service)
         fleets = {
-            name: SERVER_POLICIES.get(name)(standing, scaling) or standing
+            name: SERVER_POLICIES.get(name)(current_fleet, scaling) or current_fleet
             for name in SERVER_POLICIES
         }
         rows = [_make_row(name, fleet, scaling) for name, fleet in fleets.items()]
@@ -53,9 +59,11 @@
 def _make_row(
     policy: str, fleet: ServerFleet, scaling: ServiceScaling
 ) -> dict[str, Any]:
-    part = scaling.reclaimable_price
-    price = fleet.price(dict(scaling.prices), 1.0 if part is None else part)
-    lasting = sum(each.lasting for _, each in fleet.domains)
+    reclaimable_price = scaling.reclaimable_price
+    price = fleet.price(
+        dict(scaling.prices), 1.0 if reclaimable_price is None else reclaimable_price
+    )
+    lasting = sum(domain.lasting for _, domain in fleet.domains)
     return {
         'policy': policy,
         'lasting': lasting,
--- a/savorychute/cmd/change_arguments.py
+++ b/savorychute/cmd/change_arguments.py
@@ -19,32 +19,32 @@
         '--base-version',
         type=int,
         metavar='N',
-        help='the version that the change starts from',
+        help='the version on which the change is based',
     )
     parser.add_argument(
         '--record-id',
         metavar='ID',
-        help='of an earlier try whose answer was lost',
+        help='id of an earlier attempt whose response was lost',
     )
 
 
-def take_change_arguments(arguments: Namespace) -> dict[str, Any]:
-    """Return the fields that every change has.
+def read_change_arguments(arguments: Namespace) -> dict[str, Any]:
+    """Return the fields common to all changes.
 
-    The record's id is made here, so that a change whose answer was lost can
-    be sent again under the same id and takes effect once.
+    The record id is generated here, so that a change whose response was lost can
+    be sent again under the same id and takes effect only once.
     """
     record_id = arguments.record_id or uuid.uuid4().hex
-    taken = {'why': arguments.why, 'record_id': record_id}
+    fields = {'why': arguments.why, 'record_id': record_id}
     if arguments.base_version is not None:
-        taken['base_version'] = arguments.base_version
-    return taken
+        fields['base_version'] = arguments.base_version
+    return fields
 
 
 def read_document(path: Path) -> dict[str, Any]:
-    """Return the object in a file of JSON with comments.
+    """Return the JSON object in a file of JSON with comments.
 
-    :raises ValueError: if the file holds none.
+    :raises ValueError: if the file does not contain a JSON object.
     :raises OSError: if it cannot be read.
     """
     try:
--- a/savorychute/cmd/check.py
+++ b/savorychute/cmd/check.py
@@ -19,15 +19,15 @@
 class Check:
     """Check a settings file without starting anything."""
 
-    summary = 'check a settings file and list all of its faults'
+    summary = 'check a settings file and list all its faults'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the file."""
-        parser.add_argument('settings', type=Path, help='a file of settings')
+        """Add the settings file."""
+        parser.add_argument('settings', type=Path, help='the settings file')
         add_output_arguments(parser)
 
     def run(self, arguments: Namespace) -> int:
-        """Print every fault, or that there is none."""
+        """Print all faults, or that there are none."""
         faults: tuple[str, ...] = ()
         try:
             read_settings(arguments.settings)
--- a/savorychute/cmd/command.py
+++ b/savorychute/cmd/command.py
@@ -1,4 +1,4 @@
-"""What a command of the command line is."""
+"""The interface of a command and the registry of commands."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Command(Protocol):
-    """One command; its class is registered under one or two words."""
+    """A command; its class is registered under a name of one or two words."""
 
     summary: str
 
@@ -20,7 +20,7 @@
         ...
 
     def run(self, arguments: Namespace) -> int:
-        """Carry the command out and return an :class:`ExitCode`."""
+        """Run the command and return an :class:`ExitCode`."""
         ...
 
 
--- a/savorychute/cmd/connection_arguments.py
+++ b/savorychute/cmd/connection_arguments.py
@@ -1,4 +1,4 @@
-"""Arguments of the commands that talk to instances."""
+"""Arguments of the commands that connect to instances."""
 
 from __future__ import annotations
 
@@ -21,48 +21,50 @@
 def add_connection_arguments(
     parser: ArgumentParser, token_variable: str, timeout_ms: int
 ) -> None:
-    """Add whom to ask, as whom, and for how long.
+    """Add the options for addresses, token, TLS and timeout.
 
-    :param parser: of one command.
-    :param token_variable: the environment's variable with the token.
-    :param timeout_ms: the default for the whole command.
+    :param parser: the parser of one command.
+    :param token_variable: the environment variable with the token.
+    :param timeout_ms: the default timeout of the whole command.
     """
     parser.add_argument(
         '--instances',
         metavar='HOST:PORT,...',
-        help=f'instances to ask, in this order (else ${ADDRESS_VARIABLE})',
+        help=f'instances to try, in this order (default ${ADDRESS_VARIABLE})',
     )
     parser.add_argument(
         '--token-file',
         type=Path,
         metavar='FILE',
-        help=f'file with the token (else ${token_variable})',
+        help=f'file with the token (default ${token_variable})',
     )
     parser.add_argument(
-        '--ca-file', metavar='FILE', help='use TLS and trust these certificates'
+        '--ca-file',
+        metavar='FILE',
+        help='use TLS and trust the certificates in this file',
     )
     parser.add_argument(
         '--timeout-ms',
         type=int,
         default=timeout_ms,
         metavar='N',
-        help=f'for the whole command (else {timeout_ms})',
+        help=f'timeout of the whole command (default {timeout_ms})',
     )
 
 
 def read_instances(arguments: Namespace) -> tuple[NetworkAddress, ...]:
-    """Return the addresses of the arguments or of the environment.
+    """Return the addresses from the arguments or from the environment.
 
-    :raises ValueError: if one is not ``host:port``.
+    :raises ValueError: if an address is not ``host:port``.
     """
-    stated = arguments.instances or os.environ.get(ADDRESS_VARIABLE, DEFAULT_ADDRESS)
-    return tuple(read_address(item.strip()) for item in stated.split(','))
+    addresses = arguments.instances or os.environ.get(ADDRESS_VARIABLE, DEFAULT_ADDRESS)
+    return tuple(read_address(item.strip()) for item in addresses.split(','))
 
 
 def read_token(arguments: Namespace, token_variable: str) -> str:
-    """Return the token of the file or of the environment, or an empty string.
+    """Return the token from the file or from the environment, or an empty string.
 
-    :param token_variable: the environment's variable with the token.
+    :param token_variable: the environment variable with the token.
     :raises OSError: if the file cannot be read.
     """
     if arguments.token_file:
@@ -72,7 +74,7 @@
 
 
 def read_tls(arguments: Namespace) -> ssl.SSLContext | None:
-    """Return how to check the other side; None for plain TCP.
+    """Return the TLS context that verifies the server, or ``None`` for plain TCP.
 
     :raises OSError: if the certificates cannot be read.
     """
--- a/savorychute/cmd/contract.py
+++ b/savorychute/cmd/contract.py
@@ -8,20 +8,20 @@
 from savorychute.cmd import operator_verbs
 from savorychute.cmd.change_arguments import (
     add_change_arguments,
+    read_change_arguments,
     read_document,
-    take_change_arguments,
 )
 from savorychute.cmd.command import COMMANDS
-from savorychute.cmd.operator_command import OperatorVerb
+from savorychute.cmd.operator_command import OperatorVerbCommand
 
 if TYPE_CHECKING:
     from argparse import ArgumentParser, Namespace
 
 
-class _OrganisationVerb(OperatorVerb):
-    """A verb whose one argument is an organisation."""
+class _OrganisationCommand(OperatorVerbCommand):
+    """A command whose only argument is an organisation."""
 
-    def add_own_arguments(self, parser: ArgumentParser) -> None:
+    def add_verb_arguments(self, parser: ArgumentParser) -> None:
         """Add the organisation."""
         parser.add_argument('organisation', help="the organisation's name")
 
@@ -31,7 +31,7 @@
 
 
 @COMMANDS.register('contract show')
-class ContractShow(_OrganisationVerb):
+class ContractShow(_OrganisationCommand):
     """Print a contract and its version."""
 
     summary = "print an organisation's contract and its version"
@@ -39,7 +39,7 @@
 
 
 @COMMANDS.register('contract history')
-class ContractHistory(_OrganisationVerb):
+class ContractHistory(_OrganisationCommand):
     """Print a contract's changes."""
 
     summary = "print the changes of an organisation's contract"
@@ -47,27 +47,27 @@
 
 
 @COMMANDS.register('contract amend')
-class ContractAmend(OperatorVerb):
+class ContractAmend(OperatorVerbCommand):
     """Replace a contract."""
 
-    summary = "replace an organisation's contract, or make the first one"
+    summary = "replace an organisation's contract, or create it"
     verb = operator_verbs.CONTRACT_AMEND
 
-    def add_own_arguments(self, parser: ArgumentParser) -> None:
-        """Add the file and what every change has."""
+    def add_verb_arguments(self, parser: ArgumentParser) -> None:
+        """Add the file and the arguments common to all changes."""
         parser.add_argument('file', type=Path, help='the contract, JSON with comments')
         add_change_arguments(parser)
 
     def make_document(self, arguments: Namespace) -> Any:
-        """Return the contract with the version that it replaces."""
+        """Return the contract's document with the version that it replaces."""
         document = read_document(arguments.file)
         if arguments.base_version is None:
             raise ValueError(
                 'contract amend needs --base-version; "contract show" prints it, '
-                '0 makes a new contract'
+                '0 creates a contract'
             )
         organisation = document.get('organisation')
         if not isinstance(organisation, str):
             raise ValueError(f'{arguments.file}: expected a string "organisation"')
-        change = take_change_arguments(arguments)
+        change = read_change_arguments(arguments)
         return {'organisation': organisation, 'document': document, **change}
--- a/savorychute/cmd/demo.py
+++ b/savorychute/cmd/demo.py
@@ -21,7 +21,7 @@
 
 @COMMANDS.register('demo')
 class Demo:
-    """Show a small site under load and in trouble."""
+    """Demonstrate a small site under load and faults."""
 
     summary = 'run instances, stand-ins and callers in one process on loopback'
 
@@ -30,8 +30,8 @@
         parser.add_argument('--seed', type=int, default=DEFAULT_SEED, metavar='N')
 
     def run(self, arguments: Namespace) -> int:
-        """Run the demonstration; the last line printed is one JSON object."""
-        # The stand-ins are loaded only here: no other command needs them.
+        """Run the demonstration and print one JSON object as the last line."""
+        # Imported here because few commands need the stand-ins.
         from savorychute.demo.script import run_script
 
         console = make_console()
--- a/savorychute/cmd/docs.py
+++ b/savorychute/cmd/docs.py
@@ -16,9 +16,9 @@
 
 @COMMANDS.register('docs')
 class Docs:
-    """Write the pages of the reference that come from the code."""
+    """Generate the reference pages from the code."""
 
-    summary = 'write the pages of the reference that come from the code'
+    summary = 'generate the reference pages from the code'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
         """Add the directory and ``--check``."""
@@ -26,28 +26,31 @@
             '--directory',
             type=Path,
             default=DEFAULT_DIRECTORY,
-            help='where the pages are (docs/reference)',
+            help='directory of the pages (default docs/reference)',
         )
         parser.add_argument(
-            '--check', action='store_true', help='write nothing; fail if one is old'
+            '--check',
+            action='store_true',
+            help='write nothing; fail if a page is out of date',
         )
 
     def run(self, arguments: Namespace) -> int:
-        """Write the pages, or name those that are not current."""
-        # Imported late: the pages import every command, this one included.
+        """Write the pages, or list those that are out of date."""
+        # Imported here because the pages import every command, including this one.
         from savorychute.cmd.reference_pages import PAGES
 
-        old = []
+        outdated = []
         for name, write in PAGES.items():
             path = arguments.directory / name
             text = write()
             if path.exists() and path.read_text('utf-8') == text:
                 continue
-            old.append(name)
+            outdated.append(name)
             if not arguments.check:
                 path.write_text(text, 'utf-8')
         verdict = 'old' if arguments.check else 'written'
         print(
-            '\n'.join(f'{name}: {verdict}' for name in old) or 'all pages are current'
+            '\n'.join(f'{name}: {verdict}' for name in outdated)
+            or 'all pages are current'
         )
-        return ExitCode.REFUSED if arguments.check and old else ExitCode.OK
+        return ExitCode.REFUSED if arguments.check and outdated else ExitCode.OK
--- a/savorychute/cmd/exit_code.py
+++ b/savorychute/cmd/exit_code.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a finished command tells its shell."""
+    """Exit codes that a command returns to the shell."""
 
     OK = 0
     REFUSED = 1
@@ -17,15 +17,15 @@
 
     @property
     def meaning(self) -> str:
-        """What the code says, for the reference."""
+        """The description of the code in the reference."""
         return _MEANINGS[self]
 
 
 _MEANINGS = {
     ExitCode.OK: 'done',
     ExitCode.REFUSED: 'refused, or a check found faults',
-    ExitCode.USAGE: 'the command line is wrong',
+    ExitCode.USAGE: 'the command line is invalid',
     ExitCode.UNREACHABLE: 'no instance answered; nothing was changed',
-    ExitCode.UNCONFIRMED: 'sent, but whether it took effect is not known',
+    ExitCode.UNCONFIRMED: 'sent, but it is not known whether it took effect',
     ExitCode.INTERRUPTED: 'interrupted from the keyboard',
 }
--- a/savorychute/cmd/faults.py
+++ b/savorychute/cmd/faults.py
@@ -14,45 +14,47 @@
 
     from savorychute.testing.matrix.cell import Cell, CellResult
 
-SAMPLED_PAIRS = 200
-# Between two lines of progress where no terminal can overwrite them.
-PROGRESS_CELLS = 50
+DEFAULT_PAIRS = 200
+# Cells between two progress lines if standard error is not a terminal.
+PROGRESS_INTERVAL_CELLS = 50
 
 
 @COMMANDS.register('faults')
 class Faults:
     """Run the fault matrix on a virtual clock."""
 
-    summary = 'run every fault at every step and check every promise'
+    summary = 'inject every fault at every step and check every promise'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add which cells to run."""
-        parser.add_argument('--pairs', action='store_true', help='two faults together')
+        """Add the options that select cells."""
+        parser.add_argument(
+            '--pairs', action='store_true', help='combine two faults in each cell'
+        )
         parser.add_argument(
             '--quick',
             action='store_true',
-            help='a sample in which every fault and every step comes',
+            help='run a sample that covers every fault and every step',
         )
         parser.add_argument(
-            '--count', type=int, default=SAMPLED_PAIRS, help='how many pairs'
+            '--count', type=int, default=DEFAULT_PAIRS, help='number of pairs'
         )
-        parser.add_argument('--seed', type=int, help='of the runs')
+        parser.add_argument('--seed', type=int, help='seed of the runs')
         parser.add_argument('--fault', help='only this fault')
         parser.add_argument('--kind', help='only this kind of work')
         parser.add_argument('--step', help='only this step')
         parser.add_argument('--json', action='store_true', help='print one JSON object')
 
     def run(self, arguments: Namespace) -> int:
-        """Run the cells and print the grid; fail if any promise broke."""
-        # The stand-ins are loaded only here: no other command needs them.
+        """Run the cells and print the grid; fail if a promise was broken."""
+        # Imported here because few commands need the stand-ins.
         from savorychute.testing.matrix.cell import run_cell
 
-        cells = _choose(arguments)
+        cells = _choose_cells(arguments)
         results = []
         for number, cell in enumerate(cells, 1):
             results.append(run_cell(cell))
             _show_progress(number, len(cells))
-        document = _describe(results)
+        document = _summarise(results)
         if arguments.json:
             print_document(document, True)
         else:
@@ -60,7 +62,7 @@
         return ExitCode.REFUSED if document['broken'] else ExitCode.OK
 
 
-def _choose(arguments: Namespace) -> list[Cell]:
+def _choose_cells(arguments: Namespace) -> list[Cell]:
     from savorychute.testing.matrix.plan import (
         PAIR_SEED,
         list_singles,
@@ -85,13 +87,13 @@
 
 
 def _show_progress(done: int, count: int) -> None:
-    """Show how far the run is, to a person who waits for it."""
-    if sys.stderr.isatty() or done == count or done % PROGRESS_CELLS == 0:
+    """Print the progress of the run on standard error."""
+    if sys.stderr.isatty() or done == count or done % PROGRESS_INTERVAL_CELLS == 0:
         end = '\r' if sys.stderr.isatty() and done < count else '\n'
         print(f'{done} of {count} cells', end=end, file=sys.stderr, flush=True)
 
 
-def _describe(results: list[CellResult]) -> dict[str, Any]:
+def _summarise(results: list[CellResult]) -> dict[str, Any]:
     broken = [
         {
             'cell': result.cell.name,
@@ -119,8 +121,8 @@
         name = ' + '.join(result.cell.faults)
         row = rows.setdefault(name, {'fault': name})
         column = result.cell.step
-        held, run = row.get(column, (0, 0))
-        row[column] = (held + (not result.breaches), run + 1)
+        passed, total = row.get(column, (0, 0))
+        row[column] = (passed + (not result.breaches), total + 1)
     table = [
         {
             column: value if isinstance(value, str) else f'{value[0]}/{value[1]}'
--- a/savorychute/cmd/gateway.py
+++ b/savorychute/cmd/gateway.py
@@ -18,7 +18,7 @@
 
 @COMMANDS.register('gateway')
 class Gateway:
-    """Run a gateway until it is told to leave."""
+    """Run a gateway until a signal tells it to leave."""
 
     summary = 'run a gateway; SIGTERM makes it leave gracefully'
 
@@ -28,29 +28,30 @@
             'settings',
             type=Path,
             nargs='?',
-            help=f'a file of settings; without it that of ${SETTINGS_VARIABLE}',
+            help=f'the settings file (default ${SETTINGS_VARIABLE})',
         )
 
     def run(self, arguments: Namespace) -> int:
         """Read the settings and run the gateway."""
-        # Asked to read its settings anew while it is loading, the process would end; it
-        # reads them after this, so nothing is missed.
+        # By default SIGHUP, the request to reload the settings, would end the process
+        # while it is loading. It is ignored here; the settings are read afterwards, so
+        # no change is missed.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-        # Imported late: other commands need no daemon and start faster.
+        # Imported here so that commands without a daemon start faster.
         from savorychute.gateway.daemon.early_listeners import open_early_listeners
 
         path = arguments.settings or os.environ.get(SETTINGS_VARIABLE)
         if not path:
             raise SettingsError(
-                [f'no settings file: name one, or set {SETTINGS_VARIABLE}']
+                [f'no settings file: specify one, or set {SETTINGS_VARIABLE}']
             )
         with open_early_listeners(path) as listeners:
-            # Imported when the sockets listen: it loads all the rest.
+            # Imported after the sockets listen because it loads all other modules.
             from savorychute.gateway.daemon.run_gateway import run_gateway
 
             try:
                 return run_gateway(path, listeners)
             except SettingsError as error:
                 number = error.code.number
-                head = f'error {number}: the settings have faults'
-                raise SettingsError([head, *error.faults]) from error
+                first_line = f'error {number}: the settings have faults'
+                raise SettingsError([first_line, *error.faults]) from error
--- a/savorychute/cmd/inspection.py
+++ b/savorychute/cmd/inspection.py
@@ -1,4 +1,4 @@
-"""The commands that only look: instances, status, audit, explain."""
+"""The read-only commands ``instance list``, ``status``, ``audit`` and ``explain``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from savorychute.cmd import operator_verbs
 from savorychute.cmd.command import COMMANDS
 from savorychute.cmd.exit_code import ExitCode
-from savorychute.cmd.operator_command import OperatorVerb
+from savorychute.cmd.operator_command import OperatorVerbCommand
 from savorychute.settings.network_address import NetworkAddress
 
 if TYPE_CHECKING:
@@ -16,43 +16,48 @@
 
     from savorychute.cmd.operator_client import OperatorClient
 
-# Incarnation and number follow the instance's name.
-REQUEST_ID_PARTS = 2
+# A request id ends with the incarnation and a number, after the instance name.
+REQUEST_ID_SUFFIX_PARTS = 2
 
 
 @COMMANDS.register('instance list')
-class InstanceList(OperatorVerb):
+class InstanceList(OperatorVerbCommand):
     """Print the instances."""
 
-    summary = 'print the instances and their state, as one of them sees it'
+    summary = 'print the instances and their state, as known to one of them'
     verb = operator_verbs.INSTANCE_LIST
 
 
 @COMMANDS.register('status')
-class Status(OperatorVerb):
+class Status(OperatorVerbCommand):
     """Print the state of an instance."""
 
-    summary = 'print the state of the instance that answers'
+    summary = 'print the state of the instance that responds'
     verb = operator_verbs.STATUS
 
 
 @COMMANDS.register('audit')
-class Audit(OperatorVerb):
+class Audit(OperatorVerbCommand):
     """Print the audit trail."""
 
     summary = 'print the audit trail of changes'
     verb = operator_verbs.AUDIT
 
-    def add_own_arguments(self, parser: ArgumentParser) -> None:
+    def add_verb_arguments(self, parser: ArgumentParser) -> None:
         """Add the filters."""
-        parser.add_argument('--item', help='such as "contract:malanadu"')
-        parser.add_argument('--operator', help="only this operator's changes")
         parser.add_argument(
-            '--since-offset', type=int, metavar='N', help='only from this offset on'
+            '--item', help='only changes of this item, such as "contract:malanadu"'
+        )
+        parser.add_argument('--operator', help='only changes by this operator')
+        parser.add_argument(
+            '--since-offset',
+            type=int,
+            metavar='N',
+            help='only changes from this offset on',
         )
 
     def make_document(self, arguments: Namespace) -> Any:
-        """Return the filters that were given."""
+        """Return the filters that were specified."""
         filters = {
             'item': arguments.item,
             'operator': arguments.operator,
@@ -62,49 +67,50 @@
 
 
 @COMMANDS.register('explain')
-class Explain(OperatorVerb):
-    """Print the course of a request, from an instance or from logs."""
+class Explain(OperatorVerbCommand):
+    """Print the history of a request, from an instance or from logs."""
 
-    summary = 'print why a request went where it went, or was refused'
+    summary = 'print why a request was routed as it was, or refused'
     verb = operator_verbs.EXPLAIN
 
-    def add_own_arguments(self, parser: ArgumentParser) -> None:
-        """Add the request."""
-        parser.add_argument('request_id', help='the id that the answer carried')
+    def add_verb_arguments(self, parser: ArgumentParser) -> None:
+        """Add the request id and the logs."""
+        parser.add_argument('request_id', help='the request id from the response')
         parser.add_argument(
             'logs',
             type=Path,
             nargs='*',
-            help='files of JSON lines of any instances; then none of them is asked',
+            help='JSON-lines log files of any instances, read instead of asking an instance',
         )
 
     def run(self, arguments: Namespace) -> int:
-        """Read the logs that are named, or ask the instance."""
+        """Read the specified logs, or ask the instance."""
         if not arguments.logs:
             return super().run(arguments)
-        # Imported late: no other command reads logs.
+        # Imported here because only a few commands read logs.
         from savorychute.explain.log_reader import read_logs
-        from savorychute.explain.story import tell_story
+        from savorychute.explain.request_history import describe_request
 
-        story = tell_story(arguments.request_id, read_logs(arguments.logs))
-        for sentence in story:
+        sentences = describe_request(arguments.request_id, read_logs(arguments.logs))
+        for sentence in sentences:
             print(sentence)
-        return ExitCode.OK if story else ExitCode.REFUSED
+        return ExitCode.OK if sentences else ExitCode.REFUSED
 
     def make_document(self, arguments: Namespace) -> Any:
         """Return the request's id."""
         return {'request_id': arguments.request_id}
 
-    def direct(self, client: OperatorClient, document: Any) -> OperatorClient:
-        """Ask the instance that had the request: its id begins with the name.
+    def select_client(self, client: OperatorClient, document: Any) -> OperatorClient:
+        """Return a client for the instance that handled the request.
 
-        Any instance knows where the others are.  If that one is gone the
-        first is asked, which then says that it does not know the request.
+        The request id starts with the name of that instance, and any instance knows
+        the addresses of the others.  If that instance has left, the first instance
+        is asked, which then responds that it does not know the request.
         """
-        owner = document['request_id'].rsplit('-', REQUEST_ID_PARTS)[0]
-        listed = client.call(operator_verbs.INSTANCE_LIST, {}).document
-        for entry in listed.get('instances', ()):
-            if entry['instance'] == owner:
-                address = NetworkAddress(entry['host'], entry['caller_port'])
+        instance_name = document['request_id'].rsplit('-', REQUEST_ID_SUFFIX_PARTS)[0]
+        response = client.call(operator_verbs.INSTANCE_LIST, {}).document
+        for instance in response.get('instances', ()):
+            if instance['instance'] == instance_name:
+                address = NetworkAddress(instance['host'], instance['caller_port'])
                 return client._replace(addresses=(address,))
         return client
--- a/savorychute/cmd/load.py
+++ b/savorychute/cmd/load.py
@@ -14,7 +14,7 @@
 
     from savorychute.testing.measures import RunFigures
 
-SHOWN_BREACHES = 10
+MAX_SHOWN_BREACHES = 10
 
 
 @COMMANDS.register('load')
@@ -24,17 +24,19 @@
     summary = 'run a load scenario in one process on a virtual clock'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add the scenario, seeds and policies."""
-        parser.add_argument('scenario', help='a name, "all", or "list"')
+        """Add the scenario, seeds, policies and systems."""
+        parser.add_argument('scenario', help='name of a scenario, "all" or "list"')
         parser.add_argument('--seed', type=int, action='append', help='may be repeated')
         parser.add_argument('--policy', action='append', help='may be repeated')
         parser.add_argument('--system', action='append', help='may be repeated')
-        parser.add_argument('--plot', type=Path, help='write a picture of attainment')
+        parser.add_argument(
+            '--plot', type=Path, help='write a plot of attainment to this file'
+        )
         parser.add_argument('--json', action='store_true', help='print one JSON object')
 
     def run(self, arguments: Namespace) -> int:
-        """Run each combination and print its figures."""
-        # The stand-ins are loaded only here: no other command needs them.
+        """Run all combinations and print their figures."""
+        # Imported here because few commands need the stand-ins.
         from savorychute.testing.report import describe_run
         from savorychute.testing.scenario_file import list_bundled
 
@@ -80,7 +82,7 @@
         console.print(make_table(title, make_class_rows(run)))
     console.print(make_table('runs', make_run_rows(runs)))
     for run in runs:
-        for breach in run.breaches[:SHOWN_BREACHES]:
+        for breach in run.breaches[:MAX_SHOWN_BREACHES]:
             console.print(
                 f'{run.scenario} {run.policy}: {breach.promise}: {breach.text}'
             )
--- a/savorychute/cmd/losses.py
+++ b/savorychute/cmd/losses.py
@@ -24,13 +24,13 @@
     def add_arguments(self, parser: ArgumentParser) -> None:
         """Add the logs."""
         parser.add_argument(
-            'logs', type=Path, nargs='+', help='files of JSON lines of any gateways'
+            'logs', type=Path, nargs='+', help='JSON-lines log files of any gateways'
         )
         add_output_arguments(parser)
 
     def run(self, arguments: Namespace) -> int:
         """Read the logs and print the table."""
-        # Imported late: no other command reads logs.
+        # Imported here because only a few commands read logs.
         from savorychute.explain.log_reader import read_logs
         from savorychute.explain.losses import count_losses
 
@@ -50,10 +50,10 @@
         'cause': row.cause.value,
         'requests': row.requests,
         'share': round(row.share, 3),
-        'worst_seconds': _join(row.seconds),
-        'endpoints': _join(row.endpoints),
+        'worst_seconds': _format_counts(row.seconds),
+        'endpoints': _format_counts(row.endpoints),
     }
 
 
-def _join(counts: tuple[tuple[object, int], ...]) -> str:
+def _format_counts(counts: tuple[tuple[object, int], ...]) -> str:
     return ', '.join(f'{name} ({count})' for name, count in counts)
--- a/savorychute/cmd/main.py
+++ b/savorychute/cmd/main.py
@@ -16,10 +16,10 @@
 def main(argv: Sequence[str] | None = None) -> int:
     """Run one command.
 
-    :param argv: the arguments; those of the process if None.
+    :param argv: the arguments; those of the process if ``None``.
     :returns: an :class:`~savorychute.cmd.exit_code.ExitCode`.
     """
-    # Imported late: it loads every command with its libraries.
+    # Imported here because it loads every command with its libraries.
     from savorychute.cmd.parser import build_parser, load_commands
 
     load_commands()
@@ -27,9 +27,9 @@
 
 
 def run_command(arguments: Namespace) -> int:
-    """Run the command that was parsed, and tell its errors.
+    """Run the parsed command and print its errors.
 
-    :param arguments: with the command's method as ``run``.
+    :param arguments: the parsed arguments; ``run`` is the command's method.
     :returns: an :class:`~savorychute.cmd.exit_code.ExitCode`.
     """
     try:
--- a/savorychute/cmd/operator_client.py
+++ b/savorychute/cmd/operator_client.py
@@ -1,4 +1,4 @@
-"""Operators' commands over HTTP."""
+"""The client that sends operator commands over HTTP."""
 
 from __future__ import annotations
 
@@ -34,63 +34,63 @@
 
 
 class NotSentError(Exception):
-    """No connection came about, so no byte of a command left this host."""
+    """No connection was established, so no byte of the command was sent."""
 
 
 class NoReplyError(Exception):
-    """A command was sent, but no whole answer came back."""
+    """A command was sent, but no complete response was received."""
 
 
-class OperatorAnswer(NamedTuple):
-    """What an instance answered to a command."""
+class OperatorResponse(NamedTuple):
+    """The response of an instance to a command."""
 
     code: ResultCode
     document: dict[str, Any]
 
 
 class OperatorClient(NamedTuple):
-    """Whom to ask, as whom, and for how long."""
+    """Sends operator commands to one of several instances."""
 
     addresses: tuple[NetworkAddress, ...]
     token: str
     timeout_ms: int = DEFAULT_TIMEOUT_MS
     tls: ssl.SSLContext | None = None
 
-    def call(self, verb: str, arguments: Any) -> OperatorAnswer:
+    def call(self, verb: str, arguments: Any) -> OperatorResponse:
         """Send one command to the first instance that accepts a connection.
 
-        Another instance is tried only while nothing was sent, so that one
+        Another instance is tried only if nothing has been sent, so that one
         command never reaches two instances.
 
         :param verb: a verb of :mod:`savorychute.cmd.operator_verbs`.
-        :param arguments: its document.
+        :param arguments: the verb's document.
         :raises NotSentError: if no instance accepted a connection.
-        :raises NoReplyError: if the command was sent and not answered.
+        :raises NoReplyError: if the command was sent but got no response.
         """
         return asyncio.run(self.send(verb, arguments))
 
-    async def send(self, verb: str, arguments: Any) -> OperatorAnswer:
-        """Do the same as :meth:`call` inside a running loop."""
+    async def send(self, verb: str, arguments: Any) -> OperatorResponse:
+        """Do the same as :meth:`call` inside a running event loop."""
         headers = (
             ('content-type', 'application/json'),
             ('authorization', f'Bearer {self.token}'),
         )
         body = msgspec.json.encode(arguments)
         request = HttpRequest('POST', OPERATOR_PATH + verb, headers, body)
-        return await self._call_first(request)
+        return await self._call_first_reachable(request)
 
-    async def _call_first(self, request: HttpRequest) -> OperatorAnswer:
-        bounds = PoolSettings(connect_timeout_ms=self.timeout_ms)
+    async def _call_first_reachable(self, request: HttpRequest) -> OperatorResponse:
+        pool_settings = PoolSettings(connect_timeout_ms=self.timeout_ms)
         reasons: list[str] = []
-        with open_pool(bounds, SystemClock(), self.tls) as pool:
+        with open_pool(pool_settings, SystemClock(), self.tls) as pool:
             for address in self.addresses:
                 server = ServerAddress(*address)
-                reply = await fetch(pool, server, request, self.timeout_ms)
-                if not isinstance(reply, CallFailure):
-                    return _make_answer(reply)
-                if reply.sent:
-                    raise NoReplyError(f'{address}: {reply.reason}')
-                reasons.append(f'{address}: {reply.reason}')
+                result = await fetch(pool, server, request, self.timeout_ms)
+                if not isinstance(result, CallFailure):
+                    return _make_response(result)
+                if result.sent:
+                    raise NoReplyError(f'{address}: {result.reason}')
+                reasons.append(f'{address}: {result.reason}')
         raise NotSentError('; '.join(reasons))
 
 
@@ -108,9 +108,11 @@
     )
 
 
-def _make_answer(reply: HttpResponse) -> OperatorAnswer:
-    number = reply.headers.get(RESULT_CODE_HEADER, '')
-    return OperatorAnswer(_find_code(number, reply.status), _read_document(reply.body))
+def _make_response(http_response: HttpResponse) -> OperatorResponse:
+    number = http_response.headers.get(RESULT_CODE_HEADER, '')
+    return OperatorResponse(
+        _find_code(number, http_response.status), _read_document(http_response.body)
+    )
 
 
 def _find_code(number: str, status: int) -> ResultCode:
--- a/savorychute/cmd/operator_verbs.py
+++ b/savorychute/cmd/operator_verbs.py
@@ -1,7 +1,7 @@
-"""The operators' verbs and the JSON documents that go with them.
+"""The operator verbs and their JSON documents.
 
 An operator sends ``POST /v1/operator/<verb>`` with the arguments as a JSON
-object and a bearer token.  The answer is a JSON object; its HTTP status and
+object and a bearer token.  The response is a JSON object; its HTTP status and
 the number in the header ``x-result-code`` are those of a result code.
 """
 
@@ -29,17 +29,17 @@
 
 
 class ContractShowArguments(TypedDict):
-    """Answered by ``{"organisation", "version", "document", "limits"}``."""
+    """The response is ``{"organisation", "version", "document", "limits"}``."""
 
     organisation: str
 
 
 class ContractAmendArguments(TypedDict):
-    """Answered by ``{"item", "version", "offset", "record_id"}``.
+    """The response is ``{"item", "version", "offset", "record_id"}``.
 
     ``base_version`` is the version that the document replaces, 0 for a new
     organisation.  A command that is sent again with the same ``record_id`` takes
-    effect once.
+    effect only once.
     """
 
     organisation: str
@@ -50,13 +50,13 @@
 
 
 class ContractHistoryArguments(TypedDict):
-    """Answered by ``{"organisation", "history": [...]}``, oldest first."""
+    """The response is ``{"organisation", "history": [...]}``, oldest first."""
 
     organisation: str
 
 
 class EndpointAddArguments(TypedDict):
-    """Answered by ``{"item", "version", "offset", "record_id"}``."""
+    """The response is ``{"item", "version", "offset", "record_id"}``."""
 
     document: EndpointDocument
     base_version: int
@@ -65,9 +65,10 @@
 
 
 class EndpointChangeArguments(TypedDict):
-    """Of ``endpoint-drain`` and ``endpoint-retire``; answered as an addition.
+    """Arguments of ``endpoint-drain`` and ``endpoint-retire``.
 
-    Without ``base_version`` the current version is the base.
+    The response is that of ``endpoint-add``.  Without ``base_version`` the change
+    is based on the current version.
     """
 
     endpoint: str
@@ -77,15 +78,15 @@
 
 
 class NoArguments(TypedDict):
-    """Of ``endpoint-list``, ``instance-list`` and ``status``.
+    """Arguments of ``endpoint-list``, ``instance-list`` and ``status``.
 
-    Answered by ``{"endpoints": [...]}``, ``{"instances": [...]}`` and an
-    object of the instance's state.
+    The responses are ``{"endpoints": [...]}``, ``{"instances": [...]}`` and an
+    object with the instance's state.
     """
 
 
 class AuditArguments(TypedDict):
-    """Answered by ``{"entries": [...]}``; every filter is optional."""
+    """The response is ``{"entries": [...]}``; every filter is optional."""
 
     item: NotRequired[str]
     operator: NotRequired[str]
@@ -93,7 +94,7 @@
 
 
 class ExplainArguments(TypedDict):
-    """Answered by ``{"request_id", "history": [...]}``."""
+    """The response is ``{"request_id", "history": [...]}``."""
 
     request_id: str
 
--- a/savorychute/cmd/output.py
+++ b/savorychute/cmd/output.py
@@ -1,4 +1,4 @@
-"""Printing of documents for people and for programs."""
+"""Prints documents as tables or as JSON."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_console() -> Console:
-    """Return a console on standard output, wide when that is no terminal."""
+    """Return a console on standard output; it is wide if that is not a terminal."""
     width = None if sys.stdout.isatty() else WIDE_COLUMNS
     return Console(highlight=False, markup=False, emoji=False, width=width)
 
@@ -29,24 +29,25 @@
 def print_document(document: dict[str, Any], as_json: bool) -> None:
     """Print *document* as one line of JSON, or as tables.
 
-    Lists of objects become tables; everything else a table of two columns.
+    Each list of objects becomes a table; all other values share a table of two
+    columns.
 
     :param document: a JSON object.
-    :param as_json: whether a program reads the output.
+    :param as_json: whether to print JSON, for programs that read the output.
     """
     if as_json:
         json.dump(document, sys.stdout, ensure_ascii=False)
         sys.stdout.write('\n')
         return
     console = make_console()
-    plain = {}
+    pairs = {}
     for name, value in document.items():
         if _is_object_list(value):
             console.print(make_table(name, value))
         else:
-            plain[name] = value
-    if plain:
-        console.print(_make_pairs(plain))
+            pairs[name] = value
+    if pairs:
+        console.print(_make_pair_table(pairs))
 
 
 def make_table(title: str, rows: list[dict[str, Any]]) -> Table:
@@ -56,15 +57,15 @@
     for name in columns:
         table.add_column(name, overflow='fold')
     for row in rows:
-        table.add_row(*[show_value(row.get(name, '')) for name in columns])
+        table.add_row(*[format_value(row.get(name, '')) for name in columns])
     return table
 
 
-def show_value(value: Any) -> str:
-    """Return a cell's text.
+def format_value(value: Any) -> str:
+    """Return the text of a table cell.
 
-    Control characters are escaped: in what somebody else wrote they could
-    make the terminal show something that is not there.
+    Control characters are escaped: in text from other users they could make the
+    terminal display false content.
     """
     if isinstance(value, str) and value.isprintable():
         return value
@@ -73,7 +74,7 @@
     return json.dumps(value, ensure_ascii=False)
 
 
-def _make_pairs(pairs: dict[str, Any]) -> Table:
+def _make_pair_table(pairs: dict[str, Any]) -> Table:
     table = Table(show_header=False)
     table.add_column('name')
     table.add_column('value', overflow='fold')
@@ -81,7 +82,7 @@
         if isinstance(value, dict):
             table.add_row(name, json.dumps(value, ensure_ascii=False, indent=2))
         else:
-            table.add_row(name, show_value(value))
+            table.add_row(name, format_value(value))
     return table
 
 
--- a/savorychute/cmd/parser.py
+++ b/savorychute/cmd/parser.py
@@ -19,13 +19,13 @@
 
 
 def load_commands() -> None:
-    """Import every module beside this one, so that all commands register."""
-    for found in pkgutil.iter_modules(savorychute.cmd.__path__, 'savorychute.cmd.'):
-        importlib.import_module(found.name)
+    """Import every module of this package, which registers all commands."""
+    for module in pkgutil.iter_modules(savorychute.cmd.__path__, 'savorychute.cmd.'):
+        importlib.import_module(module.name)
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return a parser that knows every registered command."""
+    """Return a parser for all registered commands."""
     parser = argparse.ArgumentParser(
         prog='savorychute',
         description='A router for language-model traffic with service levels.',
@@ -33,15 +33,17 @@
     parser.add_argument(
         '--version', action='version', version=f'savorychute {savorychute.__version__}'
     )
-    top = parser.add_subparsers(dest='command', metavar='command', required=True)
+    top_level = parser.add_subparsers(dest='command', metavar='command', required=True)
     groups: dict[str, argparse._SubParsersAction[argparse.ArgumentParser]] = {}
     for name in COMMANDS:
         group, _, verb = name.rpartition(' ')
         if group and group not in groups:
             summary = GROUP_SUMMARIES.get(group, group)
-            middle = top.add_parser(group, help=summary, description=summary)
-            groups[group] = middle.add_subparsers(metavar='verb', required=True)
-        _add_command(groups[group] if group else top, name, verb)
+            group_parser = top_level.add_parser(
+                group, help=summary, description=summary
+            )
+            groups[group] = group_parser.add_subparsers(metavar='verb', required=True)
+        _add_command(groups[group] if group else top_level, name, verb)
     return parser
 
 
--- a/savorychute/cmd/reference_pages.py
+++ b/savorychute/cmd/reference_pages.py
@@ -1,4 +1,4 @@
-"""The pages of the reference that are written from the code."""
+"""The reference pages that are generated from the code."""
 
 from __future__ import annotations
 
@@ -27,50 +27,52 @@
 
     from savorychute.settings.setting import Setting
 
-NOTE = '.. Written by "savorychute docs"; change the code, not this page.\n\n'
+GENERATED_NOTICE = (
+    '.. Written by "savorychute docs"; change the code, not this page.\n\n'
+)
 
 
 def write_settings_page() -> str:
-    """Return the reference of settings."""
+    """Return the reference page of the settings."""
     return (
-        NOTE
+        GENERATED_NOTICE
         + format_title('Settings')
-        + 'A file of settings is JSON with comments (JSON5).  ``savorychute check '
-        '<file>`` lists all\nof its faults with file, line, value and what was '
+        + 'A settings file is JSON with comments (JSON5).  ``savorychute check '
+        '<file>`` lists all\nits faults with file, line, value and what was '
         'expected.  The scope ``instance``\nmarks values that differ between '
-        'instances; those of scope ``deployment`` must agree\neverywhere.  A '
-        'change takes effect at the next start; the two TLS files alone are\nread '
-        'again while an instance runs.\n\n' + _tabulate_settings(SETTINGS)
+        'instances; those of scope ``deployment`` must be the\nsame everywhere.  A '
+        'change takes effect at the next start; only the two TLS files\nare '
+        'reloaded while an instance runs.\n\n' + _make_settings_table(SETTINGS)
     )
 
 
 def write_gateway_page() -> str:
-    """Return the reference of a gateway's settings and metrics."""
+    """Return the reference page of the gateway's settings and metrics."""
     metrics = [
         (f'``savorychute_{row.name}``', row.kind, ', '.join(row.labels), row.doc)
         for row in GATEWAY_METRICS
     ]
     return (
-        NOTE
+        GENERATED_NOTICE
         + format_title('Gateways: settings and metrics')
         + format_title('Settings', '-')
-        + 'A file of JSON with comments (JSON5).  A change is followed while the '
-        'gateway runs,\nbut for addresses, which change with the next start.\n\n'
-        + _tabulate_settings(GATEWAY_SETTINGS)
+        + 'A file of JSON with comments (JSON5).  A change is applied while the '
+        'gateway runs,\nexcept for addresses, which change at the next start.\n\n'
+        + _make_settings_table(GATEWAY_SETTINGS)
         + '\n'
         + format_title('Metrics', '-')
-        + 'Every series has the label ``instance`` besides.  ``tier`` is the rank of '
-        'a request,\n0 for the most urgent: three times the tier of its route, plus that '
+        + 'Every series also has the label ``instance``.  ``tier`` is the rank of '
+        'a request,\n0 for the most urgent: three times the tier of its route plus that '
         'of the\norganisation.\n\n'
         + format_table(('metric', 'kind', 'labels', 'meaning'), metrics)
     )
 
 
-def _tabulate_settings(settings: Sequence[Setting]) -> str:
+def _make_settings_table(settings: Sequence[Setting]) -> str:
     rows = [
         (
             f'``{row.name}``',
-            _show_default(row.default),
+            _format_default(row.default),
             row.unit or '-',
             str(row.scope),
             row.kind,
@@ -78,12 +80,12 @@
         )
         for row in settings
     ]
-    head = ('setting', 'default', 'unit', 'scope', 'values', 'meaning')
-    return format_table(head, rows)
+    header = ('setting', 'default', 'unit', 'scope', 'values', 'meaning')
+    return format_table(header, rows)
 
 
 def write_result_codes_page() -> str:
-    """Return the table of result codes."""
+    """Return the reference page of the result codes."""
     rows = [
         (
             str(code.number),
@@ -94,10 +96,10 @@
         for code in ResultCode
     ]
     return (
-        NOTE
+        GENERATED_NOTICE
         + format_title('Result codes')
-        + 'Every answer carries the number in the header ``x-result-code``; a '
-        'refusal has it in\nits JSON body too, with ``ran``: one of '
+        + 'Every response has the number in the header ``x-result-code``; a '
+        'refusal also has it in\nits JSON body, with ``ran``: one of '
         + ', '.join(f'``{ran.value}``' for ran in Ran)
         + '.\nNumbers are never reused.  1xxx: the request is at fault; 2xxx: the '
         'system refuses\nwork; 3xxx: the outcome of work; 4xxx: configuration; '
@@ -107,7 +109,7 @@
 
 
 def write_metrics_page() -> str:
-    """Return the reference of metrics and log fields."""
+    """Return the reference page of metrics and log fields."""
     metrics = [
         (
             f'``savorychute_{row.name}``',
@@ -119,33 +121,33 @@
     ]
     fields = [(f'``{name}``', meaning) for name, meaning in FIELDS.items()]
     return (
-        NOTE
+        GENERATED_NOTICE
         + format_title('Metrics and logs')
         + format_title('Metrics', '-')
         + '``GET /metrics`` gives them in the format of Prometheus.  Durations are '
         'in\nmilliseconds.  The buckets of every histogram end at '
         + ', '.join(str(bound) for bound in BUCKETS_MS)
-        + f' ms.\nA label takes at most {MAX_LABEL_VALUES} values and a metric at '
-        f'most {MAX_SERIES} series; what is beyond\ncounts as ``other``.\n\n'
+        + f' ms.\nA label has at most {MAX_LABEL_VALUES} values and a metric at '
+        f'most {MAX_SERIES} series; further ones are\ncounted as ``other``.\n\n'
         + format_table(('metric', 'kind', 'labels', 'meaning'), metrics)
         + '\n'
         + format_title('Log fields', '-')
         + 'A line is one JSON object with ``timestamp``, ``message_type``, '
-        '``level``, ``instance``\nand ``request_id``, and those of these fields '
-        'that apply.  No other field is ever\nwritten.\n\n'
+        '``level``, ``instance``\nand ``request_id``, and those of the fields below '
+        'that apply.  No other field is\nwritten.\n\n'
         + format_table(('field', 'meaning'), fields)
     )
 
 
 def write_command_line_page() -> str:
-    """Return the reference of commands and exit codes."""
+    """Return the reference page of commands and exit codes."""
     load_commands()
     codes = [(str(int(code)), code.meaning) for code in ExitCode]
     parts = [
-        NOTE,
+        GENERATED_NOTICE,
         format_title('Command line'),
-        'Commands that ask an instance try the ones of ``--instances`` in order '
-        'and send\ntheir command to the first that accepts a connection.  The '
+        'Commands that ask an instance try those of ``--instances`` in order '
+        'and send\nthe request to the first that accepts a connection.  The '
         "operator's token comes\nfrom a file or the environment, never from the "
         'command line, where other users of\nthe host could read it.\n\n',
         format_title('Exit codes', '-'),
@@ -153,7 +155,7 @@
         '\n',
     ]
     for name in COMMANDS:
-        parts.append(_describe_command(name))
+        parts.append(_format_command(name))
     return ''.join(parts).rstrip('\n') + '\n'
 
 
@@ -163,21 +165,25 @@
     'result-codes.rst': write_result_codes_page,
     'metrics.rst': write_metrics_page,
     'command-line.rst': write_command_line_page,
-    'scenarios.rst': lambda: NOTE + write_scenario_page(),
+    'scenarios.rst': lambda: GENERATED_NOTICE + write_scenario_page(),
 }
 
 
-def _describe_command(name: str) -> str:
-    """Return a command's arguments.
+def _format_command(name: str) -> str:
+    """Return the section about a command.
 
-    Not by ``format_help``: its layout differs between versions of Python, and
-    the page must not.
+    ``format_help`` is not used because its layout differs between versions of Python,
+    and the page must not.
     """
     command = COMMANDS.get(name)()
     parser = argparse.ArgumentParser(add_help=False)
     command.add_arguments(parser)
     rows = [
-        (_spell_argument(action), 'yes' if action.required else '-', action.help or '-')
+        (
+            _format_argument(action),
+            'yes' if action.required else '-',
+            action.help or '-',
+        )
         for action in parser._actions
     ]
     text = format_title(f'``savorychute {name}``', '-') + f'{command.summary}\n\n'
@@ -186,7 +192,7 @@
     return text
 
 
-def _spell_argument(action: argparse.Action) -> str:
+def _format_argument(action: argparse.Action) -> str:
     if not action.option_strings:
         return f'``{action.dest}``'
     option = action.option_strings[-1]
@@ -196,7 +202,7 @@
     return f'``{option} {value}``'
 
 
-def _show_default(value: Any) -> str:
+def _format_default(value: Any) -> str:
     if value is REQUIRED:
         return 'required'
     return f'``{json.dumps(value)}``'
--- a/savorychute/cmd/repeats.py
+++ b/savorychute/cmd/repeats.py
@@ -12,35 +12,35 @@
 if TYPE_CHECKING:
     from argparse import ArgumentParser, Namespace
 
-    from savorychute.explain.repeats import RepeatWindow, RunSpending
+    from savorychute.explain.retries import RetryWindow, RunRetries
 
 DEFAULT_WINDOW_S = 10.0
 
 
 @COMMANDS.register('repeats')
 class Repeats:
-    """Print the window in which each service got most further attempts."""
+    """Print the window with the most retries for each service."""
 
-    summary = 'print from logs who sent the most repeats in one window, by service'
+    summary = 'print from logs the window with the most retries, for each service'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
         """Add the logs and the window."""
         parser.add_argument(
-            'logs', type=Path, nargs='+', help='files of JSON lines of all gateways'
+            'logs', type=Path, nargs='+', help='JSON-lines log files of all gateways'
         )
         parser.add_argument(
             '--window-s',
             type=float,
             default=DEFAULT_WINDOW_S,
-            help='the span in which repeats are bounded, in seconds',
+            help='length of the window in which retries are limited, in seconds',
         )
         add_output_arguments(parser)
 
     def run(self, arguments: Namespace) -> int:
         """Read the logs and print the table."""
-        # Imported late: no other command reads logs.
+        # Imported here because only a few commands read logs.
         from savorychute.explain.log_reader import read_logs
-        from savorychute.explain.repeats import find_worst_windows
+        from savorychute.explain.retries import find_worst_windows
 
         lines = read_logs(arguments.logs)
         windows = find_worst_windows(lines, arguments.window_s)
@@ -49,17 +49,17 @@
         return ExitCode.OK if windows else ExitCode.REFUSED
 
 
-def _make_row(window: RepeatWindow) -> dict[str, Any]:
+def _make_row(window: RetryWindow) -> dict[str, Any]:
     return {
         'service': window.service,
-        'begin_s': round(window.begin_s, 3),
+        'begin_s': round(window.start_s, 3),
         'granted': window.granted,
         'withheld': window.withheld,
         'requests': window.requests,
-        'runs': ', '.join(_tell_run(run) for run in window.runs),
+        'runs': ', '.join(_format_run(run) for run in window.runs),
     }
 
 
-def _tell_run(run: RunSpending) -> str:
+def _format_run(run: RunRetries) -> str:
     shared = '/'.join(str(count) for count in run.instances)
     return f'{run.instance}#{run.run}: {run.granted} (1 of {shared})'
--- a/savorychute/cmd/scenario.py
+++ b/savorychute/cmd/scenario.py
@@ -17,18 +17,18 @@
 class ScenarioRun:
     """Run a scripted scenario on a virtual clock."""
 
-    summary = 'run a scenario file and check what it expects'
+    summary = 'run scenario files and check their expectations'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
         """Add the files, the seed and the policy."""
         parser.add_argument('files', type=Path, nargs='+')
-        parser.add_argument('--seed', type=int, help="instead of the scenario's own")
+        parser.add_argument('--seed', type=int, help="replaces the scenario's own seed")
         parser.add_argument('--policy', default='default')
         add_output_arguments(parser)
 
     def run(self, arguments: Namespace) -> int:
-        """Run each file on each of its systems; fail if anything is not as expected."""
-        # The stand-ins are loaded only here: no other command needs them.
+        """Run each file on each of its systems; fail if an expectation is not met."""
+        # Imported here because few commands need the stand-ins.
         from savorychute.testing.scenario_file import read_scenario
         from savorychute.testing.scenario_run import run_scenario
 
--- a/savorychute/cmd/scenario_page.py
+++ b/savorychute/cmd/scenario_page.py
@@ -1,4 +1,4 @@
-"""The reference of the scenario language, written from the code."""
+"""The reference page of the scenario language, generated from the code."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
     from savorychute.registry import Registry
 
-LINE_COLUMNS = 80
+MAX_LINE_COLUMNS = 80
 INTRODUCTION = """\
 A scenario is a file of JSON with comments.  ``savorychute scenario run <file>`` runs it
 on a virtual clock, with stand-ins for endpoints and platform, in one process; the same
-seed gives the same run.  A fault in the file is told with its line.  The exit code is 1
-if anything that it expects does not hold.
+seed gives the same run.  A fault in the file is reported with its line.  The exit code
+is 1 if an expectation of the scenario is not met.
 
 .. code-block:: text
 
@@ -36,8 +36,8 @@
 
 
 def write_scenario_page() -> str:
-    """Return the page."""
-    # The stand-ins are loaded only here: no other page needs them.
+    """Return the reference page of the scenario language."""
+    # Imported here because no other page needs the stand-ins.
     from savorychute.testing.faults import FAULTS, FaultStep
     from savorychute.testing.measures import ClassFigures, RunFigures
     from savorychute.testing.profiles import PROFILES
@@ -45,50 +45,50 @@
     from savorychute.testing.scenario import Expectation, LoadSpec, Scenario
 
     sections = (
-        _describe_struct('The file', Scenario),
-        _describe_struct('``load``', LoadSpec),
-        _describe_struct('``at``', FaultStep),
-        _describe_registry('Faults and commands', FAULTS),
-        _describe_struct('``expect``', Expectation),
-        _describe_registry('Promises', PROMISES),
-        _list_names('Measures of a run', RunFigures._fields),
-        _list_names('Measures of a class', ClassFigures._fields),
-        _list_names('Systems', PROFILES),
+        _format_struct('The file', Scenario),
+        _format_struct('``load``', LoadSpec),
+        _format_struct('``at``', FaultStep),
+        _format_registry('Faults and commands', FAULTS),
+        _format_struct('``expect``', Expectation),
+        _format_registry('Promises', PROMISES),
+        _format_names('Measures of a run', RunFigures._fields),
+        _format_names('Measures of a class', ClassFigures._fields),
+        _format_names('Systems', PROFILES),
     )
     return format_title('Scenarios') + INTRODUCTION + '\n'.join(sections)
 
 
-def _describe_struct(title: str, struct: type[msgspec.Struct]) -> str:
+def _format_struct(title: str, struct: type[msgspec.Struct]) -> str:
     rows = [
-        (f'``{field.encode_name}``', _show_default(field))
+        (f'``{field.encode_name}``', _format_default(field))
         for field in msgspec.structs.fields(struct)
     ]
-    text = _take_paragraphs(struct)
+    text = _get_docstring_text(struct)
     table = format_table(('field', 'default'), rows)
     return f'{format_title(title, "-")}{text}\n\n{table}'
 
 
-def _describe_registry(title: str, registry: Registry[Any]) -> str:
+def _format_registry(title: str, registry: Registry[Any]) -> str:
     rows = [
-        (f'``{name}``', _take_paragraphs(registry.get(name)).split('\n')[0])
+        (f'``{name}``', _get_docstring_text(registry.get(name)).split('\n')[0])
         for name in registry
     ]
     return format_title(title, '-') + format_table(('name', 'meaning'), rows)
 
 
-def _list_names(title: str, names: Iterable[str]) -> str:
-    spelt = ', '.join(f'``{name}``' for name in names)
-    wrapped = textwrap.fill(spelt, LINE_COLUMNS)
+def _format_names(title: str, names: Iterable[str]) -> str:
+    names_text = ', '.join(f'``{name}``' for name in names)
+    wrapped = textwrap.fill(names_text, MAX_LINE_COLUMNS)
     return f'{format_title(title, "-")}{wrapped}\n'
 
 
-def _take_paragraphs(described: Any) -> str:
-    """Return an item's doc comment, without its indentation."""
+def _get_docstring_text(described: Any) -> str:
+    """Return the docstring of an object without its indentation."""
     lines = (described.__doc__ or '').strip().split('\n')
     return '\n'.join(line.strip() for line in lines).replace('*', '``')
 
 
-def _show_default(field: msgspec.structs.FieldInfo) -> str:
+def _format_default(field: msgspec.structs.FieldInfo) -> str:
     if field.required:
         return 'required'
     if field.default is msgspec.NODEFAULT:
--- a/savorychute/cmd/schema.py
+++ b/savorychute/cmd/schema.py
@@ -15,18 +15,20 @@
 
 @COMMANDS.register('schema')
 class Schema:
-    """Write the schema of the messages between instances."""
+    """Generate the schema of the messages between instances."""
 
-    summary = 'write the schema of instance messages from their types'
+    summary = 'generate the schema of instance messages from their types'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
         """Add ``--check``."""
         parser.add_argument(
-            '--check', action='store_true', help='write nothing; fail if it is old'
+            '--check',
+            action='store_true',
+            help='write nothing; fail if the file is out of date',
         )
 
     def run(self, arguments: Namespace) -> int:
-        """Write the schema, or tell whether the one there is current."""
+        """Write the schema, or check that the file is up to date."""
         text = write_schema(load_peer_messages())
         if arguments.check:
             current = SCHEMA_PATH.read_text() == text
--- a/savorychute/cmd/serve.py
+++ b/savorychute/cmd/serve.py
@@ -14,17 +14,17 @@
 
 @COMMANDS.register('serve')
 class Serve:
-    """Run an instance until it is told to leave."""
+    """Run an instance until a signal tells it to leave."""
 
     summary = 'run an instance; SIGTERM makes it leave gracefully'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
         """Add the settings file."""
-        parser.add_argument('settings', type=Path, help='a file of settings')
+        parser.add_argument('settings', type=Path, help='the settings file')
 
     def run(self, arguments: Namespace) -> int:
         """Read the settings and run the daemon."""
-        # Imported late: other commands need no daemon and start faster.
+        # Imported here so that commands without a daemon start faster.
         from savorychute.daemon.main import run_daemon
 
         return run_daemon(read_settings(arguments.settings))
--- a/savorychute/cmd/stand_ins.py
+++ b/savorychute/cmd/stand_ins.py
@@ -27,12 +27,12 @@
 
 @COMMANDS.register('stand-ins')
 class StandIns:
-    """Run stand-ins of the platform and of endpoints on loopback."""
+    """Run stand-ins for the platform and for endpoints on loopback."""
 
-    summary = 'run a log, a list, engines and a service to try an instance with'
+    summary = 'run a log, a list, engines and a service for trying out an instance'
 
     def add_arguments(self, parser: ArgumentParser) -> None:
-        """Add ports and names; a port of 0 is chosen by the system."""
+        """Add ports and names; the system chooses the port if it is 0."""
         ports = {
             '--log-port': DEFAULT_LOG_PORT,
             '--list-port': DEFAULT_LIST_PORT,
@@ -41,20 +41,28 @@
         }
         for option, port in ports.items():
             parser.add_argument(
-                option, type=int, default=port, metavar='N', help=f'else {port}'
+                option,
+                type=int,
+                default=port,
+                metavar='N',
+                help=f'port (default {port})',
             )
         parser.add_argument(
             '--engines',
             type=int,
             default=DEFAULT_ENGINES,
             metavar='N',
-            help=f'engines, at ports from the first on (else {DEFAULT_ENGINES})',
+            help=f'number of engines, on consecutive ports (default {DEFAULT_ENGINES})',
         )
         parser.add_argument(
-            '--model', default=DEFAULT_MODEL, help=f'else {DEFAULT_MODEL}'
+            '--model',
+            default=DEFAULT_MODEL,
+            help=f'model of the engines (default {DEFAULT_MODEL})',
         )
         parser.add_argument(
-            '--service', default=DEFAULT_SERVICE, help=f'else {DEFAULT_SERVICE}'
+            '--service',
+            default=DEFAULT_SERVICE,
+            help=f'name of the service (default {DEFAULT_SERVICE})',
         )
 
     def run(self, arguments: Namespace) -> int:
@@ -75,8 +83,8 @@
 
 @asynccontextmanager
 async def _open_all(arguments: Namespace) -> AsyncIterator[list[str]]:
-    """Open every stand-in and yield a line about each."""
-    # The stand-ins are loaded only here: no other command needs them.
+    """Start all stand-ins and yield a line with the port of each."""
+    # Imported here because few commands need the stand-ins.
     from savorychute.testing.append_log import AppendLog, LogSettings
     from savorychute.testing.engine import ModelEngine
     from savorychute.testing.engine_server import serve_engine
--- a/savorychute/explain/__init__.py
+++ b/savorychute/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Tells what happened to a request, from the logs of a deployment."""
+"""Explains what happened to requests, from the logs of a deployment."""
--- a/savorychute/explain/log_line.py
+++ b/savorychute/explain/log_line.py
@@ -6,7 +6,7 @@
 
 
 class LogLine(NamedTuple):
-    """When, where and what; ``fields`` are all of the line's fields."""
+    """A parsed line of a log; ``fields`` has all its fields."""
 
     timestamp_s: float
     instance: str
--- a/savorychute/explain/log_reader.py
+++ b/savorychute/explain/log_reader.py
@@ -1,4 +1,4 @@
-"""Reading of logs."""
+"""Reads log files."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def read_logs(paths: Iterable[Path]) -> list[LogLine]:
-    """Return the lines of some files, by time.
+    """Return the lines of several files, sorted by time.
 
-    :param paths: files of JSON lines; other text in front of a line or between lines
-        is passed over, as it comes from whatever collected them.
+    :param paths: files of JSON lines; other text before a line or between lines is
+        skipped, since log collectors add it.
     """
     lines: list[LogLine] = []
     for path in paths:
@@ -35,7 +35,8 @@
         try:
             fields = msgspec.json.decode(text[start:], type=dict[str, Any])
         except msgspec.DecodeError:
-            # Cut by a full disk or a restart of the collector; the rest still helps.
+            # The line was truncated by a full disk or a restart of the collector; the
+            # other lines are still useful.
             continue
         if 'message_type' in fields:
             yield LogLine(
--- a/savorychute/explain/loss_cause.py
+++ b/savorychute/explain/loss_cause.py
@@ -1,4 +1,4 @@
-"""Why a request earned its caller less than it should."""
+"""The cause of a request being lost, refused or late."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LossCause(Enum):
-    """Causes, in the order in which a table shows them."""
+    """Causes, in their order in a table."""
 
     IN_TIME = 'in time'
     LATE_FIRST_EVENT = 'late at the first event'
@@ -33,13 +33,13 @@
 
 
 def find_cause(fields: Mapping[str, Any]) -> LossCause:
-    """Return what became of a request.
+    """Return the cause of a request's loss, or ``IN_TIME``.
 
-    :param fields: of its last log line, ``request-finished``.
+    :param fields: the fields of its last log line, ``request-finished``.
     """
     state = str(fields.get('state', ''))
     if state == ANSWERED:
-        return _judge_answer(fields)
+        return _classify_response(fields)
     if state == CALLER_LEFT:
         return LossCause.CALLER_LEFT
     if state.startswith('cut-'):
@@ -55,8 +55,8 @@
     return LossCause.UNKNOWN
 
 
-def _judge_answer(fields: Mapping[str, Any]) -> LossCause:
-    """Tell an answer in time from a late one."""
+def _classify_response(fields: Mapping[str, Any]) -> LossCause:
+    """Return how a complete response was late, or ``IN_TIME``."""
     target_ms = fields.get('target_ms') or 0
     if not fields.get('events'):
         late = 0 < target_ms < fields.get('duration_ms', 0)
--- a/savorychute/explain/sentences.py
+++ b/savorychute/explain/sentences.py
@@ -1,4 +1,4 @@
-"""A sentence for each kind of log line."""
+"""Formats each kind of log line as a sentence."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     from savorychute.explain.log_line import LogLine
 
 SENTENCES: Registry[Callable[[dict[str, Any]], str]] = Registry('sentence')
-HIDDEN = frozenset(
+HIDDEN_FIELDS = frozenset(
     {
         'instance',
         'level',
@@ -25,21 +25,23 @@
 )
 
 
-def tell(line: LogLine) -> str:
-    """Return a line as a sentence.
+def describe_line(line: LogLine) -> str:
+    """Return a log line as a sentence.
 
-    :param line: any line; one of an unknown kind is told by its fields.
+    :param line: any line; for one of an unknown kind the sentence lists its fields.
     """
     if line.event in SENTENCES:
         return SENTENCES.get(line.event)(line.fields)
     shown = ', '.join(
-        f'{name} {value}' for name, value in line.fields.items() if name not in HIDDEN
+        f'{name} {value}'
+        for name, value in line.fields.items()
+        if name not in HIDDEN_FIELDS
     )
     return f'{line.event}: {shown}'
 
 
 @SENTENCES.register('request-refused')
-def _tell_refused(fields: dict[str, Any]) -> str:
+def _describe_refused(fields: dict[str, Any]) -> str:
     return (
         f'refused at once with code {fields.get("code")} ({fields.get("reason")}), '
         f'told {fields.get("ran")}; by version {fields.get("version")}, '
@@ -48,7 +50,7 @@
 
 
 @SENTENCES.register('request-shed')
-def _tell_shed(fields: dict[str, Any]) -> str:
+def _describe_shed(fields: dict[str, Any]) -> str:
     return (
         f'not sent: the best engine {fields.get("endpoint")} had '
         f'{fields.get("count")} requests and an expected wait of '
@@ -60,7 +62,7 @@
 
 
 @SENTENCES.register('attempt-ended')
-def _tell_attempt(fields: dict[str, Any]) -> str:
+def _describe_attempt(fields: dict[str, Any]) -> str:
     reason = fields.get('reason')
     cause = f' ({reason})' if reason else ''
     return (
@@ -70,7 +72,7 @@
 
 
 @SENTENCES.register('repeat-decided')
-def _tell_repeat(fields: dict[str, Any]) -> str:
+def _describe_retry(fields: dict[str, Any]) -> str:
     return (
         f'a further attempt at {fields.get("service")} was {fields.get("state")}: '
         f'{fields.get("count")} sent within the window, of {fields.get("bound")} for '
@@ -80,7 +82,7 @@
 
 
 @SENTENCES.register('permit-decided')
-def _tell_permit(fields: dict[str, Any]) -> str:
+def _describe_permit(fields: dict[str, Any]) -> str:
     text = f'a permit to call {fields.get("endpoint")} was {fields.get("state")}'
     if fields.get('retry_after_ms'):
         text += f', for {fields["retry_after_ms"]} ms'
@@ -88,7 +90,7 @@
 
 
 @SENTENCES.register('request-finished')
-def _tell_finished(fields: dict[str, Any]) -> str:
+def _describe_finished(fields: dict[str, Any]) -> str:
     text = (
         f'{fields.get("state")} with status {fields.get("status")} after '
         f'{fields.get("duration_ms")} ms and {fields.get("count")} attempts, the last '
@@ -104,7 +106,7 @@
 
 
 @SENTENCES.register('configuration-applied')
-def _tell_configuration(fields: dict[str, Any]) -> str:
+def _describe_configuration(fields: dict[str, Any]) -> str:
     return (
         f'put version {fields.get("version")} in force, '
         f'from offset {fields.get("offset")}'
@@ -112,22 +114,22 @@
 
 
 @SENTENCES.register('dependency-lost')
-def _tell_lost(fields: dict[str, Any]) -> str:
+def _describe_lost_dependency(fields: dict[str, Any]) -> str:
     return f'could not read {fields.get("item")}: {fields.get("reason")}'
 
 
 @SENTENCES.register('dependency-regained')
-def _tell_regained(fields: dict[str, Any]) -> str:
+def _describe_regained_dependency(fields: dict[str, Any]) -> str:
     return f'could read {fields.get("item")} again'
 
 
 @SENTENCES.register('endpoint-changed')
-def _tell_endpoint(fields: dict[str, Any]) -> str:
+def _describe_endpoint(fields: dict[str, Any]) -> str:
     return f'learned that {fields.get("endpoint")} is {fields.get("state")}'
 
 
 @SENTENCES.register('limit-stated')
-def _tell_limit(fields: dict[str, Any]) -> str:
+def _describe_limit(fields: dict[str, Any]) -> str:
     limit_per_s = fields.get('limit_per_s')
     if limit_per_s is None:
         return f'learned that {fields.get("endpoint")} takes any number of calls'
@@ -135,12 +137,12 @@
 
 
 @SENTENCES.register('leaving-stated')
-def _tell_leaving_endpoint(fields: dict[str, Any]) -> str:
+def _describe_leaving_endpoint(fields: dict[str, Any]) -> str:
     return f'learned that {fields.get("endpoint")} leaves'
 
 
 @SENTENCES.register('rest-stated')
-def _tell_rest(fields: dict[str, Any]) -> str:
+def _describe_rest(fields: dict[str, Any]) -> str:
     return (
         f'was asked by {fields.get("endpoint")} for a rest of '
         f'{fields.get("retry_after_ms")} ms'
@@ -148,10 +150,10 @@
 
 
 @SENTENCES.register('instance-started')
-def _tell_started(fields: dict[str, Any]) -> str:
+def _describe_started(fields: dict[str, Any]) -> str:
     return f'started, for callers at {fields.get("address")}'
 
 
 @SENTENCES.register('instance-leaving')
-def _tell_leaving(fields: dict[str, Any]) -> str:  # noqa: ARG001
+def _describe_leaving(fields: dict[str, Any]) -> str:  # noqa: ARG001
     return 'was told to leave'
--- a/tests/test_cmd/conftest.py
+++ b/tests/test_cmd/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the command line."""
+"""Fixtures for tests of the command line."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 @pytest.fixture
 def stand_in(monkeypatch):
-    with serve_stand_in(None) as double:
-        monkeypatch.setenv(ADDRESS_VARIABLE, f'127.0.0.1:{double.port}')
+    with serve_stand_in(None) as instance:
+        monkeypatch.setenv(ADDRESS_VARIABLE, f'127.0.0.1:{instance.port}')
         monkeypatch.setenv(TOKEN_VARIABLE, 'operator-token')
-        yield double
+        yield instance
 
 
 @pytest.fixture
 def tls_stand_in(monkeypatch):
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.load_cert_chain(CERTIFICATE, CERTIFICATE.with_suffix('.key'))
-    with serve_stand_in(context) as double:
-        monkeypatch.setenv(ADDRESS_VARIABLE, f'127.0.0.1:{double.port}')
+    with serve_stand_in(context) as instance:
+        monkeypatch.setenv(ADDRESS_VARIABLE, f'127.0.0.1:{instance.port}')
         monkeypatch.setenv(TOKEN_VARIABLE, 'operator-token')
-        yield double
+        yield instance
 
 
 @pytest.fixture
 def run(capsys):
-    """Run a command line; return its exit code, output and error output."""
+    """Run a command; return its exit code, standard output and standard error."""
 
     def call(*argv: str) -> tuple[int, str, str]:
         try:
--- a/tests/test_cmd/operator_stand_in.py
+++ b/tests/test_cmd/operator_stand_in.py
@@ -1,4 +1,4 @@
-"""A stand-in for an instance that answers operators."""
+"""A stand-in for an instance that responds to operator commands."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 if TYPE_CHECKING:
     import ssl
 
-# For these tests alone; its one name is 127.0.0.1.
+# Used by these tests only; it is valid for 127.0.0.1.
 CERTIFICATE = Path(__file__).parent / 'certificates' / 'loopback.pem'
 
 
-class Received(NamedTuple):
-    """One command as the stand-in got it."""
+class ReceivedCommand(NamedTuple):
+    """A command that the stand-in received."""
 
     path: str
     token: str
@@ -25,23 +25,23 @@
 
 
 class OperatorStandIn:
-    """Answers every command with what a test sets."""
+    """Sends the response that a test has set to every command."""
 
     def __init__(self) -> None:
-        self.received: list[Received] = []
-        self.answer: tuple[int, int, object] = (200, 0, {})
-        self.drops_answers = False
+        self.received: list[ReceivedCommand] = []
+        self.response: tuple[int, int, object] = (200, 0, {})
+        self.drops_responses = False
         self.port = 0
 
     def handle(self, handler: BaseHTTPRequestHandler) -> None:
-        """Note one command and answer it, or close without an answer."""
+        """Record a command and send the response, or close without one."""
         size = int(handler.headers['content-length'])
         body = handler.rfile.read(size)
         token = handler.headers.get('authorization', '')
-        self.received.append(Received(handler.path, token, json.loads(body)))
-        if self.drops_answers:
+        self.received.append(ReceivedCommand(handler.path, token, json.loads(body)))
+        if self.drops_responses:
             return
-        status, code, document = self.answer
+        status, code, document = self.response
         payload = json.dumps(document).encode()
         handler.send_response(status)
         handler.send_header('x-result-code', str(code))
@@ -52,23 +52,23 @@
 
 @contextmanager
 def serve_stand_in(tls: ssl.SSLContext | None):
-    double = OperatorStandIn()
+    stand_in = OperatorStandIn()
 
     class Handler(BaseHTTPRequestHandler):
         def do_POST(self) -> None:
-            double.handle(self)
+            stand_in.handle(self)
 
         def log_message(self, *arguments: object) -> None:
             pass
 
     server = ThreadingHTTPServer(('127.0.0.1', 0), Handler)
-    double.port = server.server_address[1]
+    stand_in.port = server.server_address[1]
     if tls is not None:
         server.socket = tls.wrap_socket(server.socket, server_side=True)
     thread = threading.Thread(target=server.serve_forever, args=(0.02,))
     thread.start()
     try:
-        yield double
+        yield stand_in
     finally:
         server.shutdown()
         thread.join()
--- a/tests/test_cmd/test_check.py
+++ b/tests/test_cmd/test_check.py
@@ -1,4 +1,4 @@
-"""``savorychute check`` lists every fault of a settings file."""
+"""Tests that ``savorychute check`` lists all faults of a settings file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     assert run('check', str(path)) == (ExitCode.OK, f'{path}: no faults\n', '')
 
 
-def test_faults_are_listed_for_programs(run, tmp_path):
+def test_faults_are_listed_as_json(run, tmp_path):
     path = tmp_path / 'bad.jsonc'
     path.write_text(GOOD.replace('"kerala"', '7').replace('"host"', '"hst"'))
     code, out, _ = run('check', str(path), '--json')
--- a/tests/test_cmd/test_doc_links.py
+++ b/tests/test_cmd/test_doc_links.py
@@ -1,4 +1,4 @@
-"""Pages link to pages that exist, and name commands that exist."""
+"""Tests that the pages link to existing pages and name existing commands."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 PAGES = [ROOT / 'README.md', *sorted((ROOT / 'docs').rglob('*.rst'))]
 
 
-def test_links_lead_to_pages():
+def test_links_point_to_existing_pages():
     broken = []
     for page in PAGES:
         text = page.read_text('utf-8')
@@ -42,7 +42,7 @@
     assert named > 10
 
 
-def test_no_page_names_a_file_that_is_not_there():
+def test_pages_name_existing_files():
     missing = []
     for page in PAGES:
         for target in re.findall(r'docs/tutorial/[\w.-]+\w', page.read_text('utf-8')):
--- a/tests/test_cmd/test_docs.py
+++ b/tests/test_cmd/test_docs.py
@@ -1,4 +1,4 @@
-"""The committed reference says what the code does."""
+"""Tests that the committed reference pages match the code."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert (REFERENCE / name).read_text('utf-8') == PAGES[name]()
 
 
-def test_old_page_is_named_and_written(run, tmp_path):
+def test_outdated_page_is_listed_and_written(run, tmp_path):
     assert run('docs', '--directory', str(tmp_path))[0] == ExitCode.OK
     page = tmp_path / 'settings.rst'
     page.write_text('old')
--- a/tests/test_cmd/test_losses.py
+++ b/tests/test_cmd/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests of the table of what was lost."""
+"""Tests of the table of lost and late requests."""
 
 from __future__ import annotations
 
@@ -62,11 +62,11 @@
     path.write_text('\n'.join(json.dumps(line) for line in lines))
 
 
-def test_table_names_the_worst_second_and_what_the_logs_lack(tmp_path, capsys):
-    """An evening on which chats stuttered.
+def test_table_shows_the_worst_second_and_omitted_lines(tmp_path, capsys):
+    """Guards against a table that hides when requests were lost, or that lines are missing.
 
-    One engine has crashed in second 4 and cut two streams; three others paused in second
-    9.  The on-call engineer sees both in one table, and that seven lines are missing.
+    An engine crashes in second 4 and cuts two streams; three other streams pause in
+    second 9. The table shows both, and that seven lines were omitted.
     """
     path = tmp_path / 'log'
     write_log(
@@ -92,7 +92,7 @@
     assert document['omitted_lines'] == 7
 
 
-def test_logs_without_requests_are_said(tmp_path):
+def test_logs_without_requests_are_refused(tmp_path):
     path = tmp_path / 'log'
     path.write_text('')
 
--- a/tests/test_cmd/test_output.py
+++ b/tests/test_cmd/test_output.py
@@ -1,4 +1,4 @@
-"""What operators read on a terminal, or in a file."""
+"""Tests of the output for operators."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 
 @pytest.mark.parametrize('markup', ['[bold]x[/bold]', '[/]', ':smile:'])
-def test_names_are_not_taken_for_markup(capsys, markup):
-    """An operator writes brackets into the reason of a change.
+def test_brackets_are_not_interpreted_as_markup(capsys, markup):
+    """Guards against an audit that shows altered text, or fails.
 
-    The table library reads them as its own markup; the audit would show
-    something else than what was written, or fail.
+    The table library interprets brackets as markup, and an operator may write them
+    in the reason of a change.
     """
     print_document({'entries': [{'why': markup}]}, False)
     assert markup in capsys.readouterr().out
--- a/tests/test_cmd/test_repeats.py
+++ b/tests/test_cmd/test_repeats.py
@@ -1,4 +1,4 @@
-"""Tests of the sums of repeats over several instances' logs."""
+"""Tests of the sums of retries over the logs of several instances."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     } | fields
 
 
-def decide(instance, at_s, state='granted', service='pool', instances=2):
+def make_decision(instance, at_s, state='granted', service='pool', instances=2):
     return make_line(
         instance,
         at_s,
@@ -28,22 +28,22 @@
     )
 
 
-def test_sum_over_instances_tells_the_runs_before_and_after_a_restart(tmp_path, capsys):
-    """Guards against a sum over instances that nobody can make from the logs."""
+def test_sum_over_instances_separates_runs_before_and_after_a_restart(tmp_path, capsys):
+    """Guards against retries that cannot be summed over instances from the logs."""
     first = tmp_path / 'kochi'
     second = tmp_path / 'thrissur'
     lines = [
-        decide('kochi-1', 0),
-        decide('kochi-1', 20),
-        decide('kochi-1', 21),
+        make_decision('kochi-1', 0),
+        make_decision('kochi-1', 20),
+        make_decision('kochi-1', 21),
         make_line('kochi-1', 24, 'instance-started'),
-        decide('kochi-1', 26, instances=1),
-        decide('kochi-1', 27, 'withheld', instances=1),
+        make_decision('kochi-1', 26, instances=1),
+        make_decision('kochi-1', 27, 'withheld', instances=1),
     ]
     first.write_text('\n'.join(json.dumps(line) for line in lines))
     lines = [
-        decide('thrissur-1', 23),
-        decide('thrissur-1', 23, service='desk'),
+        make_decision('thrissur-1', 23),
+        make_decision('thrissur-1', 23, service='desk'),
         make_line(
             'thrissur-1', 25, 'request-finished', service='pool', duration_ms=2000
         ),
@@ -61,16 +61,16 @@
     assert desk['granted'] == 1
 
 
-def test_window_is_as_long_as_asked_for(tmp_path, capsys):
+def test_window_has_the_requested_length(tmp_path, capsys):
     path = tmp_path / 'log'
-    lines = [decide('kochi-1', at_s) for at_s in (0, 3, 6)]
+    lines = [make_decision('kochi-1', at_s) for at_s in (0, 3, 6)]
     path.write_text('\n'.join(json.dumps(line) for line in lines))
 
     assert main(['repeats', '--json', '--window-s', '5', str(path)]) == ExitCode.OK
     assert json.loads(capsys.readouterr().out)['services'][0]['granted'] == 2
 
 
-def test_logs_without_repeats_are_said(tmp_path):
+def test_logs_without_retries_are_refused(tmp_path):
     path = tmp_path / 'log'
     path.write_text('')
 
--- a/tests/test_cmd/test_tutorial.py
+++ b/tests/test_cmd/test_tutorial.py
@@ -1,4 +1,4 @@
-"""The tutorial's files and steps, with processes of their own."""
+"""Tests of the files and steps of the tutorial, with separate processes."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
 
 @contextmanager
-def start(*argv: str):
-    """Run a command as a process of its own; end it if it does not."""
+def start_process(*argv: str):
+    """Run a command as a separate process and kill it at the end."""
     process = subprocess.Popen(
         [sys.executable, '-m', 'savorychute', *argv],
         stdout=subprocess.PIPE,
@@ -50,9 +50,9 @@
 @pytest.fixture(scope='module')
 def platform():
     """Run the stand-ins; return their ports by name."""
-    zeros = ('--log-port', '--list-port', '--engine-port', '--service-port')
-    argv = [item for option in zeros for item in (option, '0')]
-    with start('stand-ins', *argv) as process:
+    port_options = ('--log-port', '--list-port', '--engine-port', '--service-port')
+    argv = [item for option in port_options for item in (option, '0')]
+    with start_process('stand-ins', *argv) as process:
         lines = [process.stdout.readline().split() for _ in range(5)]
         yield {name: int(port) for name, port in lines}
         process.send_signal(signal.SIGTERM)
@@ -61,7 +61,7 @@
 
 @pytest.fixture(scope='module')
 def directory(platform, tmp_path_factory):
-    """Copy the tutorial's files with the ports that the system chose."""
+    """Copy the tutorial's files, with the ports chosen by the system."""
     ports = {
         '7000': platform['log'],
         '7001': platform['list'],
@@ -74,7 +74,7 @@
     for path in FILES.glob('*.jsonc'):
         text = re.sub(
             r'\b(7000|7001|7100|7200|8080|8081)\b',
-            lambda found: str(ports[found[0]]),
+            lambda match: str(ports[match[0]]),
             path.read_text(),
         )
         (copied / path.name).write_text(text)
@@ -83,8 +83,8 @@
 
 @pytest.fixture
 def instance(directory, monkeypatch):
-    """Run the instance; return its process and its callers' port."""
-    with start('serve', str(directory / 'kochi-1.jsonc')) as process:
+    """Run the instance; return its process and the port for callers."""
+    with start_process('serve', str(directory / 'kochi-1.jsonc')) as process:
         line = json.loads(process.stdout.readline())
         assert line['message_type'] == 'instance-started'
         monkeypatch.setenv(ADDRESS_VARIABLE, line['address'])
@@ -94,31 +94,33 @@
 
 
 def check_callers_guide(port):
-    """Run the program of the callers' guide as a process of its own."""
+    """Run the program in the guide for callers as a separate process."""
     text = GUIDE.read_text('utf-8').split('.. code-block:: python\n', 1)[1]
     program = textwrap.dedent(text.split('\n\nWhat an end means', 1)[0])
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, '-c', program.replace('8080', str(port))],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert done.returncode == 0, done.stderr
-    assert done.stdout.endswith('200 visit-log-1\n')
+    assert completed.returncode == 0, completed.stderr
+    assert completed.stdout.endswith('200 visit-log-1\n')
 
 
-def call(port, method, path, body=None, **headers):
+def send_request(port, method, path, body=None, **headers):
     """Send one request; return status, headers and body."""
     connection = http.client.HTTPConnection('127.0.0.1', port, timeout=20)
-    sent = {
+    request_headers = {
         **ORGANISATION_HEADERS,
         **{k.replace('_', '-'): v for k, v in headers.items()},
     }
-    connection.request(method, path, json.dumps(body) if body else None, sent)
-    reply = connection.getresponse()
-    answer = reply.read().decode()
+    connection.request(
+        method, path, json.dumps(body) if body else None, request_headers
+    )
+    response = connection.getresponse()
+    response_text = response.read().decode()
     connection.close()
-    return reply.status, reply.headers, answer
+    return response.status, response.headers, response_text
 
 
 def test_files_have_no_faults(run):
@@ -128,7 +130,7 @@
 
 def test_tutorial(run, directory, instance):
     process, port = instance
-    while call(port, 'GET', '/readyz')[0] != HTTPStatus.OK:
+    while send_request(port, 'GET', '/readyz')[0] != HTTPStatus.OK:
         time.sleep(0.02)
     contract = str(directory / 'malanadu.jsonc')
     amend = ('contract', 'amend', contract, '--base-version', '0', '--why', 'first')
@@ -138,7 +140,7 @@
         assert run('endpoint', 'add', path, '--why', 'first')[0] == ExitCode.OK
 
     chat = '/v1/chat/completions'
-    status, headers, answer = call(
+    status, headers, response_text = send_request(
         port, 'POST', chat, CHAT, x_request_class='diagnosis'
     )
     assert (status, headers['x-result-code'], headers['x-endpoint']) == (
@@ -146,32 +148,40 @@
         '0',
         'engine-1',
     )
-    assert json.loads(answer)['choices'][0]['message']['content']
+    assert json.loads(response_text)['choices'][0]['message']['content']
     request_id = headers['x-request-id']
     code, out, _ = run('explain', request_id, '--json')
     assert code == ExitCode.OK
     assert json.loads(out)['outcome']['code'] == 'OK'
 
-    ask = ('call', 'diagnosis', '--model', 'pump-diagnosis', 'no water')
-    code, out, _ = run(*ask, '--max-tokens', '8', '--json')
+    ask_model = ('call', 'diagnosis', '--model', 'pump-diagnosis', 'no water')
+    code, out, _ = run(*ask_model, '--max-tokens', '8', '--json')
     assert code == ExitCode.OK
     assert json.loads(out)['tokens'] == 8
-    assert len(run(*ask, '--max-tokens', '8')[1].split()) == 8
-    book = ('call', 'visit', '--service', 'visit-log', '--path', '/visits', '--once')
-    code, out, _ = run(*book, '{"pump": 7}')
+    assert len(run(*ask_model, '--max-tokens', '8')[1].split()) == 8
+    book_visit = (
+        'call',
+        'visit',
+        '--service',
+        'visit-log',
+        '--path',
+        '/visits',
+        '--once',
+    )
+    code, out, _ = run(*book_visit, '{"pump": 7}')
     assert code == ExitCode.OK
     assert out.startswith('POST /visits')
     check_callers_guide(port)
-    wrong = ('call', 'dignosis', '--model', 'pump-diagnosis', 'x')
-    code, out, err = run(*wrong, '--timeout-ms', '500', '--json')
+    misspelt_class = ('call', 'dignosis', '--model', 'pump-diagnosis', 'x')
+    code, out, err = run(*misspelt_class, '--timeout-ms', '500', '--json')
     assert code == ExitCode.REFUSED
     assert json.loads(out)['error']['code'] == 1006
     assert 'not-run' in err
 
-    key = json.loads(call(port, 'POST', '/v1/keys')[2])['key']
+    key = json.loads(send_request(port, 'POST', '/v1/keys')[2])['key']
     visits = '/v1/services/visit-log/visits'
-    booked = [
-        call(
+    responses = [
+        send_request(
             port,
             'POST',
             visits,
@@ -181,14 +191,19 @@
         )
         for _ in range(2)
     ]
-    assert booked[0][0] == booked[1][0] == 200
-    assert booked[0][2] == booked[1][2]
-    assert booked[0][1]['x-attempt-id']
-    assert not booked[1][1]['x-attempt-id']
+    assert responses[0][0] == responses[1][0] == 200
+    assert responses[0][2] == responses[1][2]
+    assert responses[0][1]['x-attempt-id']
+    assert not responses[1][1]['x-attempt-id']
 
-    status, headers, _ = call(port, 'POST', chat, CHAT, x_request_class='dignosis')
+    status, headers, _ = send_request(
+        port, 'POST', chat, CHAT, x_request_class='dignosis'
+    )
     assert (status, headers['x-result-code']) == (400, '1006')
-    assert 'savorychute_goodput_total{class="visit"' in call(port, 'GET', '/metrics')[2]
+    assert (
+        'savorychute_goodput_total{class="visit"'
+        in send_request(port, 'GET', '/metrics')[2]
+    )
 
     drain = ('endpoint', 'drain', 'engine-1', '--why', 'repair')
     assert run(*drain)[0] == ExitCode.OK
--- a/tests/test_cmd/test_with_instance.py
+++ b/tests/test_cmd/test_with_instance.py
@@ -1,4 +1,4 @@
-"""The operators' commands against a real instance on loopback."""
+"""Tests of the operator commands against a real instance on loopback."""
 
 from __future__ import annotations
 
@@ -61,9 +61,9 @@
 
 @pytest.fixture(scope='module')
 def instance_port():
-    """Run an instance, a log and a list in a loop on another thread."""
+    """Run an instance, a log and a list in an event loop on another thread."""
     started = threading.Event()
-    found: list[int] = []
+    ports: list[int] = []
     loop = asyncio.new_event_loop()
     stop = asyncio.Event()
 
@@ -77,7 +77,7 @@
                     make_instance_settings(settings), address, random.Random(2)
                 ),
             ) as host:
-                found.append(host.address.caller_port)
+                ports.append(host.address.caller_port)
                 while not host.instance.ready:
                     await asyncio.sleep(0.01)
                 started.set()
@@ -86,14 +86,14 @@
     thread = threading.Thread(target=lambda: loop.run_until_complete(main()))
     thread.start()
     assert started.wait(20)
-    yield found[0]
+    yield ports[0]
     loop.call_soon_threadsafe(stop.set)
     thread.join()
     loop.close()
 
 
 @pytest.fixture
-def ask(run, instance_port, monkeypatch):
+def run_json(run, instance_port, monkeypatch):
     """Run a command with ``--json``; return its exit code and document."""
     monkeypatch.setenv(ADDRESS_VARIABLE, f'127.0.0.1:{instance_port}')
     monkeypatch.setenv(TOKEN_VARIABLE, TOKEN)
@@ -106,13 +106,13 @@
 
 
 @pytest.fixture
-def write(tmp_path):
-    def make(document: dict) -> str:
+def write_document(tmp_path):
+    def write(document: dict) -> str:
         path = tmp_path / 'document.jsonc'
         path.write_text('// For an operator.\n' + json.dumps(document))
         return str(path)
 
-    return make
+    return write
 
 
 def make_settings(log_port: int, list_port: int) -> Settings:
@@ -134,72 +134,85 @@
     )
 
 
-def test_contract_is_made_amended_and_followed(ask, write):
-    path = write(CONTRACT)
+def test_contract_is_created_amended_and_shown(run_json, write_document):
+    path = write_document(CONTRACT)
     change = ('contract', 'amend', path, '--why', 'first')
-    code, made = ask(*change, '--base-version', '0')
+    code, made = run_json(*change, '--base-version', '0')
     assert code == ExitCode.OK
-    code, shown = ask('contract', 'show', 'malanadu')
+    code, shown = run_json('contract', 'show', 'malanadu')
     assert code == ExitCode.OK
     assert shown['version'] == made['version']
     assert shown['document'] == CONTRACT
 
-    assert ask(*change, '--base-version', '0')[0] == ExitCode.REFUSED
-    second = write({**CONTRACT, 'requests_per_s': 20})
+    assert run_json(*change, '--base-version', '0')[0] == ExitCode.REFUSED
+    second = write_document({**CONTRACT, 'requests_per_s': 20})
     amend = ('contract', 'amend', second, '--why', 'more pumps')
-    code, amended = ask(*amend, '--base-version', str(made['version']))
+    code, amended = run_json(*amend, '--base-version', str(made['version']))
     assert code == ExitCode.OK
-    shown = ask('contract', 'show', 'malanadu')[1]
+    shown = run_json('contract', 'show', 'malanadu')[1]
     assert shown['version'] == amended['version'] > made['version']
     assert shown['document']['requests_per_s'] == 20
-    history = ask('contract', 'history', 'malanadu')[1]['history']
+    history = run_json('contract', 'history', 'malanadu')[1]['history']
     assert [entry['operator'] for entry in history] == ['ravi', 'ravi']
-    entries = ask('audit', '--item', 'contract:malanadu')[1]['entries']
+    entries = run_json('audit', '--item', 'contract:malanadu')[1]['entries']
     assert 'more pumps' in json.dumps(entries)
 
 
-def test_change_with_the_same_record_id_takes_effect_once(ask, write):
-    """The answer to an amendment is lost; the operator sends it again.
+def test_change_with_the_same_record_id_takes_effect_once(run_json, write_document):
+    """Guards against a change that is applied or refused when it is sent again.
 
-    Both records are in the log.  With one record id the second finds the
-    first instead of being refused for its base version, or applied.
+    The response to an amendment is lost and the operator sends it again, so both
+    records are in the log.  Because they have the same record id, the second is
+    recognised as a copy of the first instead of being refused for its base version.
     """
     document = {**CONTRACT, 'organisation': 'hooghly', 'token_hashes': ['1' * 64]}
-    argv = ('contract', 'amend', write(document), '--why', 'x', '--record-id', 'r-9')
-    first = ask(*argv, '--base-version', '0')
-    second = ask(*argv, '--base-version', '0')
+    argv = (
+        'contract',
+        'amend',
+        write_document(document),
+        '--why',
+        'x',
+        '--record-id',
+        'r-9',
+    )
+    first = run_json(*argv, '--base-version', '0')
+    second = run_json(*argv, '--base-version', '0')
     assert (first[0], second[0]) == (ExitCode.OK, ExitCode.OK)
     assert first[1]['offset'] == second[1]['offset']
-    shown = ask('contract', 'show', 'hooghly')[1]
+    shown = run_json('contract', 'show', 'hooghly')[1]
     assert shown['version'] == first[1]['version'] == second[1]['version']
-    assert len(ask('contract', 'history', 'hooghly')[1]['history']) == 1
+    assert len(run_json('contract', 'history', 'hooghly')[1]['history']) == 1
 
 
-def test_endpoint_is_added_drained_and_retired(ask, write):
-    add = ('endpoint', 'add', write(ENDPOINT), '--why', 'new engine')
-    assert ask(*add)[0] == ExitCode.OK
-    assert show_state(ask) == 'active'
-    assert ask('endpoint', 'drain', 'engine-1', '--why', 'repair')[0] == ExitCode.OK
-    assert show_state(ask) == 'draining'
-    assert ask('endpoint', 'retire', 'engine-1', '--why', 'gone')[0] == ExitCode.OK
-    assert show_state(ask) == 'retired'
-    assert ask('endpoint', 'drain', 'engine-9', '--why', 'x')[0] == ExitCode.REFUSED
+def test_endpoint_is_added_drained_and_retired(run_json, write_document):
+    add = ('endpoint', 'add', write_document(ENDPOINT), '--why', 'new engine')
+    assert run_json(*add)[0] == ExitCode.OK
+    assert get_endpoint_state(run_json) == 'active'
+    assert (
+        run_json('endpoint', 'drain', 'engine-1', '--why', 'repair')[0] == ExitCode.OK
+    )
+    assert get_endpoint_state(run_json) == 'draining'
+    assert run_json('endpoint', 'retire', 'engine-1', '--why', 'gone')[0] == ExitCode.OK
+    assert get_endpoint_state(run_json) == 'retired'
+    assert (
+        run_json('endpoint', 'drain', 'engine-9', '--why', 'x')[0] == ExitCode.REFUSED
+    )
 
 
-def show_state(ask) -> str:
-    [endpoint] = ask('endpoint', 'list')[1]['endpoints']
+def get_endpoint_state(run_json) -> str:
+    [endpoint] = run_json('endpoint', 'list')[1]['endpoints']
     return endpoint['state']
 
 
-def test_instance_shows_itself(ask):
-    assert ask('status')[1]['instance'] == 'kochi-1'
-    [entry] = ask('instance', 'list')[1]['instances']
+def test_instance_reports_itself(run_json):
+    assert run_json('status')[1]['instance'] == 'kochi-1'
+    [entry] = run_json('instance', 'list')[1]['instances']
     assert entry['instance'] == 'kochi-1'
-    assert ask('explain', 'no-such-request')[0] == ExitCode.REFUSED
+    assert run_json('explain', 'no-such-request')[0] == ExitCode.REFUSED
 
 
-def test_operator_with_a_wrong_token_is_refused(ask, monkeypatch):
+def test_operator_with_a_wrong_token_is_refused(run_json, monkeypatch):
     monkeypatch.setenv(TOKEN_VARIABLE, 'organisation-token')
-    code, document = ask('contract', 'show', 'malanadu')
+    code, document = run_json('contract', 'show', 'malanadu')
     assert code == ExitCode.REFUSED
     assert document['error']['code'] == 1004
--- a/tests/test_fleet/test_explaining.py
+++ b/tests/test_fleet/test_explaining.py
@@ -10,7 +10,7 @@
 from fleet_fixture import run_fleet
 
 from savorychute.explain.log_reader import read_logs
-from savorychute.explain.story import tell_story
+from savorychute.explain.request_history import describe_request
 from savorychute.testing.virtual_loop import run_virtual
 
 TEST_S = 30
@@ -46,7 +46,7 @@
     path = tmp_path / 'log'
     with log_file(path):
         response, request_id = run_virtual(main())
-    return response, '\n'.join(tell_story(request_id, read_logs([path])))
+    return response, '\n'.join(describe_request(request_id, read_logs([path])))
 
 
 def test_refusal_under_load(tmp_path):
