--- a/benches/soak.py
+++ b/benches/soak.py
@@ -22,8 +22,8 @@
 from savorychute.demo.demo_class import SERVICE, list_classes
 from savorychute.demo.documents import (
     make_contract,
-    make_engine_entry,
-    make_service_entry,
+    make_engine_document,
+    make_service_document,
     make_token,
 )
 from savorychute.demo.site import DOMAINS
@@ -104,11 +104,13 @@
             )
         for name, engine in self._site.engines.items():
             domain = self._site.domains[name]
-            entry = make_engine_entry(name, domain, engine.port, 16)
+            entry = make_engine_document(name, domain, engine.port, 16)
             await self._order(
                 'endpoint-add', document=entry, base_version=0, why='soak'
             )
-        entry = make_service_entry(f'{SERVICE}-1', DOMAINS[0], self._site.service_port)
+        entry = make_service_document(
+            f'{SERVICE}-1', DOMAINS[0], self._site.service_port
+        )
         await self._order('endpoint-add', document=entry, base_version=0, why='soak')
         await asyncio.sleep(3)
 
--- a/benches/soak_site.py
+++ b/benches/soak_site.py
@@ -86,17 +86,17 @@
         daemon.reader = asyncio.create_task(_discard(process))
         self.daemons[name] = daemon
         self.hosts[name] = daemon  # type: ignore[assignment]
-        self.listing.put(address, loop_ms())
+        self.instance_list.put(address, loop_ms())
 
     async def stop_instance(self, name: str) -> None:
         """Let a daemon leave gracefully and note its exit code."""
         daemon = self.daemons.pop(name)
         self.hosts.pop(name)
-        self.listing.mark_leaving(name, loop_ms())
+        self.instance_list.mark_leaving(name, loop_ms())
         daemon.signal(signal.SIGTERM)
         async with asyncio.timeout(STOP_TIMEOUT_S):
             self.exit_codes.append(await daemon.process.wait())
-        self.listing.delete(name, loop_ms())
+        self.instance_list.delete(name, loop_ms())
 
     async def kill_instance(self, name: str) -> None:
         """End a daemon without a warning."""
@@ -104,7 +104,7 @@
         self.hosts.pop(name)
         daemon.signal(signal.SIGKILL)
         await daemon.process.wait()
-        self.listing.delete(name, loop_ms())
+        self.instance_list.delete(name, loop_ms())
 
     async def pause_instance(self, name: str, pause_s: float) -> None:
         """Stop a daemon's process and let it go on later."""
--- a/savorychute/demo/__init__.py
+++ b/savorychute/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A demonstration: a small site on loopback, and a day's troubles in a minute."""
+"""A demonstration: a small site on loopback with the usual faults, within a minute."""
--- a/savorychute/demo/caller.py
+++ b/savorychute/demo/caller.py
@@ -1,4 +1,4 @@
-"""One caller's request, with a check of the answer."""
+"""A caller's request and the check of its response."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 class Caller:
-    """Makes one call and counts how it ended.
+    """Makes one call and counts its outcome.
 
-    :param client: of the class's organisation.
-    :param demo_class: what is asked.
-    :param call_id: names the call in its body.
-    :param tokens: how long a model's answer is to be.
+    :param client: the client of the class's organisation.
+    :param demo_class: the class of the call.
+    :param call_id: identifies the call in its body.
+    :param tokens: the requested length of a model's response.
     """
 
     def __init__(
@@ -44,9 +44,9 @@
     async def run(self, tally: Tally) -> None:
         """Make the call.
 
-        :param tally: where it is counted.
+        :param tally: counts the outcome.
         """
-        counts = tally.classes[tally.name_of(self._demo_class)]
+        counts = tally.classes[tally.get_class_name(self._demo_class)]
         call_class = self._demo_class.call_class
         try:
             if call_class.service:
@@ -66,40 +66,40 @@
         counts.calls += 1
 
     async def _stream(self, counts: ClassTally) -> None:
-        begun_ms = self._clock.now_ms()
+        started_ms = self._clock.now_ms()
         first_ms = 0
         texts = []
         prompt = self._write_prompt()
-        async for tokens in self._client.stream(self._make_call(prompt)):
+        async for part in self._client.stream(self._make_call(prompt)):
             first_ms = first_ms or self._clock.now_ms()
-            texts.append(tokens.text)
+            texts.append(part.text)
         ended_ms = self._clock.now_ms()
         expected = write_answer(prompt, 0)
         if ''.join(texts) != expected:
             counts.truncated += 1
             return
-        tokens_made = count_answer_tokens(prompt, 0)
-        gap_ms = (ended_ms - first_ms) / max(1, tokens_made - 1)
+        token_count = count_answer_tokens(prompt, 0)
+        gap_ms = (ended_ms - first_ms) / max(1, token_count - 1)
         call_class = self._demo_class.call_class
-        in_time = first_ms - begun_ms <= call_class.first_token_target_ms
-        steady = gap_ms <= call_class.token_gap_target_ms
-        self._count_answer(counts, tokens_made, in_time and steady)
+        in_time = first_ms - started_ms <= call_class.first_token_target_ms
+        gap_in_time = gap_ms <= call_class.token_gap_target_ms
+        self._count_response(counts, token_count, in_time and gap_in_time)
 
     async def _complete(self, counts: ClassTally) -> None:
         prompt = self._write_prompt()
-        begun_ms = self._clock.now_ms()
-        answer = await self._client.complete(self._make_call(prompt))
-        if write_answer(prompt, 0).strip() not in answer.body.decode():
+        started_ms = self._clock.now_ms()
+        response = await self._client.complete(self._make_call(prompt))
+        if write_answer(prompt, 0).strip() not in response.body.decode():
             counts.truncated += 1
             return
-        self._count_in_time(counts, begun_ms, count_answer_tokens(prompt, 0))
+        self._count_timed_response(counts, started_ms, count_answer_tokens(prompt, 0))
 
     async def _call_service(self, counts: ClassTally) -> None:
         call_class = self._demo_class.call_class
         path = f'/{call_class.name}'
         body = f'{{"entry":"{write_marker(self._call_id)}"}}'.encode()
-        begun_ms = self._clock.now_ms()
-        answer = await self._client.call_service(
+        started_ms = self._clock.now_ms()
+        response = await self._client.call_service(
             ServiceCall(
                 service=call_class.service,
                 method='POST',
@@ -111,17 +111,19 @@
             )
         )
         expected = write_service_answer(ServiceRequest('', 'POST', path, body))
-        if answer.body != expected:
+        if response.body != expected:
             counts.truncated += 1
             return
-        self._count_in_time(counts, begun_ms, 0)
+        self._count_timed_response(counts, started_ms, 0)
 
-    def _count_in_time(self, counts: ClassTally, begun_ms: int, tokens: int) -> None:
-        waited_ms = self._clock.now_ms() - begun_ms
+    def _count_timed_response(
+        self, counts: ClassTally, started_ms: int, tokens: int
+    ) -> None:
+        response_ms = self._clock.now_ms() - started_ms
         target_ms = self._demo_class.call_class.first_token_target_ms
-        self._count_answer(counts, tokens, waited_ms <= target_ms)
+        self._count_response(counts, tokens, response_ms <= target_ms)
 
-    def _count_answer(self, counts: ClassTally, tokens: int, in_time: bool) -> None:
+    def _count_response(self, counts: ClassTally, tokens: int, in_time: bool) -> None:
         counts.answered += 1
         counts.answered_tokens += tokens
         counts.attained += in_time
--- a/savorychute/demo/class_tally.py
+++ b/savorychute/demo/class_tally.py
@@ -1,15 +1,15 @@
-"""How the calls of one class ended."""
+"""Counts of the outcomes of one class's calls."""
 
 from __future__ import annotations
 
 
 class ClassTally:
-    """Counts of one class.
+    """Counts of the outcomes of one class's calls.
 
-    ``unknown`` counts non-idempotent calls whose caller was told that they may
-    have run and will not be run again; ``lost`` all other calls that were
-    neither answered nor refused unrun; ``truncated`` answers that were passed
-    off as whole and were not the whole answer to the caller's own request.
+    ``unknown`` counts non-idempotent calls that were reported to the caller as possibly
+    run and not retried; ``lost`` counts all other calls that were neither answered nor
+    refused without having run; ``truncated`` counts responses that ended as complete
+    but were not the complete response to the caller's own request.
     """
 
     def __init__(self, tier: int, weight: float) -> None:
@@ -26,5 +26,5 @@
 
     @property
     def attainment(self) -> float:
-        """The share of calls answered within the class's targets."""
+        """The share of calls answered within the targets of the class."""
         return self.attained / self.calls if self.calls else 1.0
--- a/savorychute/demo/demo_class.py
+++ b/savorychute/demo/demo_class.py
@@ -1,4 +1,4 @@
-"""What the demonstration's callers ask, and how often."""
+"""The request classes of the demonstration's callers and their rates."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DemoClass(NamedTuple):
-    """An organisation's class and the rate of its calls."""
+    """A request class of an organisation and the rate of its calls."""
 
     organisation: str
     call_class: CallClass
@@ -19,9 +19,9 @@
 
 
 def list_classes(rate_per_s: float) -> list[DemoClass]:
-    """Return every class of both organisations.
+    """Return the classes of both organisations.
 
-    :param rate_per_s: of all calls of one organisation together.
+    :param rate_per_s: the total rate of the calls of one organisation.
     """
     classes = []
     for organisation, call_classes in (
@@ -30,7 +30,7 @@
     ):
         for call_class in call_classes:
             service = SERVICE if call_class.service else ''
-            stated = call_class._replace(service=service)
+            demo_call_class = call_class._replace(service=service)
             rate = rate_per_s * call_class.demand
-            classes.append(DemoClass(organisation, stated, rate))
+            classes.append(DemoClass(organisation, demo_call_class, rate))
     return classes
--- a/savorychute/demo/documents.py
+++ b/savorychute/demo/documents.py
@@ -1,4 +1,4 @@
-"""The documents that the demonstration's operator enters."""
+"""The documents that the demonstration's operator submits."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 def make_contract(organisation: str, classes: Sequence[DemoClass]) -> ContractDocument:
     """Return an organisation's contract.
 
-    :param classes: of both organisations.
+    :param classes: the classes of both organisations.
     """
     token = make_token(organisation)
     return {
@@ -48,10 +48,10 @@
     }
 
 
-def make_engine_entry(
+def make_engine_document(
     endpoint: str, failure_domain: str, port: int, concurrent_requests: int
 ) -> EndpointDocument:
-    """Return an engine's entry."""
+    """Return the endpoint document of an engine."""
     return {
         'endpoint': endpoint,
         'dialect': 'openai-engine',
@@ -65,10 +65,10 @@
     }
 
 
-def make_service_entry(
+def make_service_document(
     endpoint: str, failure_domain: str, port: int
 ) -> EndpointDocument:
-    """Return a plain service's entry."""
+    """Return the endpoint document of a plain service."""
     return {
         'endpoint': endpoint,
         'dialect': 'plain-service',
--- a/savorychute/demo/site.py
+++ b/savorychute/demo/site.py
@@ -1,4 +1,4 @@
-"""The demonstration's site: stand-ins and daemons in one loop."""
+"""The site of the demonstration: stand-ins and daemons in one event loop."""
 
 from __future__ import annotations
 
@@ -35,22 +35,22 @@
 INSTANCES = 4
 OPERATOR = 'demo'
 LIST_LAG_MS = 500.0
-#: Short, so that the graceful restart fits into the demonstration.
+#: Short, so that the graceful restart completes within the demonstration.
 DISCOVERY_LIFETIME_MS = 2_000
 STEP_MS = 20.0
 CHUNK_STEPS = 4
 
 
 class Site:
-    """Everything that runs, and handles to disturb it.
+    """The running stand-ins and daemons, with methods to start and stop them.
 
-    :param seed: of every random choice of the stand-ins.
+    :param seed: the seed of all random choices of the stand-ins.
     """
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.log = AppendLog(LogSettings(), self._fork())
-        self.listing = InstanceList(lag_ms=LIST_LAG_MS)
+        self.log = AppendLog(LogSettings(), self._fork_rng())
+        self.instance_list = InstanceList(lag_ms=LIST_LAG_MS)
         self.engines: dict[str, EngineServer] = {}
         self.domains: dict[str, str] = {}
         self.service = PlainService(ServiceSettings())
@@ -64,7 +64,7 @@
 
     @property
     def operator(self) -> OperatorClient:
-        """A client for operators' commands, to the instances that are up."""
+        """A client that sends operator commands to the running instances."""
         addresses = tuple(
             NetworkAddress(host.address.host, host.address.caller_port)
             for host in self.hosts.values()
@@ -73,36 +73,36 @@
 
     @property
     def seeds(self) -> tuple[ServerAddress, ...]:
-        """Addresses that callers know from the start."""
+        """The addresses from which callers start discovery."""
         return tuple(
             ServerAddress(host.address.host, host.address.caller_port)
             for host in self.hosts.values()
         )
 
     def count_generated_tokens(self) -> int:
-        """Return how many tokens all engines made so far."""
+        """Return how many tokens all engines have generated."""
         return sum(each.engine.generated_tokens for each in self.engines.values())
 
     async def start_stand_ins(self, stack: AsyncExitStack) -> None:
-        """Start the platform's log and list, the engines and the service."""
-        log = await stack.enter_async_context(serve_log(self.log))
-        listing = await stack.enter_async_context(serve_list(self.listing))
-        service = await stack.enter_async_context(serve_service(self.service))
-        self._log_port = log.port
-        self._list_port = listing.port
-        self.service_port = service.port
+        """Start the platform's log and instance list, the engines and the service."""
+        log_server = await stack.enter_async_context(serve_log(self.log))
+        list_server = await stack.enter_async_context(serve_list(self.instance_list))
+        service_server = await stack.enter_async_context(serve_service(self.service))
+        self._log_port = log_server.port
+        self._list_port = list_server.port
+        self.service_port = service_server.port
         for number in range(ENGINES):
             name = f'engine-{number + 1}'
             settings = EngineSettings(
                 name=name, step_ms=STEP_MS, chunk_steps=CHUNK_STEPS
             )
-            engine = ModelEngine(settings, self._fork())
+            engine = ModelEngine(settings, self._fork_rng())
             server = await stack.enter_async_context(serve_engine(engine))
             self.engines[name] = server
             self.domains[name] = DOMAINS[number % len(DOMAINS)]
 
     async def start_instance(self, name: str, failure_domain: str) -> None:
-        """Start a daemon and enter it in the platform's list."""
+        """Start a daemon and add it to the platform's instance list."""
         settings = build_settings(
             {
                 'instance': name,
@@ -123,28 +123,28 @@
         stack = AsyncExitStack()
         log = InstanceLog(name, LogLevel.ERROR)
         host = await stack.enter_async_context(
-            run_instance(settings, log, rng=self._fork())
+            run_instance(settings, log, rng=self._fork_rng())
         )
         self.hosts[name] = host
         self._stacks[name] = stack
-        self.listing.put(host.address, loop_ms())
+        self.instance_list.put(host.address, loop_ms())
 
     async def stop_instance(self, name: str) -> None:
-        """Let an instance leave gracefully."""
+        """Stop an instance gracefully."""
         host = self.hosts.pop(name)
-        self.listing.mark_leaving(name, loop_ms())
+        self.instance_list.mark_leaving(name, loop_ms())
         await host.drain()
         await self._stacks.pop(name).aclose()
-        self.listing.delete(name, loop_ms())
+        self.instance_list.delete(name, loop_ms())
 
     async def close(self) -> None:
-        """Stop all daemons at once."""
+        """Stop all daemons."""
         for stack in self._stacks.values():
             await stack.aclose()
         self._stacks.clear()
         self.hosts.clear()
 
-    def _fork(self) -> random.Random:
+    def _fork_rng(self) -> random.Random:
         return random.Random(self.rng.getrandbits(64))
 
 
@@ -152,7 +152,7 @@
 async def open_site(seed: int) -> AsyncIterator[Site]:
     """Run a site until the block ends.
 
-    :param seed: of every random choice of the stand-ins.
+    :param seed: the seed of all random choices of the stand-ins.
     """
     site = Site(seed)
     async with AsyncExitStack() as stack:
--- a/savorychute/demo/tally.py
+++ b/savorychute/demo/tally.py
@@ -1,4 +1,4 @@
-"""How all calls of the demonstration ended."""
+"""Counts of the outcomes of all calls of the demonstration."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 if TYPE_CHECKING:
     from savorychute.demo.demo_class import DemoClass
 
-DIGITS = 4
+ROUNDED_DIGITS = 4
 
 
 class DemoResult(TypedDict):
-    """The demonstration's last line."""
+    """The last output line of the demonstration."""
 
     answered: int
     refused: int
@@ -31,34 +31,36 @@
 class Tally:
     """Counts by organisation and class.
 
-    :param classes: what callers ask.
+    :param classes: the classes of the calls.
     """
 
     def __init__(self, classes: list[DemoClass]) -> None:
         self.classes = {
-            self.name_of(each): ClassTally(each.call_class.tier, each.call_class.weight)
+            self.get_class_name(each): ClassTally(
+                each.call_class.tier, each.call_class.weight
+            )
             for each in classes
         }
         self.refusals: Counter[str] = Counter()
 
     @staticmethod
-    def name_of(demo_class: DemoClass) -> str:
-        """Return the name under which a class is shown."""
+    def get_class_name(demo_class: DemoClass) -> str:
+        """Return the name of a class in the output."""
         return f'{demo_class.organisation}/{demo_class.call_class.name}'
 
     @property
     def calls(self) -> int:
-        """How many calls have ended."""
+        """The number of finished calls."""
         return sum(each.calls for each in self.classes.values())
 
     def summarise(
         self, duplicated: int, generated_tokens: int, duration_ms: int
     ) -> DemoResult:
-        """Return the figures.
+        """Return the results of the demonstration.
 
         :param duplicated: non-idempotent calls that ran more than once.
-        :param generated_tokens: what all engines made.
-        :param duration_ms: from the first call to the last answer.
+        :param generated_tokens: the tokens that all engines generated.
+        :param duration_ms: the time from the first call to the last response.
         """
         tallies = self.classes.values()
         useful_tokens = sum(each.answered_tokens for each in tallies)
@@ -71,10 +73,12 @@
             lost=sum(each.lost for each in tallies),
             duplicated=duplicated,
             truncated=sum(each.truncated for each in tallies),
-            goodput=round(weighted * 1_000 / max(1, duration_ms), DIGITS),
-            wasted_tokens_ratio=round(wasted_tokens / max(1, generated_tokens), DIGITS),
+            goodput=round(weighted * 1_000 / max(1, duration_ms), ROUNDED_DIGITS),
+            wasted_tokens_ratio=round(
+                wasted_tokens / max(1, generated_tokens), ROUNDED_DIGITS
+            ),
             attainment={
-                name: round(each.attainment, DIGITS)
+                name: round(each.attainment, ROUNDED_DIGITS)
                 for name, each in self.classes.items()
             },
             refusals=dict(self.refusals),
