--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -16,16 +16,16 @@
 from savorychute.gateway.dispatch import load_choosers
 from savorychute.gateway.dispatch.chooser import CHOOSERS
 from savorychute.gateway.dispatch.engine_models import EngineModels
-from savorychute.gateway.dispatch.lane_demand import LaneDemand
 from savorychute.gateway.dispatch.overload_guard import OverloadGuard
+from savorychute.gateway.dispatch.partition_demand import PartitionDemand
 from savorychute.gateway.dispatch.shortages import Shortages
 from savorychute.gateway.endpoint_telemetry import EndpointTelemetry
 from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
-from savorychute.gateway.endpoints.load_watch import LoadWatch
-from savorychute.gateway.endpoints.statement_book import StatementBook
+from savorychute.gateway.endpoints.load_monitor import LoadMonitor
+from savorychute.gateway.endpoints.statement_table import StatementTable
 from savorychute.gateway.metric_rows import GATEWAY_METRICS
 from savorychute.gateway.parts import GatewayParts
-from savorychute.gateway.permits.permit_desk import PermitDesk
+from savorychute.gateway.permits.permit_handler import PermitHandler
 from savorychute.gateway.recovery.crash_table import CrashTable
 from savorychute.gateway.recovery.retry_allowance import RetryAllowance
 from savorychute.gateway.requests.intake import Intake
@@ -91,7 +91,7 @@
     settings = environment.settings
     eras = StoreEra()
     topics = _open_topics(environment, eras)
-    demand = LaneDemand()
+    demand = PartitionDemand()
     duty_parts = make_duty_parts(environment)
     parts = _make_parts(environment, demand, duty_parts.ledger)
     calls = parts.telemetry.calls
@@ -132,7 +132,7 @@
         parts.shortages,
         parts.statements,
         parts.permits,
-        parts.roster.steady_streams,
+        parts.roster.sensitive_streams,
         plan,
         reading,
         duty_parts.candidates,
@@ -202,7 +202,7 @@
 
 
 def _make_parts(
-    environment: GatewayEnvironment, demand: LaneDemand, usage: UsageCounter
+    environment: GatewayEnvironment, demand: PartitionDemand, usage: UsageCounter
 ) -> GatewayParts:
     load_choosers()
     settings, clock, rng = environment.settings, environment.clock, environment.rng
@@ -210,9 +210,9 @@
     metrics = Metrics(settings.instance, GATEWAY_METRICS)
     telemetry = GatewayTelemetry(environment.log, metrics, clock)
     endpoint_telemetry = EndpointTelemetry(telemetry)
-    statements = StatementBook(endpoint_telemetry)
+    statements = StatementTable(endpoint_telemetry)
     timers = LoopTimers()
-    permits = PermitDesk(statements.limits, clock, timers)
+    permits = PermitHandler(statements.limits, clock, timers)
     attempts = AttemptSender(
         environment.endpoints,
         environment.adapter,
@@ -239,7 +239,7 @@
         guard=OverloadGuard(rng, shortages),
         shortages=shortages,
         engines=models,
-        loads=LoadWatch(attempts, roster, statements, permits, clock),
+        loads=LoadMonitor(attempts, roster, statements, permits, clock),
         statements=statements,
         permits=permits,
         allowance=RetryAllowance(read_retry_bounds(settings), clock.now_ms()),
--- a/savorychute/gateway/parts.py
+++ b/savorychute/gateway/parts.py
@@ -17,9 +17,9 @@
     from savorychute.gateway.duties.usage_counter import UsageCounter
     from savorychute.gateway.endpoint_telemetry import EndpointTelemetry
     from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
-    from savorychute.gateway.endpoints.load_watch import LoadWatch
-    from savorychute.gateway.endpoints.statement_book import StatementBook
-    from savorychute.gateway.permits.permit_desk import PermitDesk
+    from savorychute.gateway.endpoints.load_monitor import LoadMonitor
+    from savorychute.gateway.endpoints.statement_table import StatementTable
+    from savorychute.gateway.permits.permit_handler import PermitHandler
     from savorychute.gateway.recovery.crash_table import CrashTable
     from savorychute.gateway.recovery.retry_allowance import RetryAllowance
     from savorychute.gateway.requests.attempt_port import AttemptPort, TimerPort
@@ -39,9 +39,9 @@
     guard: OverloadGuard
     shortages: Shortages
     engines: EngineModels
-    loads: LoadWatch
-    statements: StatementBook
-    permits: PermitDesk
+    loads: LoadMonitor
+    statements: StatementTable
+    permits: PermitHandler
     allowance: RetryAllowance
     crashes: CrashTable
     usage: UsageCounter
--- a/savorychute/gateway/requests/attempt.py
+++ b/savorychute/gateway/requests/attempt.py
@@ -95,12 +95,12 @@
         self.sent_ms = started_ms
         self.ended = False
         self.waiting = True
-        choice.record.begin(
+        choice.record.start_attempt(
             self,
             choice.fresh_tokens,
             started_ms,
             rank=choice.rank,
-            steady=choice.steady,
+            latency_sensitive=choice.latency_sensitive,
         )
 
     # -- events from the endpoint
@@ -122,7 +122,7 @@
         """Handle the head of the response."""
         self.response = response
         self.last_received_ms = self.owner.now_ms()
-        self.choice.record.heard_ms = self.last_received_ms
+        self.choice.record.last_contact_ms = self.last_received_ms
         if response.kind is ResponseKind.FOREIGN:
             # The body belongs to another request; the connection must not be reused.
             self.stop()
@@ -133,7 +133,7 @@
         if self.response is None or self.ended:
             return
         self.last_received_ms = self.owner.now_ms()
-        self.choice.record.heard_ms = self.last_received_ms
+        self.choice.record.last_contact_ms = self.last_received_ms
         if self.response.is_stream:
             self.owner.handle_stream_data(self, data)
             return
@@ -167,7 +167,7 @@
         else:
             self.owner.attempt_unsent(self, failure.reason)
 
-    def endpoint_over(self) -> None:
+    def endpoint_run_ended(self) -> None:
         """Interrupt the attempt: its endpoint restarted and can no longer respond."""
         if self.ended:
             return
@@ -180,7 +180,7 @@
         """Record that the endpoint has read the prompt."""
         if self.waiting:
             self.waiting = False
-            self.choice.record.end_reading(self)
+            self.choice.record.end_prefill(self)
 
     def stop(self) -> None:
         """Close the connection, so that the endpoint stops working on the request."""
@@ -195,4 +195,4 @@
         self.ended = True
         self.owner.attempt_ended(self)
         self.mark_responding()
-        self.choice.record.end(self)
+        self.choice.record.end_attempt(self)
--- a/savorychute/gateway/requests/engine_observer.py
+++ b/savorychute/gateway/requests/engine_observer.py
@@ -34,11 +34,11 @@
 
     def record_arrival(self, now_ms: int) -> None:
         """Record the arrival of the request."""
-        self._shortages.offer(self._service, self._rank, now_ms)
+        self._shortages.record_offered(self._service, self._rank, now_ms)
 
     def record_refusal(self, now_ms: int) -> None:
         """Record that the request was refused for lack of capacity."""
-        self._shortages.got_nothing(self._service, self._rank, now_ms)
+        self._shortages.record_unserved(self._service, self._rank, now_ms)
 
     def record_unserved(self, attempt: Attempt, now_ms: int) -> None:
         """Record a request that ended before its first event.
@@ -52,11 +52,11 @@
         if now_ms - attempt.started_ms < self._target_ms:
             return
         if is_full_for(attempt.choice.record, self._rank, now_ms):
-            self._shortages.got_nothing(self._service, self._rank, now_ms)
+            self._shortages.record_unserved(self._service, self._rank, now_ms)
 
     def record_send(self, choice: Choice) -> None:
         """Record how many uncached tokens the engine is expected to read."""
-        self._model().note_sent(choice.fresh_tokens, choice.apart)
+        self._model().record_sent(choice.fresh_tokens, choice.isolated)
 
     def record_event(self, attempt: Attempt, gap_ms: int | None, now_ms: int) -> None:
         """Record an event of a stream.
@@ -68,15 +68,15 @@
         choice = attempt.choice
         if gap_ms is not None:
             reading = choice.record.has_queue(now_ms)
-            self._model().note_gap(gap_ms, choice.apart, reading)
+            self._model().record_gap(gap_ms, choice.isolated, reading)
         elif choice.idle:
             duration_ms = now_ms - attempt.started_ms
-            self._model().note_first_event(choice.fresh_tokens, duration_ms)
+            self._model().record_first_event(choice.fresh_tokens, duration_ms)
 
     def record_stream_end(self, attempt: Attempt, events: int) -> None:
         """Record a complete stream."""
-        self._model().note_answer(events, attempt.choice.apart)
+        self._model().record_answer(events, attempt.choice.isolated)
 
     def _model(self) -> EngineModel:
         # Looked up only when there is something to record: plain services have no model.
-        return self._models.of(self._service)
+        return self._models.for_service(self._service)
--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -17,8 +17,8 @@
     from savorychute.errors import SavorychuteError, SettingsError
     from savorychute.gateway.configuration.deployment import Deployment
     from savorychute.gateway.dispatch.chooser import Choice
-    from savorychute.gateway.dispatch.engine_model import EngineFigures
-    from savorychute.gateway.dispatch.need import Need
+    from savorychute.gateway.dispatch.engine_model import EngineEstimates
+    from savorychute.gateway.dispatch.request_requirements import RequestRequirements
     from savorychute.gateway.endpoints.endpoint_entry import EndpointEntry
     from savorychute.gateway.recovery.retry_allowance import RetryDecision
     from savorychute.gateway.requests.admitted_request import AdmittedRequest
@@ -164,7 +164,7 @@
             reason=make_identifier(change.why),
         )
 
-    def engines_learned(self, service: str, figures: EngineFigures) -> None:
+    def engines_learned(self, service: str, figures: EngineEstimates) -> None:
         """Log the figures from which a service's engines are predicted."""
         self.log.info(
             'engines-learned',
@@ -196,7 +196,7 @@
         self,
         request: InboundRequest,
         choice: Choice,
-        need: Need,
+        need: RequestRequirements,
         limit: str,
         now_ms: int,
     ) -> None:
@@ -216,7 +216,7 @@
             endpoint=record.entry.endpoint,
             rank=need.rank,
             reason=limit,
-            count=load.taken,
+            count=load.requests,
             waiting=load.waiting,
             generating=load.generating,
             ahead=load.generating_ahead(need.rank),
--- a/tests/test_gateway/test_request_execution.py
+++ b/tests/test_gateway/test_request_execution.py
@@ -340,7 +340,7 @@
         gateway.start('/parts/1', method='POST', body=b'poison')
         gateway.last_attempt.mark_sent()
         gateway.last_attempt.break_connection()
-        gateway.parts.roster.end(EndpointRun(gateway.last_attempt.endpoint))
+        gateway.parts.roster.record_end(EndpointRun(gateway.last_attempt.endpoint))
         assert len(gateway.attempts.sent) == number + 1
 
     refusal = gateway.admit('/parts/1', method='POST', body=b'poison')
