--- a/benches/days/__init__.py
+++ b/benches/days/__init__.py
@@ -1,1 +1,1 @@
-"""Days of trouble, one kind or several that overlap, and what plays them."""
+"""Runs days, scenario files with one kind of fault or several that overlap."""
--- a/benches/days/__main__.py
+++ b/benches/days/__main__.py
@@ -1,4 +1,4 @@
-"""Play the days of this folder and print a table of what came of them."""
+"""Run the days of ``deploy/days`` and print a table of the results."""
 
 from __future__ import annotations
 
@@ -14,18 +14,26 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-# Half of the processors of the usual machine, so that no day is given up for want of one.
+# Half of the processors of the usual machine, so that no day fails on a busy machine.
 JOBS = 4
 FAILED_STATUS = 1
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Play days; return 1 if one broke a rule or could not be played."""
+    """Run days; return 1 if one broke a rule or could not be run."""
     parser = argparse.ArgumentParser(prog='python -m benches.days')
-    parser.add_argument('--bench', type=Path, required=True, help="the bench's program")
-    parser.add_argument('--why', required=True, help='a line for its journal')
-    parser.add_argument('--jobs', type=int, default=JOBS, help='days at a time')
-    parser.add_argument('--day', action='append', default=[], help='only these')
+    parser.add_argument(
+        '--bench', type=Path, required=True, help="the bench's executable"
+    )
+    parser.add_argument(
+        '--why', required=True, help='the reason, for the journal of the bench'
+    )
+    parser.add_argument(
+        '--jobs', type=int, default=JOBS, help='number of days that run at once'
+    )
+    parser.add_argument(
+        '--day', action='append', default=[], help='run only this day; may be repeated'
+    )
     parser.add_argument('sites', type=Path, nargs='+', help='site files')
     options = parser.parse_args(arguments)
     player = DayPlayer(options.bench, options.why, options.jobs)
@@ -35,8 +43,8 @@
     print('|---|---|---|---|---|---|---|')
     for result in results:
         print(result.row())
-    bad = [each for each in results if each.broken or each.trouble]
-    return FAILED_STATUS if bad else 0
+    failed = [each for each in results if each.broken or each.error]
+    return FAILED_STATUS if failed else 0
 
 
 if __name__ == '__main__':
--- a/benches/days/day_file.py
+++ b/benches/days/day_file.py
@@ -1,4 +1,4 @@
-"""The files that hold days."""
+"""Files that describe days."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-DAYS = Path(__file__).parents[2] / 'deploy' / 'days'
+DAYS_FOLDER = Path(__file__).parents[2] / 'deploy' / 'days'
 
 
 class DayFile(NamedTuple):
-    """A day, and the kinds of trouble in it."""
+    """The file of a day and the kinds of faults that it contains."""
 
     path: Path
     kinds: frozenset[str]
 
 
-def read_days(names: Sequence[str], folder: Path = DAYS) -> list[DayFile]:
-    """Return days in the order of their names.
+def read_days(names: Sequence[str], folder: Path = DAYS_FOLDER) -> list[DayFile]:
+    """Return the days sorted by name.
 
-    :param names: which; none for all.
-    :param folder: where they lie.
+    :param names: names of the days to return; empty for all.
+    :param folder: the folder of the files.
     """
     days = []
     for path in sorted(folder.glob('*.toml')):
--- a/benches/days/day_player.py
+++ b/benches/days/day_player.py
@@ -1,4 +1,4 @@
-"""Plays days, a few at a time."""
+"""Runs days, several at a time."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 
 
 def read_kinds(text: str) -> frozenset[str]:
-    """Return the kinds of trouble that the bench's list explains.
+    """Return the kinds of faults that the bench lists.
 
-    :param text: the list; a line begins with the name of its kind and a colon.
+    :param text: the list; a line starts with the name of its kind and a colon.
     """
     names = [line.partition(':')[0] for line in text.splitlines() if ':' in line]
     return frozenset(name for name in names if name.isidentifier())
 
 
 class DayPlayer:
-    """Plays days, a few at a time.
+    """Runs days, several at a time.
 
-    :param bench: the bench's program.
-    :param why: the reason, for its journal.
-    :param jobs: days at the same time.
+    :param bench: the bench's executable.
+    :param why: the reason, for the journal of the bench.
+    :param jobs: number of days that run at once.
     """
 
     def __init__(self, bench: Path, why: str, jobs: int) -> None:
         self._bench = bench
         self._why = why
-        self._places = asyncio.Semaphore(jobs)
+        self._free_jobs = asyncio.Semaphore(jobs)
 
-    async def kinds(self, site: Path) -> frozenset[str]:
-        """Return the kinds of trouble that may come at a site."""
-        _, text = await self._run('kinds', str(site))
+    async def query_kinds(self, site: Path) -> frozenset[str]:
+        """Return the kinds of faults that are possible at a site."""
+        _, text = await self._run_bench('kinds', str(site))
         return read_kinds(text)
 
     async def play(self, site: Path, day: DayFile) -> DayResult:
-        """Play one day."""
-        async with self._places:
+        """Run one day at one site."""
+        async with self._free_jobs:
             with tempfile.TemporaryDirectory() as folder:
                 report = Path(folder) / 'report.json'
-                status, text = await self._run(
+                status, text = await self._run_bench(
                     'run',
                     str(site),
                     str(day.path),
@@ -58,11 +58,11 @@
                     f'{self._why}: {day.path.stem}',
                 )
                 if not report.exists():
-                    trouble = f'not played, status {status}: {text.strip()[-80:]}'
-                    return DayResult(site.stem, day.path.stem, trouble=trouble)
+                    error = f'not played, status {status}: {text.strip()[-80:]}'
+                    return DayResult(site.stem, day.path.stem, error=error)
                 return read_report(site.stem, day.path.stem, report.read_text())
 
-    async def _run(self, *arguments: str) -> tuple[int, str]:
+    async def _run_bench(self, *arguments: str) -> tuple[int, str]:
         process = await asyncio.create_subprocess_exec(
             str(self._bench),
             *arguments,
@@ -76,14 +76,14 @@
 async def play_all(
     player: DayPlayer, sites: Sequence[Path], days: Sequence[DayFile]
 ) -> list[DayResult]:
-    """Play each day at each site where all its kinds of trouble may come.
+    """Run each day at each site where all its kinds of faults are possible.
 
-    :param player: plays them.
+    :param player: runs the days.
     :param sites: the site files.
-    :param days: the days.
+    :param days: the days to run.
     """
     tasks = []
     for site in sites:
-        kinds = await player.kinds(site)
+        kinds = await player.query_kinds(site)
         tasks += [player.play(site, day) for day in days if day.kinds <= kinds]
     return await asyncio.gather(*tasks)
--- a/benches/days/day_result.py
+++ b/benches/days/day_result.py
@@ -1,4 +1,4 @@
-"""What came of a day."""
+"""Results of days."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class DayResult(NamedTuple):
-    """What came of a day at a site.
+    """The result of a day at a site.
 
-    ``broken`` holds the rules that were broken, with counts; ``trouble`` is why the day
-    could not be played.
+    ``broken`` lists the broken rules with their counts; ``error`` says why the day
+    could not be run.
     """
 
     site: str
@@ -20,24 +20,24 @@
     refused: float = 0.0
     failed: float = 0.0
     broken: tuple[str, ...] = ()
-    trouble: str = ''
+    error: str = ''
 
     def row(self) -> str:
-        """Return the row of the table."""
-        place = f'| {self.site} | {self.day} '
-        if self.trouble:
-            return f'{place}| | | | | {self.trouble} |'
+        """Return the result as a row of the Markdown table."""
+        prefix = f'| {self.site} | {self.day} '
+        if self.error:
+            return f'{prefix}| | | | | {self.error} |'
         shares = f'| {self.served:.3f} | {self.refused:.3f} | {self.failed:.3f} '
         broken = ', '.join(self.broken) or '-'
-        return f'{place}| {self.worth:.3f} {shares}| {broken} |'
+        return f'{prefix}| {self.worth:.3f} {shares}| {broken} |'
 
 
 def read_report(site: str, day: str, text: str) -> DayResult:
-    """Return the result that a report holds.
+    """Return the result that a report contains.
 
     :param site: the name of the site.
     :param day: the name of the day.
-    :param text: the report, JSON.
+    :param text: the report as JSON.
     """
     report = json.loads(text)
     broken = [f'{rule} {count}' for rule, count in report['breaks'].items()]
--- a/benches/gateway_soak/__init__.py
+++ b/benches/gateway_soak/__init__.py
@@ -1,5 +1,6 @@
-"""A randomized soak of gateways as real processes, with faults from outside them.
+"""A randomised soak test of gateway processes with faults injected from outside.
 
-``python -m benches.gateway_soak --seed 7`` plays one seed; ``--seeds 50`` the first fifty.
-It knows what callers sent and what endpoints ran, and checks the promises from that.
+``python -m benches.gateway_soak --seed 7`` runs one seed; ``--seeds 50`` runs 50 seeds.
+It records what callers sent and what endpoints ran, and checks the guarantees of the
+gateways against these records.
 """
--- a/benches/gateway_soak/__main__.py
+++ b/benches/gateway_soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m benches.gateway_soak``."""
+"""Command line of the gateway soak, ``python -m benches.gateway_soak``."""
 
 from __future__ import annotations
 
@@ -11,28 +11,33 @@
 
 from benches.gateway_soak.play import play
 
-DEFAULT_S = 20.0
+DEFAULT_DURATION_S = 20.0
 
 
 def main() -> int:
-    """Play seeds; return 0 if every promise held."""
+    """Run the seeds; return 0 if every guarantee held."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
-    parser.add_argument('--seeds', type=int, default=1, help='how many, from --seed on')
-    parser.add_argument('--seconds', type=float, default=DEFAULT_S)
+    parser.add_argument(
+        '--seeds',
+        type=int,
+        default=1,
+        help='number of consecutive seeds, starting with --seed',
+    )
+    parser.add_argument('--seconds', type=float, default=DEFAULT_DURATION_S)
     parser.add_argument('--gateways', type=int, default=4)
     parser.add_argument('--callers', type=int, default=24)
     parser.add_argument(
         '--older-copies',
         action='store_true',
-        help='let the store go back now and then, and report usage',
+        help='restore older copies of the store at times, and report usage',
     )
     parser.add_argument(
         '--statements',
         action='store_true',
-        help='let endpoints state limits, leave and ask for rest',
+        help='let endpoints state limits, leave and send Retry-After',
     )
-    parser.add_argument('--keep', type=Path, help='a folder for the logs')
+    parser.add_argument('--keep', type=Path, help='a folder in which logs are kept')
     arguments = parser.parse_args()
     failed = 0
     for seed in range(arguments.seed, arguments.seed + arguments.seeds):
@@ -51,9 +56,9 @@
                 )
             )
         print(f'seed {seed}: {result.counts}, faults {result.faults}', flush=True)
-        for line in result.broken:
+        for line in result.violations:
             print(f'  BROKEN {line}')
-        failed += bool(result.broken)
+        failed += bool(result.violations)
     print(f'{arguments.seeds - failed} passed, {failed} failed')
     return 1 if failed else 0
 
--- a/benches/gateway_soak/callers.py
+++ b/benches/gateway_soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that send all the time and believe nothing."""
+"""Callers that send continuously and record every response."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import h11
 
-from benches.gateway_soak.ledger import Sent
+from benches.gateway_soak.ledger import SentAttempt
 from benches.gateway_soak.proxy import LOOPBACK
 
 if TYPE_CHECKING:
@@ -17,20 +17,20 @@
     from benches.gateway_soak.ledger import Ledger
     from benches.gateway_soak.site import Site
 
-KINDS = ('twice', 'once', 'stream')
+REQUEST_KINDS = ('twice', 'once', 'stream')
 PAUSE_S = 0.02
-ANSWER_S = 8.0
-LEAVE_SHARE = 0.03
+RESPONSE_TIMEOUT_S = 8.0
+EARLY_CLOSE_SHARE = 0.03
 READ_BYTES = 65_536
 
 
 class Caller:
-    """Keeps a connection for many requests, and leaves some early.
+    """Sends several requests on one connection and closes some connections early.
 
-    :param number: tells its attempts from others'.
-    :param site: whom to call.
-    :param ledger: what is sent and answered.
-    :param rng: the source of its choices.
+    :param number: prefix that makes its attempt ids unique.
+    :param site: the gateways to call.
+    :param ledger: records attempts and responses.
+    :param rng: random numbers for all choices.
     """
 
     def __init__(
@@ -54,35 +54,35 @@
                 await asyncio.sleep(PAUSE_S)
                 continue
             with suppress(OSError, h11.RemoteProtocolError):
-                await self._use(reader, writer)
+                await self._send_requests(reader, writer)
             writer.transport.abort()
 
-    async def _use(
+    async def _send_requests(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         http = h11.Connection(h11.CLIENT)
         for _ in range(self._rng.randint(1, 30)):
-            sent = self._make()
+            sent = self._create_attempt()
             self._ledger.sent[sent.attempt] = sent
             writer.write(_encode(http, sent))
-            if self._rng.random() < LEAVE_SHARE:
+            if self._rng.random() < EARLY_CLOSE_SHARE:
                 await asyncio.sleep(self._rng.random() * 0.1)
                 return
             try:
-                async with asyncio.timeout(ANSWER_S):
-                    goes_on = await self._read(http, reader, sent)
+                async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                    reusable = await self._read_response(http, reader, sent)
             except (TimeoutError, OSError, h11.RemoteProtocolError):
-                self._ledger.unanswered()
+                self._ledger.record_unanswered()
                 return
-            if not goes_on:
+            if not reusable:
                 return
             http.start_next_cycle()
             await asyncio.sleep(self._rng.random() * PAUSE_S)
 
-    async def _read(
-        self, http: h11.Connection, reader: asyncio.StreamReader, sent: Sent
+    async def _read_response(
+        self, http: h11.Connection, reader: asyncio.StreamReader, sent: SentAttempt
     ) -> bool:
-        """Read one answer; return whether the connection can be used again."""
+        """Read one response; return whether the connection is reusable."""
         status = 0
         body = b''
         while True:
@@ -94,22 +94,22 @@
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self._ledger.answered(sent.attempt, status, body, whole=True)
+                self._ledger.record_response(sent.attempt, status, body, whole=True)
                 return http.our_state is h11.DONE is http.their_state
             elif isinstance(event, h11.ConnectionClosed):
-                self._ledger.unanswered()
+                self._ledger.record_unanswered()
                 return False
 
-    def _make(self) -> Sent:
+    def _create_attempt(self) -> SentAttempt:
         self._sent += 1
         attempt = f'c{self._number}-{self._sent}'
-        kind = self._rng.choice(KINDS)
+        kind = self._rng.choice(REQUEST_KINDS)
         events = self._rng.randint(1, 20)
         now_s = asyncio.get_running_loop().time()
-        return Sent(attempt, kind, attempt.encode(), events, now_s)
+        return SentAttempt(attempt, kind, attempt.encode(), events, now_s)
 
 
-def _encode(http: h11.Connection, sent: Sent) -> bytes:
+def _encode(http: h11.Connection, sent: SentAttempt) -> bytes:
     headers = [
         ('host', 'soak'),
         ('attempt-id', sent.attempt),
--- a/benches/gateway_soak/faults.py
+++ b/benches/gateway_soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak."""
+"""The faults that the soak injects."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
     from benches.gateway_soak.site import GatewayProcess, Site
 
 FAULTS: Registry[Callable[[Site], Awaitable[None]]] = Registry('fault')
-LONGEST_S = 3.0
+MAX_FAULT_S = 3.0
 
 
-def _gateway(site: Site) -> GatewayProcess:
+def _choose_gateway(site: Site) -> GatewayProcess:
     return site.rng.choice(site.gateways)
 
 
-def _endpoint(site: Site) -> SoakEndpoint:
+def _choose_endpoint(site: Site) -> SoakEndpoint:
     return site.rng.choice(site.endpoints)
 
 
-async def _rest(site: Site) -> None:
-    await asyncio.sleep(0.2 + site.rng.random() * LONGEST_S)
+async def _wait_random(site: Site) -> None:
+    await asyncio.sleep(0.2 + site.rng.random() * MAX_FAULT_S)
 
 
-async def _harm(site: Site, proxies: list[Proxy], harm: Harm) -> None:
+async def _disturb(site: Site, proxies: list[Proxy], harm: Harm) -> None:
     for proxy in proxies:
-        proxy.change(harm)
+        proxy.set_harm(harm)
         if harm is Harm.REFUSE:
             proxy.reset_all()
-    await _rest(site)
+    await _wait_random(site)
     for proxy in proxies:
-        proxy.change(Harm.NONE)
+        proxy.set_harm(Harm.NONE)
         if harm is Harm.SILENT:
             proxy.reset_all()
 
@@ -47,9 +47,9 @@
 @FAULTS.register('kill')
 async def kill(site: Site) -> None:
     """Kill a gateway and start it again."""
-    gateway = _gateway(site)
-    gateway.send(signal.SIGKILL)
-    await gateway.end()
+    gateway = _choose_gateway(site)
+    gateway.send_signal(signal.SIGKILL)
+    await gateway.wait_or_kill()
     await gateway.start()
 
 
@@ -57,61 +57,61 @@
 async def kill_all(site: Site) -> None:
     """Kill all gateways at once."""
     for gateway in site.gateways:
-        gateway.send(signal.SIGKILL)
+        gateway.send_signal(signal.SIGKILL)
     for gateway in site.gateways:
-        await gateway.end()
+        await gateway.wait_or_kill()
         await gateway.start()
 
 
 @FAULTS.register('stop')
 async def stop(site: Site) -> None:
-    """Stop a gateway gracefully, now and then twice, and start it again."""
-    gateway = _gateway(site)
-    gateway.send(signal.SIGTERM)
+    """Stop a gateway gracefully, sometimes with two signals, and start it again."""
+    gateway = _choose_gateway(site)
+    gateway.send_signal(signal.SIGTERM)
     if site.rng.random() < 0.3:
-        gateway.send(signal.SIGTERM)
-    await gateway.end()
+        gateway.send_signal(signal.SIGTERM)
+    await gateway.wait_or_kill()
     await gateway.start()
 
 
 @FAULTS.register('pause')
 async def pause(site: Site) -> None:
-    """Freeze a gateway, and wake it."""
-    gateway = _gateway(site)
-    with site.ledger.out_of_touch():
-        gateway.send(signal.SIGSTOP)
-        await _rest(site)
-        gateway.send(signal.SIGCONT)
+    """Suspend a gateway and resume it."""
+    gateway = _choose_gateway(site)
+    with site.ledger.store_unreachable():
+        gateway.send_signal(signal.SIGSTOP)
+        await _wait_random(site)
+        gateway.send_signal(signal.SIGCONT)
 
 
 @FAULTS.register('reload')
 async def reload(site: Site) -> None:
     """Change a settings file, with and without a signal."""
-    gateway = _gateway(site)
+    gateway = _choose_gateway(site)
     gateway.change_settings(site.rng)
     if site.rng.random() < 0.5:
-        gateway.send(signal.SIGHUP)
+        gateway.send_signal(signal.SIGHUP)
 
 
 @FAULTS.register('store-cut')
-async def cut_store(site: Site) -> None:
-    """Harm the way of one gateway to the store."""
+async def disturb_store(site: Site) -> None:
+    """Disturb the connections of one gateway to the store."""
     harm = site.rng.choice([Harm.DELAY, Harm.SILENT, Harm.ANSWERS_LOST, Harm.REFUSE])
-    with site.ledger.out_of_touch():
-        await _harm(site, [_gateway(site).store], harm)
+    with site.ledger.store_unreachable():
+        await _disturb(site, [_choose_gateway(site).store], harm)
 
 
 @FAULTS.register('store-down')
-async def stop_store(site: Site) -> None:
-    """Take the store away from everybody."""
-    with site.ledger.out_of_touch():
+async def make_store_unavailable(site: Site) -> None:
+    """Make the store unavailable to all gateways."""
+    with site.ledger.store_unreachable():
         site.store.mode = site.rng.choice(['busy', 'silent', 'lossy'])
-        await _rest(site)
+        await _wait_random(site)
         site.store.mode = 'up'
 
 
 @FAULTS.register('store-forgets')
-async def forget(site: Site) -> None:
+async def drop_history(site: Site) -> None:
     """Drop the history of a topic while it changes."""
     topic = site.rng.choice(['keyed.op', 'keyed.servers', 'keyed.instances'])
     site.write_configuration()
@@ -127,44 +127,44 @@
 
 
 @FAULTS.register('endpoint-cut')
-async def cut_endpoint(site: Site) -> None:
-    """Harm the way to one endpoint."""
-    proxy = _endpoint(site).proxy
+async def disturb_endpoint(site: Site) -> None:
+    """Disturb the connections to one endpoint."""
+    proxy = _choose_endpoint(site).proxy
     assert proxy is not None
     harm = site.rng.choice([Harm.DELAY, Harm.SILENT, Harm.ANSWERS_LOST, Harm.REFUSE])
-    await _harm(site, [proxy], harm)
+    await _disturb(site, [proxy], harm)
 
 
 @FAULTS.register('reset')
 async def reset(site: Site) -> None:
     """Reset all connections to one endpoint."""
-    proxy = _endpoint(site).proxy
+    proxy = _choose_endpoint(site).proxy
     assert proxy is not None
     proxy.reset_all()
 
 
 @FAULTS.register('grey')
-async def turn_grey(site: Site) -> None:
-    """Let an endpoint break off some of its answers."""
-    endpoint = _endpoint(site)
-    endpoint.grey = 0.4
-    await _rest(site)
-    endpoint.grey = 0.0
+async def abort_responses(site: Site) -> None:
+    """Let an endpoint abort a share of its responses."""
+    endpoint = _choose_endpoint(site)
+    endpoint.abort_share = 0.4
+    await _wait_random(site)
+    endpoint.abort_share = 0.0
 
 
 @FAULTS.register('full')
-async def fill(site: Site) -> None:
-    """Let an endpoint refuse what it gets."""
-    endpoint = _endpoint(site)
-    endpoint.full = True
-    await _rest(site)
-    endpoint.full = False
+async def overload(site: Site) -> None:
+    """Let an endpoint refuse all requests."""
+    endpoint = _choose_endpoint(site)
+    endpoint.is_full = True
+    await _wait_random(site)
+    endpoint.is_full = False
 
 
 @FAULTS.register('crash')
 async def crash(site: Site) -> None:
-    """Crash an endpoint; another run comes, the old entry lapses later."""
-    endpoint = _endpoint(site)
+    """Crash an endpoint and start a new run; the old entry is removed 1 s later."""
+    endpoint = _choose_endpoint(site)
     endpoint.crashed = True
     assert endpoint.proxy is not None
     endpoint.proxy.reset_all()
@@ -175,11 +175,11 @@
 
 @FAULTS.register('drain')
 async def drain(site: Site) -> None:
-    """Replace an endpoint: the new one comes first, the old one says that it leaves."""
-    endpoint = _endpoint(site)
+    """Start a replacement for an endpoint, then announce that the old one drains."""
+    endpoint = _choose_endpoint(site)
     await site.add_endpoint(endpoint.service)
-    if endpoint.drained_s is None and not endpoint.crashed:
-        endpoint.drained_s = asyncio.get_running_loop().time()
+    if endpoint.drain_started_s is None and not endpoint.crashed:
+        endpoint.drain_started_s = asyncio.get_running_loop().time()
         site.write_entry(endpoint)
     await asyncio.sleep(4.0)
     site.remove_entry(endpoint)
@@ -187,9 +187,9 @@
 
 @FAULTS.register('address-reuse')
 async def reuse_address(site: Site) -> None:
-    """Let an address serve another run, while the old entry is still listed."""
-    endpoint = _endpoint(site)
-    endpoint.name, old = f'{endpoint.name}r', endpoint.name
+    """Serve a new run at the address of an endpoint whose entry is still listed."""
+    endpoint = _choose_endpoint(site)
+    endpoint.name, old_name = f'{endpoint.name}r', endpoint.name
     site.write_entry(endpoint)
     await asyncio.sleep(site.rng.random())
-    site.store.put('keyed.servers', old, None)
+    site.store.put('keyed.servers', old_name, None)
--- a/benches/gateway_soak/platform.py
+++ b/benches/gateway_soak/platform.py
@@ -1,4 +1,4 @@
-"""What takes the usage reports of a soak, and a store that goes back."""
+"""A stand-in receiver of usage reports, and restores of the store from old copies."""
 
 from __future__ import annotations
 
@@ -18,45 +18,45 @@
     from savorychute.http.server_exchange import ServerExchange
 
 LOOPBACK = '127.0.0.1'
-STATUS_FENCED = 409
-# Part of the calls whose answer is lost.
+FENCED_STATUS = 409
+# Share of the calls whose response is lost.
 LOST_SHARE = 0.2
-# Between two older copies, how long the store is away, and how old the copy is.
-GAP_S = (2.0, 5.0)
-AWAY_S = (0.05, 0.8)
-COPY_S = (0.2, 4.0)
-# Within this the operator and the endpoints write again what was lost.
-AGAIN_S = 0.5
+# Time between two restores, length of the outage, and age of the restored copy.
+RESTORE_INTERVAL_S = (2.0, 5.0)
+OUTAGE_S = (0.05, 0.8)
+COPY_AGE_S = (0.2, 4.0)
+# The operator and the endpoints rewrite lost entries within this time.
+REWRITE_S = 0.5
 
 
 class PlatformStandIn:
-    """Checks fencing numbers, and that no window has two reports.
+    """Receives usage reports, checks fencing tokens and finds duplicate reports.
 
-    :param rng: decides which answers are lost.
+    :param rng: chooses the responses that are lost.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._highest = 0
+        self._highest_fencing = 0
         self._reports: dict[int, set[str]] = defaultdict(set)
         self._holders: dict[int, set[str]] = defaultdict(set)
         self.port = 0
 
     @asynccontextmanager
     async def run(self) -> AsyncIterator[None]:
-        """Take calls until the block ends."""
-        async with serve(self._take, LOOPBACK, 0) as server:
+        """Serve calls until the block ends."""
+        async with serve(self._handle_report, LOOPBACK, 0) as server:
             self.port = server.port
             yield
 
-    def _take(self, exchange: ServerExchange) -> None:
+    def _handle_report(self, exchange: ServerExchange) -> None:
         headers = dict(exchange.request.headers)
         fencing = int(headers['fencing-token'])
         self._holders[fencing].add(headers['duty-holder'])
-        if fencing < self._highest:
-            respond_json(exchange, STATUS_FENCED, {})
+        if fencing < self._highest_fencing:
+            respond_json(exchange, FENCED_STATUS, {})
             return
-        self._highest = fencing
+        self._highest_fencing = fencing
         report = json.loads(exchange.request.body)
         counts = json.dumps(report['counts'], sort_keys=True)
         self._reports[report['windowId']].add(counts)
@@ -67,33 +67,33 @@
 
     @property
     def windows(self) -> int:
-        """How many windows have a report."""
+        """Number of windows that have a report."""
         return len(self._reports)
 
     def check(self) -> list[str]:
-        """Return the promises that were broken."""
-        broken = [
+        """Return the guarantees that were violated."""
+        violations = [
             f'window {window} has {len(counts)} reports'
             for window, counts in self._reports.items()
             if len(counts) > 1
         ]
-        broken += [
+        violations += [
             f'number {fencing} was used by {sorted(holders)}'
             for fencing, holders in self._holders.items()
             if len(holders) > 1
         ]
-        return broken
+        return violations
 
 
-async def go_back_now_and_then(site: Site, rng: random.Random) -> None:
-    """Let the store come back from an older copy, until the task is cancelled."""
+async def restore_older_copies(site: Site, rng: random.Random) -> None:
+    """Restore the store from older copies until the task is cancelled."""
     while True:
-        await asyncio.sleep(rng.uniform(*GAP_S))
-        with site.ledger.out_of_touch():
+        await asyncio.sleep(rng.uniform(*RESTORE_INTERVAL_S))
+        with site.ledger.store_unreachable():
             site.store.mode = 'busy'
-            await asyncio.sleep(rng.uniform(*AWAY_S))
-            site.store.go_back(rng.uniform(*COPY_S))
+            await asyncio.sleep(rng.uniform(*OUTAGE_S))
+            site.store.go_back(rng.uniform(*COPY_AGE_S))
             site.store.mode = 'up'
-            await asyncio.sleep(rng.uniform(0, AGAIN_S))
-            site.write_lost()
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(rng.uniform(0, REWRITE_S))
+            site.rewrite_lost()
+            await asyncio.sleep(REWRITE_S)
--- a/benches/gateway_soak/play.py
+++ b/benches/gateway_soak/play.py
@@ -1,4 +1,4 @@
-"""One seed of the soak."""
+"""Runs one seed of the soak."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from benches.gateway_soak.callers import Caller
 from benches.gateway_soak.faults import FAULTS
 from benches.gateway_soak.ledger import Ledger
-from benches.gateway_soak.platform import go_back_now_and_then
+from benches.gateway_soak.platform import restore_older_copies
 from benches.gateway_soak.site import Site
 from benches.gateway_soak.statements import StatementDrill
 
@@ -19,24 +19,26 @@
     from collections.abc import Sequence
     from pathlib import Path
 
-START_S = 60.0
-LOOK_S = 0.05
-CALM_S = 2.0
-GAP_S = 1.2
+START_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.05
+QUIET_S = 2.0
+MAX_FAULT_GAP_S = 1.2
 SETTLE_S = 6.0
-# Faults that leave gateways longer undisturbed, so that what endpoints get can be judged.
-OF_GATEWAYS = ('kill', 'kill-all', 'stop', 'pause')
-CALMER = [name for name in FAULTS if name not in OF_GATEWAYS] * 4 + list(OF_GATEWAYS)
-# Of the answers in the calm seconds at the end.
-LEAST_SERVED = 0.9
+# Fewer faults of gateways, so that calls to endpoints can be checked for longer.
+GATEWAY_FAULTS = ('kill', 'kill-all', 'stop', 'pause')
+WEIGHTED_FAULTS = [name for name in FAULTS if name not in GATEWAY_FAULTS] * 4 + list(
+    GATEWAY_FAULTS
+)
+# Minimum share of successes among the responses of the quiet seconds at the end.
+MIN_SERVED_SHARE = 0.9
 
 
-class Result(NamedTuple):
-    """Counts of answers and of faults, and the promises that were broken."""
+class SoakResult(NamedTuple):
+    """Counts of responses and of faults, and the violated guarantees."""
 
     counts: dict[str, int]
     faults: dict[str, int]
-    broken: list[str]
+    violations: list[str]
 
 
 async def play(
@@ -48,17 +50,17 @@
     settle: bool = True,
     older_copies: bool = False,
     statements: bool = False,
-) -> Result:
-    """Run gateways under load, disturb them, let them settle, and check.
+) -> SoakResult:
+    """Run gateways under load, inject faults, let them settle, and check.
 
-    :param rng: decides everything that is decided here.
+    :param rng: random numbers for all choices.
     :param folder: for settings and logs.
-    :param seconds: how long there are faults.
-    :param gateways: how many processes.
-    :param callers: how many connections send.
-    :param settle: wait for calm, and check that nearly all is served again.
-    :param older_copies: let the store go back now and then, and report usage.
-    :param statements: let endpoints state limits, leave and ask for rest.
+    :param seconds: duration of the faults.
+    :param gateways: number of gateway processes.
+    :param callers: number of concurrent callers.
+    :param settle: wait until faults have ended, and check that most requests succeed.
+    :param older_copies: restore older copies of the store at times, and report usage.
+    :param statements: let endpoints state limits, leave and send ``Retry-After``.
     """
     ledger = Ledger()
     site = Site(folder, ledger, rng)
@@ -71,52 +73,56 @@
     drills = []
     if older_copies:
         own_rng = random.Random(rng.random())
-        drill = asyncio.create_task(go_back_now_and_then(site, own_rng))
+        drill = asyncio.create_task(restore_older_copies(site, own_rng))
         drills.append(drill)
-    stating = StatementDrill(site, random.Random(rng.random())) if statements else None
+    statement_drill = (
+        StatementDrill(site, random.Random(rng.random())) if statements else None
+    )
     try:
-        await _until_served(ledger)
-        await asyncio.sleep(CALM_S)
-        if stating is not None:
-            drills.append(asyncio.create_task(stating.run()))
-        await _disturb(site, seconds, counts, CALMER if statements else list(FAULTS))
+        await _wait_until_served(ledger)
+        await asyncio.sleep(QUIET_S)
+        if statement_drill is not None:
+            drills.append(asyncio.create_task(statement_drill.run()))
+        await _inject_faults(
+            site, seconds, counts, WEIGHTED_FAULTS if statements else list(FAULTS)
+        )
         for drill in drills:
             drill.cancel()
             await asyncio.gather(drill, return_exceptions=True)
         site.store.mode = 'up'
         if older_copies:
-            site.write_lost()
-        broken = await _check_recovery(ledger) if settle else []
+            site.rewrite_lost()
+        violations = await _check_recovery(ledger) if settle else []
     finally:
         for sender in (*senders, *drills):
             sender.cancel()
         await asyncio.gather(*senders, return_exceptions=True)
-        await site.end()
+        await site.stop()
     codes = [each.process.returncode for each in site.gateways if each.process]
-    # A negative code is that of a signal, which only the soak sends.
+    # A negative code means a signal, and only the soak sends signals.
     if any(code is not None and code > 0 for code in codes):
-        broken.append(f'a gateway ended with codes {codes}')
-    broken.extend(_find_defects(folder))
-    if stating is not None:
-        ledger.counts['statements'] = stating.judged
-        broken.extend(stating.check())
+        violations.append(f'a gateway ended with codes {codes}')
+    violations.extend(_find_tracebacks(folder))
+    if statement_drill is not None:
+        ledger.counts['statements'] = statement_drill.statement_count
+        violations.extend(statement_drill.check())
     if site.platform is not None:
         ledger.counts['windows'] = site.platform.windows
-        broken.extend(site.platform.check())
-    return Result(dict(ledger.counts), dict(counts), broken + ledger.check())
+        violations.extend(site.platform.check())
+    return SoakResult(dict(ledger.counts), dict(counts), violations + ledger.check())
 
 
-async def _until_served(ledger: Ledger) -> None:
-    """Wait until a gateway answers; a busy machine takes seconds to start one."""
-    async with asyncio.timeout(START_S):
+async def _wait_until_served(ledger: Ledger) -> None:
+    """Wait for the first success; a busy machine takes seconds to start a gateway."""
+    async with asyncio.timeout(START_TIMEOUT_S):
         while not ledger.counts['200']:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _disturb(
+async def _inject_faults(
     site: Site, seconds: float, counts: Counter[str], names: Sequence[str]
 ) -> None:
-    """Begin faults one after the other; they overlap."""
+    """Start faults one after the other; they may overlap."""
     loop = asyncio.get_running_loop()
     end_s = loop.time() + seconds
     running = []
@@ -124,25 +130,28 @@
         name = site.rng.choice(names)
         counts[name] += 1
         running.append(loop.create_task(FAULTS.get(name)(site)))
-        await asyncio.sleep(site.rng.random() * GAP_S)
+        await asyncio.sleep(site.rng.random() * MAX_FAULT_GAP_S)
     await asyncio.gather(*running)
     for gateway in site.gateways:
-        gateway.send(signal.SIGCONT)
+        gateway.send_signal(signal.SIGCONT)
 
 
 async def _check_recovery(ledger: Ledger) -> list[str]:
-    """Return what is wrong with the calm seconds after all faults."""
+    """Return the violations in the quiet seconds after all faults."""
     await asyncio.sleep(SETTLE_S)
     before = Counter(ledger.counts)
-    await asyncio.sleep(CALM_S)
-    fresh = Counter(ledger.counts) - before
-    if fresh['200'] < LEAST_SERVED * sum(fresh.values()) or not fresh['200']:
-        return [f'not recovered: {dict(fresh)} in {CALM_S} s of calm']
+    await asyncio.sleep(QUIET_S)
+    new_counts = Counter(ledger.counts) - before
+    if (
+        new_counts['200'] < MIN_SERVED_SHARE * sum(new_counts.values())
+        or not new_counts['200']
+    ):
+        return [f'not recovered: {dict(new_counts)} in {QUIET_S} s of calm']
     return []
 
 
-def _find_defects(folder: Path) -> list[str]:
-    """Return the tracebacks of the gateways."""
+def _find_tracebacks(folder: Path) -> list[str]:
+    """Return the gateway logs that contain a traceback."""
     return [
         f'{path.name}: a traceback'
         for path in sorted(folder.glob('gateway-*.log'))
--- a/benches/gateway_soak/proxy.py
+++ b/benches/gateway_soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that harms the connections through it."""
+"""A loopback proxy that injects faults into its connections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Harm(Enum):
-    """What happens to bytes."""
+    """A fault that applies to the forwarded bytes."""
 
     NONE = auto()
     DELAY = auto()
@@ -22,41 +22,41 @@
 
 
 class Proxy:
-    """Passes connections on to one port.
+    """Forwards connections to one port.
 
-    :param target_port: where to.
+    :param target_port: the port that it forwards to.
     """
 
     def __init__(self, target_port: int) -> None:
         self.target_port = target_port
         self.harm = Harm.NONE
         self.port = 0
-        # When the harm changed, or connections were cut.
+        # Times at which the fault changed or connections were reset.
         self.events_s: list[float] = []
         self._writers: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._accept, LOOPBACK, 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def change(self, harm: Harm) -> None:
-        """Do something else to the bytes from now on.
+    def set_harm(self, harm: Harm) -> None:
+        """Apply another fault from now on.
 
-        :param harm: what.
+        :param harm: the fault.
         """
         self.harm = harm
         self.events_s.append(asyncio.get_running_loop().time())
 
     def reset_all(self) -> None:
-        """Cut every connection without a farewell."""
+        """Reset every connection without closing it in order."""
         self.events_s.append(asyncio.get_running_loop().time())
         for writer in tuple(self._writers):
             writer.transport.abort()
 
     def close(self) -> None:
-        """End the proxy."""
+        """Stop listening and reset all connections."""
         if self._server is not None:
             self._server.close()
         self.reset_all()
@@ -68,32 +68,33 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 LOOPBACK, self.target_port
             )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far_writer}
-        # Cancelled at the end of a seed, where the streams' callback would report it.
+        self._writers |= {writer, target_writer}
+        # At the end of a seed it is cancelled, and the callback of asyncio streams
+        # would report this as an error.
         with suppress(asyncio.CancelledError):
             await asyncio.gather(
-                self._pump(reader, far_writer, answers=False),
-                self._pump(far_reader, writer, answers=True),
+                self._forward(reader, target_writer, is_response=False),
+                self._forward(target_reader, writer, is_response=True),
             )
-        self._writers -= {writer, far_writer}
+        self._writers -= {writer, target_writer}
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        answers: bool,
+        is_response: bool,
     ) -> None:
         with suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
                 if self.harm is Harm.DELAY:
                     await asyncio.sleep(DELAY_S)
-                while self._holds(answers):
+                while self._is_blocked(is_response):
                     await asyncio.sleep(DELAY_S)
                 writer.write(data)
                 await writer.drain()
@@ -102,7 +103,7 @@
             return
         writer.transport.abort()
 
-    def _holds(self, answers: bool) -> bool:
+    def _is_blocked(self, is_response: bool) -> bool:
         if self.harm is Harm.SILENT:
             return True
-        return answers and self.harm is Harm.ANSWERS_LOST
+        return is_response and self.harm is Harm.ANSWERS_LOST
--- a/benches/gateway_soak/site.py
+++ b/benches/gateway_soak/site.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, and what stands in for the platform."""
+"""The gateway processes of a soak and the stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from benches.gateway_soak.endpoint import HEARTBEAT_S, SoakEndpoint
+from benches.gateway_soak.endpoint import HEARTBEAT_INTERVAL_S, SoakEndpoint
 from benches.gateway_soak.platform import PlatformStandIn
 from benches.gateway_soak.proxy import LOOPBACK, Proxy
 from savorychute.testing.ports import free_ports
@@ -28,7 +28,7 @@
 
 GRACE_S = 3.0
 KILL_MARGIN_S = 1.0
-# Windows are short, so that some end in a short run.
+# Usage windows are short, so that some of them end within a short run.
 DUTY_FIELDS: dict[str, Any] = {
     'duties': ['metering'],
     'usage_window_s': 1,
@@ -37,7 +37,7 @@
 
 
 class GatewayProcess:
-    """One gateway: its settings, its process and its way to the store."""
+    """One gateway: its settings, its process and its proxy to the store."""
 
     def __init__(
         self, number: int, folder: Path, store: Proxy, duty_port: int | None
@@ -50,13 +50,13 @@
         self.ports = free_ports(5)
         self.process: asyncio.subprocess.Process | None = None
         self._starting = asyncio.Lock()
-        # When it was started, or sent a signal.
+        # Times at which it was started or sent a signal.
         self.events_s: list[float] = []
-        self.settings.write_text(json.dumps(self._document()))
+        self.settings.write_text(json.dumps(self._make_settings()))
 
     @property
     def caller_port(self) -> int:
-        """Where callers go."""
+        """The port on which it serves callers."""
         return self.ports[0]
 
     async def start(self) -> None:
@@ -64,9 +64,9 @@
         async with self._starting:
             if self.process is not None and self.process.returncode is None:
                 return
-            # With the fault that a reload left in it, no process starts.
-            self.settings.write_text(json.dumps(self._document()))
-            self._note_event()
+            # A reload may have written invalid settings, with which no process starts.
+            self.settings.write_text(json.dumps(self._make_settings()))
+            self._record_event()
             with self.log.open('ab') as log:
                 self.process = await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -78,28 +78,28 @@
                     cwd=ROOT,
                 )
 
-    def send(self, number: signal.Signals) -> None:
-        """Send the process a signal, if it is there."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send the process a signal if it is running."""
         if self.process is not None and self.process.returncode is None:
-            self._note_event()
+            self._record_event()
             with suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
-    def _note_event(self) -> None:
+    def _record_event(self) -> None:
         self.events_s.append(asyncio.get_running_loop().time())
 
-    async def end(self) -> None:
-        """Wait for the process, and end it by force if it stays."""
+    async def wait_or_kill(self) -> None:
+        """Wait for the process to exit, and kill it after a timeout."""
         if self.process is None:
             return
         try:
             async with asyncio.timeout(GRACE_S + KILL_MARGIN_S):
                 await self.process.wait()
         except TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             await self.process.wait()
 
-    def _document(self, **fields: Any) -> dict[str, Any]:
+    def _make_settings(self, **fields: Any) -> dict[str, Any]:
         caller, readiness, discovery, metrics, peer = self.ports
         if self._duty_port is not None:
             fields = DUTY_FIELDS | fields
@@ -122,17 +122,17 @@
         } | fields
 
     def change_settings(self, rng: random.Random) -> None:
-        """Write the settings anew, now and then with a fault."""
+        """Rewrite the settings, sometimes with an invalid value."""
         slack = rng.choice([40, 50, 60, 'many'])
-        self.settings.write_text(json.dumps(self._document(retry_slack=slack)))
+        self.settings.write_text(json.dumps(self._make_settings(retry_slack=slack)))
 
 
 class Site:
-    """Store, endpoints and gateways.
+    """The store, the endpoints and the gateways.
 
     :param folder: for settings and logs.
-    :param ledger: what happens.
-    :param rng: the source of all choices.
+    :param ledger: records what happens.
+    :param rng: random numbers for all choices.
     """
 
     def __init__(self, folder: Path, ledger: Ledger, rng: random.Random) -> None:
@@ -144,14 +144,14 @@
         self.gateways: list[GatewayProcess] = []
         self.platform: PlatformStandIn | None = None
         self._stack = AsyncExitStack()
-        self._named = 0
+        self._endpoint_count = 0
         self._version = 0
         self._heartbeat: asyncio.Task[None] | None = None
 
     async def start(self, gateways: int, *, duties: bool = False) -> None:
-        """Start everything.
+        """Start the store, the endpoints and the gateways.
 
-        :param gateways: how many processes.
+        :param gateways: number of gateway processes.
         :param duties: whether one of them reports usage.
         """
         if duties:
@@ -161,7 +161,9 @@
         self.write_configuration()
         for service in ('desk', 'desk', 'desk', 'pool', 'pool', 'pool'):
             await self.add_endpoint(service)
-        self._heartbeat = asyncio.get_running_loop().create_task(self._beat())
+        self._heartbeat = asyncio.get_running_loop().create_task(
+            self._write_heartbeats()
+        )
         for number in range(gateways):
             proxy = Proxy(self.store.port)
             await proxy.start()
@@ -170,22 +172,24 @@
             self.gateways.append(gateway)
             await gateway.start()
 
-    async def end(self) -> None:
-        """End what this site has started, by their ids."""
+    async def stop(self) -> None:
+        """Stop everything that this site has started, each process by its id."""
         for gateway in self.gateways:
-            gateway.send(signal.SIGCONT)
-            gateway.send(signal.SIGTERM)
+            gateway.send_signal(signal.SIGCONT)
+            gateway.send_signal(signal.SIGTERM)
         for gateway in self.gateways:
-            await gateway.end()
+            await gateway.wait_or_kill()
             gateway.store.close()
         if self._heartbeat is not None:
             self._heartbeat.cancel()
         await self._stack.aclose()
 
     async def add_endpoint(self, service: str) -> SoakEndpoint:
-        """Start an endpoint, under a new name."""
-        self._named += 1
-        endpoint = SoakEndpoint(f'i-{self._named}', service, self.ledger, self.rng)
+        """Start an endpoint under a new name."""
+        self._endpoint_count += 1
+        endpoint = SoakEndpoint(
+            f'i-{self._endpoint_count}', service, self.ledger, self.rng
+        )
         server = await self._stack.enter_async_context(
             serve(endpoint.handle, LOOPBACK, 0)
         )
@@ -197,39 +201,39 @@
         return endpoint
 
     def write_entry(self, endpoint: SoakEndpoint) -> None:
-        """Write an endpoint's heartbeat."""
-        self.store.put('keyed.servers', endpoint.name, endpoint.entry())
+        """Write the entry of an endpoint, which serves as its heartbeat."""
+        self.store.put('keyed.servers', endpoint.name, endpoint.encode_entry())
 
     def remove_entry(self, endpoint: SoakEndpoint) -> None:
-        """Let an endpoint leave for good."""
+        """Remove an endpoint and its entry permanently."""
         if endpoint in self.endpoints:
             self.endpoints.remove(endpoint)
         self.store.put('keyed.servers', endpoint.name, None)
 
     def write_configuration(self) -> int:
-        """Publish the next version; each has a route of its own."""
+        """Publish the next version of the configuration."""
         self._version += 1
         self.store.put('keyed.op', 'config', make_configuration(self._version))
         return self._version
 
-    def write_lost(self) -> None:
-        """Write again what the operator and the endpoints had written."""
+    def rewrite_lost(self) -> None:
+        """Rewrite what the operator and the endpoints had written."""
         document = make_configuration(self._version)
         self.store.put('keyed.op', 'config', document)
         for endpoint in self.endpoints:
             if not endpoint.crashed:
                 self.write_entry(endpoint)
 
-    async def _beat(self) -> None:
+    async def _write_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(HEARTBEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             for endpoint in self.endpoints:
                 if not endpoint.crashed:
                     self.write_entry(endpoint)
 
 
 def make_configuration(version: int) -> bytes:
-    """Return a version with the three kinds of route."""
+    """Return a configuration version with the three kinds of route."""
     shared = {'hostname': 'soak', 'timeoutMs': 5_000, 'targetLatencyMs': 1_000}
     routes = [
         shared
--- a/benches/gateway_soak/statements.py
+++ b/benches/gateway_soak/statements.py
@@ -1,4 +1,4 @@
-"""Endpoints that state limits, leave or ask for rest, and a judge of the calls they get."""
+"""Endpoints that state limits, leave or send Retry-After, and a check of calls."""
 
 from __future__ import annotations
 
@@ -13,25 +13,27 @@
     from benches.gateway_soak.endpoint import SoakEndpoint
     from benches.gateway_soak.site import Site
 
-GAP_S = 1.0
-# A limit is kept within a span, from some time after its first statement on.
+MAX_GAP_S = 1.0
+# A limit holds within any span of this length, from NOTICE_S after its first statement.
 SPAN_S = 4.0
 NOTICE_S = 3.0
 LIMITS_PER_S = (1, 3, 10, 30)
-LIMIT_S = 9.0
-# From the first answer that says so to the time from which on nothing new may come.
+LIMIT_DURATION_S = 9.0
+# After the first response that announces leaving, no new request may arrive after
+# NOTICE_S and this.
 DRAIN_S = 2.0
-LEAVE_S = 4.0
+LEAVE_DURATION_S = 4.0
 REST_S = 2.0
-TOLD_S = 0.5
-# Faults last up to about so long; one that began before a span may reach into it.
-FAULT_S = 4.0
-# The call that is turned away, and those that the users' rule allows an instance besides.
-MOST_CALLS = 3
+PROPAGATION_S = 0.5
+# Approximate maximum duration of a fault; one that started before a span may reach
+# into it.
+MAX_FAULT_S = 4.0
+# Per instance: the refused call, and those that the caller rule permits in addition.
+MAX_REST_CALLS = 3
 
 
-class Stated(NamedTuple):
-    """What an endpoint stated from one time to another."""
+class Statement(NamedTuple):
+    """A statement of an endpoint and the period in which it applied."""
 
     kind: str
     endpoint: SoakEndpoint
@@ -42,128 +44,154 @@
 
 
 class StatementDrill:
-    """Lets endpoints state things, one after the other, and judges what they get.
+    """Lets endpoints make statements and checks the calls that they get.
 
-    Gateways that start, end, freeze or wake, or do not reach the endpoint, do not know what
-    it stated, so only times without such an event are judged.
+    A gateway that starts, ends, is suspended or resumed, or can't reach the endpoint,
+    does not know what it stated, so only times without such an event are checked.
 
-    :param site: of the endpoints.
-    :param rng: the source of its choices.
+    :param site: contains the endpoints.
+    :param rng: random numbers for all choices.
     """
 
     def __init__(self, site: Site, rng: random.Random) -> None:
         self._site = site
         self._rng = rng
-        self._stated: list[Stated] = []
+        self._statements: list[Statement] = []
 
     async def run(self) -> None:
-        """State things until the task is cancelled."""
+        """Let endpoints make statements until the task is cancelled."""
         async with asyncio.TaskGroup() as tasks:
             while True:
-                await asyncio.sleep(self._rng.random() * GAP_S)
+                await asyncio.sleep(self._rng.random() * MAX_GAP_S)
                 endpoint = self._rng.choice(self._site.endpoints)
-                if endpoint.stated or endpoint.drained_s is not None:
+                if endpoint.stated_headers or endpoint.drain_started_s is not None:
                     continue
-                kind = self._rng.choice([self._limit, self._leave, self._rest])
-                tasks.create_task(kind(endpoint))
+                make_statement = self._rng.choice(
+                    [self._state_limit, self._state_leaving, self._state_rest]
+                )
+                tasks.create_task(make_statement(endpoint))
 
-    async def _limit(self, endpoint: SoakEndpoint) -> None:
+    async def _state_limit(self, endpoint: SoakEndpoint) -> None:
         limit_per_s = self._rng.choice(LIMITS_PER_S)
-        endpoint.stated = (('server-limit', str(limit_per_s)),)
-        await self._keep('limit', endpoint, LIMIT_S, limit_per_s)
+        endpoint.stated_headers = (('server-limit', str(limit_per_s)),)
+        await self._hold_statement('limit', endpoint, LIMIT_DURATION_S, limit_per_s)
 
-    async def _leave(self, endpoint: SoakEndpoint) -> None:
-        """Say so in answers alone: the entry goes on being ready."""
+    async def _state_leaving(self, endpoint: SoakEndpoint) -> None:
+        """Announce leaving in responses only; the entry stays ready."""
         await self._site.add_endpoint(endpoint.service)
-        endpoint.stated = (('server-leaving', '1'),)
-        await self._keep('leaving', endpoint, LEAVE_S)
+        endpoint.stated_headers = (('server-leaving', '1'),)
+        await self._hold_statement('leaving', endpoint, LEAVE_DURATION_S)
         self._site.remove_entry(endpoint)
 
-    async def _rest(self, endpoint: SoakEndpoint) -> None:
-        endpoint.stated = (('retry-after', str(REST_S)),)
-        endpoint.full = True
+    async def _state_rest(self, endpoint: SoakEndpoint) -> None:
+        endpoint.stated_headers = (('retry-after', str(REST_S)),)
+        endpoint.is_full = True
         try:
-            await self._keep('rest', endpoint, REST_S)
+            await self._hold_statement('rest', endpoint, REST_S)
         finally:
-            endpoint.full = False
-
-    async def _keep(
-        self, kind: str, endpoint: SoakEndpoint, lasts_s: float, limit_per_s: float = 0
+            endpoint.is_full = False
+
+    async def _hold_statement(
+        self,
+        kind: str,
+        endpoint: SoakEndpoint,
+        duration_s: float,
+        limit_per_s: float = 0,
     ) -> None:
         loop = asyncio.get_running_loop()
         name, from_s = endpoint.name, loop.time()
         try:
-            await asyncio.sleep(lasts_s)
+            await asyncio.sleep(duration_s)
         finally:
-            endpoint.stated = ()
-        stated = Stated(kind, endpoint, name, from_s, loop.time(), limit_per_s)
-        self._stated.append(stated)
+            endpoint.stated_headers = ()
+        statement = Statement(kind, endpoint, name, from_s, loop.time(), limit_per_s)
+        self._statements.append(statement)
 
     def check(self) -> list[str]:
-        """Return what endpoints got beyond what they stated."""
-        found = [self._judge(each) for each in self._stated]
+        """Return the calls that violated what endpoints stated."""
+        found = [self._check_statement(each) for each in self._statements]
         return [line for line in found if line]
 
     @property
-    def judged(self) -> int:
-        """How many statements there were."""
-        return len(self._stated)
+    def statement_count(self) -> int:
+        """Number of statements that have ended."""
+        return len(self._statements)
 
-    def _judge(self, stated: Stated) -> str:
-        if stated.endpoint.name != stated.name:
-            # Another run has the address, and has stated nothing before.
+    def _check_statement(self, statement: Statement) -> str:
+        if statement.endpoint.name != statement.name:
+            # Another run has the address, and it has stated nothing.
             return ''
-        if stated.kind == 'limit':
-            return self._judge_limit(stated)
-        if stated.kind == 'leaving':
-            return self._judge_leaving(stated)
-        return self._judge_rest(stated)
-
-    def _judge_limit(self, stated: Stated) -> str:
-        # Calls of before, and those that crossed the statement, are no breach.
-        told_s = stated.from_s + 2 * TOLD_S
-        calls_s = _between(stated.endpoint.calls_s, told_s, stated.until_s)
-        allowed = 1.5 * stated.limit_per_s * SPAN_S + 5
-        for at_s in _between(calls_s, stated.from_s + NOTICE_S, stated.until_s):
-            got = len(_between(calls_s, at_s - SPAN_S, at_s))
-            if got > allowed and self._is_calm(stated, at_s - SPAN_S, at_s):
+        if statement.kind == 'limit':
+            return self._check_limit(statement)
+        if statement.kind == 'leaving':
+            return self._check_leaving(statement)
+        return self._check_rest(statement)
+
+    def _check_limit(self, statement: Statement) -> str:
+        # Calls before the statement, and those in transit, are no violation.
+        received_s = statement.from_s + 2 * PROPAGATION_S
+        call_times_s = _between(
+            statement.endpoint.call_times_s, received_s, statement.until_s
+        )
+        allowed = 1.5 * statement.limit_per_s * SPAN_S + 5
+        for at_s in _between(
+            call_times_s, statement.from_s + NOTICE_S, statement.until_s
+        ):
+            received = len(_between(call_times_s, at_s - SPAN_S, at_s))
+            if received > allowed and self._is_undisturbed(
+                statement, at_s - SPAN_S, at_s
+            ):
                 return (
-                    f'{stated.endpoint.name}: {got} calls in {SPAN_S} s '
-                    f'until {at_s - stated.from_s:.1f} s after its statement, '
+                    f'{statement.endpoint.name}: {received} calls in {SPAN_S} s '
+                    f'until {at_s - statement.from_s:.1f} s after its statement, '
                     f'{allowed} allowed by its limit'
                 )
         return ''
 
-    def _judge_leaving(self, stated: Stated) -> str:
-        runs_s = stated.endpoint.runs_s
-        told = _between(runs_s, stated.from_s, stated.until_s)
-        if not told:
+    def _check_leaving(self, statement: Statement) -> str:
+        run_times_s = statement.endpoint.run_times_s
+        received_s = _between(run_times_s, statement.from_s, statement.until_s)
+        if not received_s:
             return ''
-        for at_s in _between(runs_s, told[0] + NOTICE_S + DRAIN_S, float('inf')):
-            if self._is_calm(stated, told[0], at_s):
-                late_s = at_s - told[0]
-                return f'{stated.endpoint.name}: run {late_s:.2f} s after it said it leaves'
+        for at_s in _between(
+            run_times_s, received_s[0] + NOTICE_S + DRAIN_S, float('inf')
+        ):
+            if self._is_undisturbed(statement, received_s[0], at_s):
+                late_s = at_s - received_s[0]
+                return (
+                    f'{statement.endpoint.name}: run {late_s:.2f} s '
+                    'after it announced leaving'
+                )
         return ''
 
-    def _judge_rest(self, stated: Stated) -> str:
-        calls_s = _between(stated.endpoint.calls_s, stated.from_s, stated.until_s)
-        most = MOST_CALLS * len(self._site.gateways)
-        if len(calls_s) > most and self._is_calm(stated, stated.from_s, stated.until_s):
-            return f'{stated.endpoint.name}: {len(calls_s)} calls in a rest, {most} allowed'
+    def _check_rest(self, statement: Statement) -> str:
+        call_times_s = _between(
+            statement.endpoint.call_times_s, statement.from_s, statement.until_s
+        )
+        max_calls = MAX_REST_CALLS * len(self._site.gateways)
+        if len(call_times_s) > max_calls and self._is_undisturbed(
+            statement, statement.from_s, statement.until_s
+        ):
+            return (
+                f'{statement.endpoint.name}: {len(call_times_s)} calls in a rest, '
+                f'{max_calls} allowed'
+            )
         return ''
 
-    def _is_calm(self, stated: Stated, from_s: float, until_s: float) -> bool:
-        """Return whether all gateways ran and reached the endpoint."""
-        proxy = stated.endpoint.proxy
+    def _is_undisturbed(
+        self, statement: Statement, from_s: float, until_s: float
+    ) -> bool:
+        """Return whether all gateways ran and could reach the endpoint."""
+        proxy = statement.endpoint.proxy
         assert proxy is not None
         gateways = [gateway.events_s for gateway in self._site.gateways]
         return not any(
-            _between(events_s, from_s - FAULT_S, until_s)
+            _between(events_s, from_s - MAX_FAULT_S, until_s)
             for events_s in (proxy.events_s, *gateways)
         )
 
 
 def _between(times_s: Sequence[float], from_s: float, until_s: float) -> list[float]:
-    """Return the times of a sorted list that lie between two."""
-    begin = bisect_left(times_s, from_s)
-    return list(times_s[begin : bisect_right(times_s, until_s)])
+    """Return the times in a sorted list from one time until another."""
+    start = bisect_left(times_s, from_s)
+    return list(times_s[start : bisect_right(times_s, until_s)])
--- a/tests/test_days/test_days.py
+++ b/tests/test_days/test_days.py
@@ -1,4 +1,4 @@
-"""Tests of the days of trouble, and of what plays them."""
+"""Tests of the day files and of the program that runs them."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 }
 
 
-def test_every_day_names_itself_and_holds_trouble():
+def test_every_day_file_has_kinds():
     days = read_days([])
 
     assert len(days) > 50
@@ -42,11 +42,11 @@
     assert day.kinds == {'roll_term', 'burst'}
 
 
-def test_kinds_are_read_from_the_list():
+def test_kinds_are_read_from_the_list_of_the_bench():
     assert read_kinds(KINDS) == {'burst', 'roll_term', 'hup'}
 
 
-def test_a_report_gives_a_row():
+def test_report_becomes_a_table_row():
     result = read_report('kochi', 'roll', json.dumps(REPORT))
 
     assert result.row() == (
@@ -54,15 +54,15 @@
     )
 
 
-def test_a_day_that_was_not_played_says_why():
-    result = DayResult('kochi', 'roll', trouble='not played, status 2: no site')
+def test_row_of_a_day_that_was_not_run_gives_the_reason():
+    result = DayResult('kochi', 'roll', error='not played, status 2: no site')
 
     assert result.row() == '| kochi | roll | | | | | not played, status 2: no site |'
 
 
 @pytest.fixture
 def bench(tmp_path):
-    """A program in place of the bench: one day ends well, another leaves no report."""
+    """A fake bench; the day ``roll`` writes no report, all others succeed."""
     program = tmp_path / 'bench'
     program.write_text(
         '#!/bin/sh\n'
@@ -76,22 +76,22 @@
     return program
 
 
-def play(bench, capsys, *days):
-    """Play some days; return the status and the rows."""
+def run_days(bench, capsys, *days):
+    """Run some days; return the status and the table rows."""
     names = [part for day in days for part in ('--day', day)]
     status = main(['--bench', str(bench), '--why', 'test', *names, 'kochi.toml'])
     return status, capsys.readouterr().out.splitlines()[2:]
 
 
-def test_days_are_played_where_their_trouble_may_come(bench, capsys):
-    status, rows = play(bench, capsys, 'burst', 'cut')
+def test_days_run_where_their_faults_are_possible(bench, capsys):
+    status, rows = run_days(bench, capsys, 'burst', 'cut')
 
     assert status == 0
     assert rows == ['| kochi | burst | 0.882 | 0.975 | 0.010 | 0.009 | - |']
 
 
 def test_a_day_without_a_report_is_a_failure(bench, capsys):
-    status, rows = play(bench, capsys, 'roll')
+    status, rows = run_days(bench, capsys, 'roll')
 
     assert status == 1
     assert rows == ['| kochi | roll | | | | | not played, status 3: too busy |']
--- a/tests/test_soak/test_short_soak.py
+++ b/tests/test_soak/test_short_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the gateways' soak."""
+"""Short seeded runs of the gateway soak."""
 
 from __future__ import annotations
 
@@ -9,49 +9,49 @@
 
 from benches.gateway_soak.play import play
 
-SECONDS = 2.0
+SOAK_S = 2.0
 GATEWAYS = 2
 CALLERS = 6
-TEST_S = 120
+TEST_TIMEOUT_S = 120
 
 
-# Time for a holder to be found, and for a window to end under it.
-DUTY_SECONDS = 8.0
+# Long enough for a duty holder to be elected and for a usage window to end under it.
+DUTY_SOAK_S = 8.0
 
 
 @pytest.mark.parametrize('seed', [1, 11])
-def test_promises_hold_while_faults_overlap(seed, tmp_path):
-    """Real processes are killed, paused and cut off from the store under load.
+def test_guarantees_hold_while_faults_overlap(seed, tmp_path):
+    """Real processes are killed, suspended and cut off from the store under load.
 
-    What callers got and what endpoints ran must fit together; how much was answered in
-    these seconds depends on the machine, and is not asserted.
+    Responses to callers and runs at endpoints must be consistent. The number of
+    responses depends on the machine and is not asserted.
     """
 
     async def main():
-        async with asyncio.timeout(TEST_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await play(
-                random.Random(seed), tmp_path, SECONDS, GATEWAYS, CALLERS, settle=False
+                random.Random(seed), tmp_path, SOAK_S, GATEWAYS, CALLERS, settle=False
             )
 
     result = asyncio.run(main())
 
-    assert result.broken == []
+    assert result.violations == []
     assert result.counts['200'] > 0
 
 
-def test_promises_hold_while_the_store_goes_back(tmp_path):
-    """The store comes back from older copies, and one gateway reports usage for all.
+def test_guarantees_hold_while_the_store_is_restored_from_older_copies(tmp_path):
+    """The store is restored from older copies, and one gateway reports usage for all.
 
-    Whoever is killed or paused with a report on its way, no window gets two, and no number
-    is of two holders.
+    If a gateway is killed or suspended while it sends a report, no window may get two
+    reports and no fencing token may be used by two holders.
     """
 
     async def main():
-        async with asyncio.timeout(TEST_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await play(
                 random.Random(1),
                 tmp_path,
-                DUTY_SECONDS,
+                DUTY_SOAK_S,
                 GATEWAYS,
                 CALLERS,
                 settle=False,
@@ -60,23 +60,23 @@
 
     result = asyncio.run(main())
 
-    assert result.broken == []
+    assert result.violations == []
     assert result.counts['200'] > 0
 
 
-# A statement has to last for a while before it can be judged.
-STATED_SECONDS = 12.0
+# Long enough for statements to last until they can be checked.
+STATEMENT_SOAK_S = 12.0
 
 
-def test_endpoints_get_what_they_state_while_faults_overlap(tmp_path):
-    """Endpoints state limits, leave by their own word alone and ask for rest."""
+def test_calls_respect_statements_of_endpoints_while_faults_overlap(tmp_path):
+    """Endpoints state limits, leave by responses alone and send Retry-After."""
 
     async def main():
-        async with asyncio.timeout(TEST_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await play(
                 random.Random(1),
                 tmp_path,
-                STATED_SECONDS,
+                STATEMENT_SOAK_S,
                 GATEWAYS,
                 CALLERS,
                 settle=False,
@@ -85,5 +85,5 @@
 
     result = asyncio.run(main())
 
-    assert result.broken == []
+    assert result.violations == []
     assert result.counts['statements'] > 0
