--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -27,7 +27,7 @@
 
 
 def main() -> None:
-    """Measure and print, or write the page."""
+    """Measure the roles, print their tables and update the page if wanted."""
     parser = argparse.ArgumentParser(prog='python -m benches.capacity')
     parser.add_argument('--write', type=Path, help='page whose blocks are replaced')
     parser.add_argument('--only', nargs='*', help='names of roles; default: all')
@@ -43,7 +43,7 @@
 
 
 def load_roles() -> None:
-    """Import each role's module, so that all are registered."""
+    """Import the module of each role, which registers it."""
     package = benches.capacity_roles
     for found in pkgutil.iter_modules(package.__path__, f'{package.__name__}.'):
         if found.name.endswith(ROLE_SUFFIX):
@@ -51,10 +51,10 @@
 
 
 def measure_blocks(only: list[str] | None, processes: int) -> dict[str, str]:
-    """Return the page's blocks by name.
+    """Return the blocks of the page by name.
 
     :param only: names of roles, or None for all.
-    :param processes: how many roles are measured at once.
+    :param processes: number of roles that are measured at once.
     """
     names = [name for name in sorted(ROLES) if not only or name in only]
     with ProcessPoolExecutor(processes, initializer=load_roles) as executor:
@@ -67,9 +67,9 @@
 
 
 def measure_role(name: str) -> list[RoleSample]:
-    """Return a role's samples, one for each of its sizes.
+    """Return the samples of a role, one for each of its sizes.
 
-    :param name: of the role.
+    :param name: the name of the role.
     """
     role = ROLES[name]
     return [role.measure(size) for size in role.sizes]
--- a/benches/capacity_roles/__init__.py
+++ b/benches/capacity_roles/__init__.py
@@ -1,1 +1,1 @@
-"""One measurement per role of an instance."""
+"""Measurements of the control costs of an instance, one module for each role."""
--- a/benches/capacity_roles/claims_role.py
+++ b/benches/capacity_roles/claims_role.py
@@ -1,4 +1,4 @@
-"""The role of a writer and reader of claims in the log."""
+"""Costs of an instance that writes and reads claims in the log."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 WARM_UP_MS = 4_000
 WINDOW_MS = 3_000
 WINDOWS = 3
-SAMPLED = 16
+SAMPLED_INSTANCES = 16
 # Assumed: one request in a hundred is not idempotent and brings its own key.
 CLAIMED_SHARE = 0.01
 FINGERPRINT = 'f' * 32
-# Those of the first seconds, before the stream was read, are refused.
+# Requests of the first seconds, before the stream was read, are refused.
 MIN_ADMITTED_SHARE = 0.7
 WALL_OFFSET_MS = 1_700_000_000_000
 VERSION_BITS = 7 << 76
@@ -47,15 +47,15 @@
 TIME_SHIFT = 80
 
 
-class DrivenClaims:
-    """A key keeper whose callers bring their own keys.
+class SimulatedClaimManager:
+    """A key manager whose callers supply their own keys.
 
-    :param own: where the instance is.
+    :param own: the address of the instance.
     :param alive: all members.
-    :param log: shared by all.
-    :param parts: all keepers, for callers that are sent elsewhere.
-    :param rate_per_ms: of requests with such keys.
-    :param rng: makes the load.
+    :param log: the log shared by all instances.
+    :param parts: all key managers, for redirected callers.
+    :param rate_per_ms: rate of requests with such keys.
+    :param rng: random numbers for the load.
     """
 
     def __init__(
@@ -63,13 +63,13 @@
         own: MemberAddress,
         alive: tuple[MemberAddress, ...],
         log: FakeLog,
-        parts: dict[str, DrivenClaims],
+        parts: dict[str, SimulatedClaimManager],
         rate_per_ms: float,
         rng: Random,
     ) -> None:
         self._parts = parts
-        self.keeper = KeyManager(KeySettings(), own, rng)
-        self.keeper.set_wall_clock(WALL_OFFSET_MS, 0)
+        self.manager = KeyManager(KeySettings(), own, rng)
+        self.manager.set_wall_clock(WALL_OFFSET_MS, 0)
         self.admitted = 0
         self.arrived = 0
         self.inbox: list[str] = []
@@ -80,10 +80,10 @@
         self._arrival_ms = rng.expovariate(rate_per_ms)
 
     def prepare(self, now_ms: int) -> None:
-        """Do nothing; requests are admitted within the tick that is timed."""
+        """Do nothing; requests are admitted in the tick, which is timed."""
 
     def tick(self, now_ms: int) -> Sequence[Action]:
-        """Admit the requests that came, and tick the keeper."""
+        """Admit the requests that arrived, and tick the key manager."""
         results: list[object] = []
         while self._arrival_ms <= now_ms:
             self._arrival_ms += self._rng.expovariate(self._rate_per_ms)
@@ -91,34 +91,38 @@
             self.inbox.append(make_key(WALL_OFFSET_MS + now_ms, self._rng))
         keys, self.inbox = self.inbox, []
         for key in keys:
-            results += self.keeper.admit(key, key, FINGERPRINT, self._view, now_ms)
-        results += self.keeper.tick(self._view, now_ms)
-        return self._follow(results, now_ms)
+            results += self.manager.admit(key, key, FINGERPRINT, self._view, now_ms)
+        results += self.manager.tick(self._view, now_ms)
+        return self._process_results(results, now_ms)
 
     def receive(
         self, sender: str, message: tuple[object, ...], now_ms: int
     ) -> Sequence[Action]:
-        """Pass a message on."""
-        results = self.keeper.receive(sender, message, self._view, now_ms)
-        return self._follow(results, now_ms)
+        """Pass a peer message to the measured part."""
+        results = self.manager.receive(sender, message, self._view, now_ms)
+        return self._process_results(results, now_ms)
 
     def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
-        """Ask the log."""
+        """Execute a read or an append on the log."""
         if isinstance(action, ReadRecords):
             read = self._log.read(action)
-            return self._follow(self.keeper.records_read(read, now_ms), now_ms)
+            return self._process_results(
+                self.manager.records_read(read, now_ms), now_ms
+            )
         if isinstance(action, AppendRecord):
             finished = self._log.append(action)
-            return self._follow(self.keeper.append_finished(finished, now_ms), now_ms)
+            return self._process_results(
+                self.manager.append_finished(finished, now_ms), now_ms
+            )
         return []
 
-    def _follow(self, results: Sequence[object], now_ms: int) -> list[Action]:
-        """Finish at once what may run; a caller that is sent elsewhere goes."""
+    def _process_results(self, results: Sequence[object], now_ms: int) -> list[Action]:
+        """Finish granted requests at once, and pass redirected ones to their target."""
         actions: list[Action] = []
         for result in results:
             if isinstance(result, KeyGranted):
                 self.admitted += 1
-                self.keeper.finish(result.request_id, 200, 'text/plain', b'', now_ms)
+                self.manager.finish(result.request_id, 200, 'text/plain', b'', now_ms)
             elif isinstance(result, KeyRedirect):
                 self._parts[result.address.instance].inbox.append(result.request_id)
             elif isinstance(result, (AppendRecord, ReadRecords)):
@@ -138,7 +142,7 @@
     SIZES,
 )
 def measure_claims(instances: int) -> RoleSample:
-    """Measure keepers at the assumed rate of claims.
+    """Measure key managers at the assumed rate of claims.
 
     :param instances: the size of the system.
     """
@@ -146,12 +150,12 @@
     log = FakeLog()
     target = Target(instances)
     rate_per_ms = target.requests_per_s * CLAIMED_SHARE / instances / MS_PER_S
-    parts: dict[str, DrivenClaims] = {}
+    parts: dict[str, SimulatedClaimManager] = {}
     for number, own in enumerate(alive):
-        parts[own.instance] = DrivenClaims(
+        parts[own.instance] = SimulatedClaimManager(
             own, alive, log, parts, rate_per_ms, Random(number)
         )
-    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED), TICK_MS)
+    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED_INSTANCES), TICK_MS)
     mesh.run(WARM_UP_MS)
     log.reset_counts()
     costs = mesh.measure(WINDOW_MS, WINDOWS)
@@ -159,29 +163,29 @@
     admitted = sum(part.admitted for part in parts.values())
     if admitted < MIN_ADMITTED_SHARE * arrived:
         raise RuntimeError(f'{admitted} of {arrived} claims were admitted')
-    each = instances * WINDOWS * WINDOW_MS / MS_PER_S
+    instance_seconds = instances * WINDOWS * WINDOW_MS / MS_PER_S
     return RoleSample(
         instances,
         state_bytes=allocated_bytes(lambda: build_index(instances)),
         processor_us_per_s=costs.processor_us_per_s,
-        log_appends_per_s=log.appends / each,
-        log_reads_per_s=log.reads / each,
-        log_read_bytes_per_s=log.read_bytes / each,
+        log_appends_per_s=log.appends / instance_seconds,
+        log_reads_per_s=log.reads / instance_seconds,
+        log_read_bytes_per_s=log.read_bytes / instance_seconds,
     )
 
 
 def build_index(instances: int) -> ClaimIndex:
-    """Return the claims of one key lifetime, or as many as are kept.
+    """Return an index with the claims of one key lifetime, or ``max_claims`` of them.
 
     :param instances: the size of the system.
     """
     settings = KeySettings()
     rate_per_s = Target(instances).requests_per_s * CLAIMED_SHARE
-    wanted = int(rate_per_s * settings.claim_lifetime_ms / MS_PER_S)
+    claim_count = int(rate_per_s * settings.claim_lifetime_ms / MS_PER_S)
     rng = Random(1)
     index = ClaimIndex(settings)
     index.start(0, WALL_OFFSET_MS)
-    for number in range(min(settings.max_claims, wanted)):
+    for number in range(min(settings.max_claims, claim_count)):
         owner = ClaimOwner(f'entry-{number % instances:04}', 1)
         key = uuid.UUID(make_key(WALL_OFFSET_MS, rng)).hex
         claims = (Claim(key, f'{rng.getrandbits(128):032x}'),)
@@ -190,10 +194,10 @@
 
 
 def make_key(wall_ms: int, rng: Random) -> str:
-    """Return a key as callers bring it, a UUID of version 7.
+    """Return a key as callers supply it, a UUID of version 7.
 
-    :param wall_ms: the time in it.
-    :param rng: of the random bits.
+    :param wall_ms: the wall time in the key.
+    :param rng: source of the random bits.
     """
     value = wall_ms << TIME_SHIFT | VERSION_BITS | VARIANT_BITS
     return str(uuid.UUID(int=value | rng.getrandbits(RANDOM_BITS)))
--- a/benches/capacity_roles/client_role.py
+++ b/benches/capacity_roles/client_role.py
@@ -1,4 +1,4 @@
-"""The role of the callers' library."""
+"""Costs of the library that callers use."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from benches.capacity_roles.measuring import allocated_bytes, time_us
-from benches.capacity_roles.polls_role import frame_answer, frame_request
+from benches.capacity_roles.polls_role import frame_request, frame_response
 from benches.capacity_roles.role_sample import RoleSample
 from benches.capacity_roles.roles import role
 from benches.capacity_roles.site import make_members, make_view
@@ -19,7 +19,7 @@
 from savorychute.http.http_request import HttpRequest
 from savorychute.membership import DiscoverySettings, answer_discovery
 
-TOKEN = 'x' * 43
+CALLER_TOKEN = 'x' * 43
 SEEDS = 3
 
 
@@ -33,40 +33,40 @@
     summed=False,
 )
 def measure_client(instances: int) -> RoleSample:
-    """Measure one question and its answer at the mean lifetime.
+    """Measure one discovery request and its response at the mean lifetime.
 
     :param instances: the size of the system.
     """
     alive = make_members(instances)
     settings = DiscoverySettings()
     view = make_view(alive[0], alive)
-    found = answer_discovery('organisation-1', view, settings, Random(1))
-    answer = msgspec.json.encode(
+    discovered = answer_discovery('organisation-1', view, settings, Random(1))
+    response = msgspec.json.encode(
         {
             'instances': [
                 {'host': address.host, 'port': address.caller_port}
-                for address in found.addresses
+                for address in discovered.addresses
             ],
-            'lifetime_ms': found.lifetime_ms,
+            'lifetime_ms': discovered.lifetime_ms,
         }
     )
-    headers = (('authorization', f'Bearer {TOKEN}'),)
-    question = HttpRequest('GET', '/v1/instances', headers)
+    headers = (('authorization', f'Bearer {CALLER_TOKEN}'),)
+    request = HttpRequest('GET', '/v1/instances', headers)
     decoder = msgspec.json.Decoder(DiscoveryDocument)
     interval_s = (settings.min_lifetime_ms + settings.max_lifetime_ms) / 2_000
     return RoleSample(
         instances,
-        state_bytes=allocated_bytes(build_book),
+        state_bytes=allocated_bytes(build_address_book),
         sent_messages_per_s=1 / interval_s,
         received_messages_per_s=1 / interval_s,
-        sent_bytes_per_s=len(frame_request(question, alive[0].host)) / interval_s,
-        received_bytes_per_s=len(frame_answer(answer)) / interval_s,
-        processor_us_per_s=time_us(lambda: decoder.decode(answer)) / interval_s,
+        sent_bytes_per_s=len(frame_request(request, alive[0].host)) / interval_s,
+        received_bytes_per_s=len(frame_response(response)) / interval_s,
+        processor_us_per_s=time_us(lambda: decoder.decode(response)) / interval_s,
     )
 
 
-def build_book() -> AddressBook:
-    """Return a library's address book; its connections are not counted."""
+def build_address_book() -> AddressBook:
+    """Return the address book of a client; its connections are not counted."""
     seeds = tuple(ServerAddress(f'10.0.0.{n}', 8400) for n in range(SEEDS))
     pool: ClientPool = None  # type: ignore[assignment]
-    return AddressBook(ClientSettings(seeds, TOKEN), pool, ManualClock())
+    return AddressBook(ClientSettings(seeds, CALLER_TOKEN), pool, ManualClock())
--- a/benches/capacity_roles/configuration_role.py
+++ b/benches/capacity_roles/configuration_role.py
@@ -1,4 +1,4 @@
-"""The role of a reader of the configuration, of whom a few poll the log."""
+"""Costs of reading the configuration; only a few instances poll the log."""
 
 from __future__ import annotations
 
@@ -42,16 +42,16 @@
 WARM_UP_MS = 15_000
 WINDOW_MS = 10_000
 WINDOWS = 3
-SAMPLED = 32
+SAMPLED_INSTANCES = 32
 
 
-class DrivenKeeper:
-    """A keeper that reads a log in memory.
+class SimulatedConfigurationManager:
+    """A configuration manager that reads a log in memory.
 
-    :param own: where the instance is.
+    :param own: the address of the instance.
     :param alive: all members.
-    :param log: shared by all.
-    :param rng: of the keeper.
+    :param log: the log shared by all instances.
+    :param rng: random numbers for the manager.
     """
 
     def __init__(
@@ -61,30 +61,30 @@
         log: FakeLog,
         rng: Random,
     ) -> None:
-        self.keeper = ConfigurationKeeper(ConfigurationSettings(), own, rng)
+        self.manager = ConfigurationKeeper(ConfigurationSettings(), own, rng)
         self._view = make_view(own, alive)
         self._log = log
 
     def prepare(self, now_ms: int) -> None:
-        """Do nothing; nobody but operators makes load."""
+        """Do nothing; load is made by operators only."""
 
     def tick(self, now_ms: int) -> Sequence[Action]:
-        """Tick the keeper; offsets that come with pings are left out."""
-        self.keeper.take_changes()
-        return self.keeper.tick(self._view, {}, now_ms)
+        """Tick the manager; offsets that are sent with pings are left out."""
+        self.manager.take_changes()
+        return self.manager.tick(self._view, {}, now_ms)
 
     def receive(
         self, sender: str, message: tuple[object, ...], now_ms: int
     ) -> Sequence[Action]:
-        """Pass a message on."""
-        return self.keeper.receive(sender, message, self._view, now_ms)
+        """Pass a peer message to the measured part."""
+        return self.manager.receive(sender, message, self._view, now_ms)
 
     def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
-        """Ask the log."""
+        """Execute a read or an append on the log."""
         if isinstance(action, ReadRecords):
-            return self.keeper.records_read(self._log.read(action), now_ms)
+            return self.manager.records_read(self._log.read(action), now_ms)
         if isinstance(action, AppendRecord):
-            return self.keeper.append_finished(self._log.append(action), now_ms)
+            return self.manager.append_finished(self._log.append(action), now_ms)
         return []
 
 
@@ -97,10 +97,10 @@
     SIZES,
 )
 def measure_configuration(instances: int) -> RoleSample:
-    """Measure keepers that are settled, and what one change adds.
+    """Measure settled configuration managers, and what one change adds.
 
     The mesh holds one item, because the traffic does not depend on the size of
-    the state; the state is measured on its own.
+    the state; the state is measured separately.
 
     :param instances: the size of the system.
     """
@@ -108,10 +108,10 @@
     log.streams['configuration'] = [make_amendment(0, 'contract:organisation-0000', 0)]
     alive = make_members(instances)
     parts = {
-        own.instance: DrivenKeeper(own, alive, log, Random(number))
+        own.instance: SimulatedConfigurationManager(own, alive, log, Random(number))
         for number, own in enumerate(alive)
     }
-    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED), TICK_MS)
+    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED_INSTANCES), TICK_MS)
     mesh.run(WARM_UP_MS)
     log.reset_counts()
     settled = mesh.measure(WINDOW_MS, WINDOWS)
@@ -120,7 +120,7 @@
         make_amendment(1, 'contract:organisation-0001', 0)
     )
     changing = mesh.measure(WINDOW_MS, 1)
-    check_in_force(parts)
+    check_received(parts)
     costs = add_changes(settled, changing, instances)
     changes_per_s = TARGET_CHANGES_PER_DAY * instances / TARGET_INSTANCES / DAY_S
     return RoleSample(
@@ -133,37 +133,39 @@
 
 
 def add_changes(settled: Costs, changing: Costs, instances: int) -> Costs:
-    """Return the costs with changes at the rate of a usual day.
+    """Return the costs with changes at the rate of an ordinary day.
 
-    :param settled: without a change.
-    :param changing: with one change in the window.
+    :param settled: costs without a change.
+    :param changing: costs with one change in the window.
     :param instances: the size of the system.
     """
     changes_per_s = TARGET_CHANGES_PER_DAY * instances / TARGET_INSTANCES / DAY_S
     share = changes_per_s * WINDOW_MS / MS_PER_S
     return Costs(
         *(
-            calm + max(0.0, busy - calm) * share
-            for calm, busy in zip(settled, changing, strict=True)
+            without + max(0.0, with_change - without) * share
+            for without, with_change in zip(settled, changing, strict=True)
         )
     )
 
 
-def check_in_force(parts: dict[str, DrivenKeeper]) -> None:
-    """Fail if the change has not reached everybody.
+def check_received(parts: dict[str, SimulatedConfigurationManager]) -> None:
+    """Raise an error if the change has not reached all instances.
 
-    :param parts: all keepers.
+    :param parts: all configuration managers.
     """
-    behind = [name for name, part in parts.items() if part.keeper.state.offset < 1]
+    behind = [name for name, part in parts.items() if part.manager.state.offset < 1]
     if behind:
-        raise RuntimeError(f'{len(behind)} keepers have not got the change')
+        raise RuntimeError(
+            f'{len(behind)} configuration managers have not received the change'
+        )
 
 
 def make_amendment(offset: int, item: str, base_version: int) -> bytes:
     """Return the payload of a change of a contract.
 
-    :param offset: where it will be.
-    :param item: what changes.
+    :param offset: the offset of the record in the log.
+    :param item: the item that changes.
     :param base_version: 0 for a new item.
     """
     document = make_contract(offset, 2)
@@ -175,8 +177,8 @@
 ) -> bytes:
     """Return the payload of a change.
 
-    :param offset: where it will be.
-    :param item: what changes.
+    :param offset: the offset of the record in the log.
+    :param item: the item that changes.
     :param base_version: 0 for a new item.
     :param document: the new document.
     """
@@ -196,7 +198,7 @@
 
 
 def build_fold(instances: int) -> ConfigurationFold:
-    """Return the fold of all contracts and endpoints at a size.
+    """Return a fold with all contracts and endpoints of a system.
 
     :param instances: the size of the system.
     """
--- a/benches/capacity_roles/credits_role.py
+++ b/benches/capacity_roles/credits_role.py
@@ -1,4 +1,4 @@
-"""The roles of an entry of callers and of a home of endpoints."""
+"""Costs of an instance that serves callers and is the home of endpoints."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 WARM_UP_MS = 12_000
 WINDOW_MS = 2_000
 WINDOWS = 3
-SAMPLED = 12
+SAMPLED_INSTANCES = 12
 MEAN_SERVICE_MS = 8_000
 EXPECTED_TOKENS = 200
 REQUESTS_PER_MS = TARGET_REQUESTS_PER_S / TARGET_INSTANCES / MS_PER_S
 POOLS = tuple(f'model-{model}' for model in range(TARGET_MODELS))
 
 
-class Running(NamedTuple):
-    """A request that holds a credit."""
+class ActiveRequest(NamedTuple):
+    """A running request that holds a credit."""
 
     end_ms: int
     attempt_id: str
@@ -50,16 +50,16 @@
     tier: int
 
 
-class DrivenLedger:
-    """A ledger under one instance's part of the target's load.
+class SimulatedLedger:
+    """A ledger under one instance's share of the target load.
 
     Requests arrive at random for models and tiers in equal parts, run for a
-    random time and wait in a plain queue while there is no credit.
+    random time and wait in a FIFO queue while there is no credit.
 
-    :param own: where the instance is.
+    :param own: the address of the instance.
     :param alive: all members.
     :param endpoints: all endpoints.
-    :param rng: makes the load.
+    :param rng: random numbers for the load.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         self._view = make_view(own, alive)
         self._rng = rng
         self._waiting: dict[str, deque[int]] = {pool: deque() for pool in POOLS}
-        self._running: list[Running] = []
+        self._running: list[ActiveRequest] = []
         self._counts = {pool: Counter[int]() for pool in POOLS}
         self._arrival_ms = rng.expovariate(REQUESTS_PER_MS)
 
@@ -107,26 +107,26 @@
     def receive(
         self, sender: str, message: tuple[object, ...], now_ms: int
     ) -> Sequence[Action]:
-        """Pass a message on."""
+        """Pass a peer message to the measured part."""
         return self.ledger.receive(sender, message, self._view, now_ms)
 
     def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
-        """Do nothing; a ledger only sends."""
+        """Do nothing; a ledger only sends peer messages."""
         del action, now_ms
         return []
 
     def _start(self, pool: str, tier: int, now_ms: int) -> bool:
         """Start a request at the best of two endpoints with credit."""
         candidates = self.ledger.candidates(pool)
-        pair = self._rng.sample(candidates, min(2, len(candidates)))
-        pair.sort(key=lambda name: -self.ledger.available(name, tier))
+        preferred = self._rng.sample(candidates, min(2, len(candidates)))
+        preferred.sort(key=lambda name: -self.ledger.available(name, tier))
         attempt_id = f'attempt-{self.started}'
-        for endpoint in (*pair, *candidates):
+        for endpoint in (*preferred, *candidates):
             if self.ledger.acquire(endpoint, attempt_id, tier, EXPECTED_TOKENS, now_ms):
                 self.started += 1
                 self._counts[pool][tier] += 1
                 service_ms = int(self._rng.expovariate(1 / MEAN_SERVICE_MS))
-                running = Running(now_ms + service_ms, attempt_id, pool, tier)
+                running = ActiveRequest(now_ms + service_ms, attempt_id, pool, tier)
                 heapq.heappush(self._running, running)
                 return True
         return False
@@ -142,21 +142,21 @@
     SIZES,
 )
 def measure_credits(instances: int) -> RoleSample:
-    """Measure ledgers that hold the target's load, all pools at every instance.
+    """Measure ledgers under the target load, with all pools at every instance.
 
-    Credits stay inside a region, so the instances of one region run; they know
-    the members and endpoints of all.
+    Credits stay inside a region, so only the instances of one region run; they
+    know the members and endpoints of all regions.
 
     :param instances: the size of the system.
     """
     alive = make_members(instances)
     endpoints = make_endpoints(instances)
     parts = {
-        own.instance: DrivenLedger(own, alive, endpoints, Random(number))
+        own.instance: SimulatedLedger(own, alive, endpoints, Random(number))
         for number, own in enumerate(alive)
         if own.region == alive[0].region
     }
-    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED), TICK_MS)
+    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED_INSTANCES), TICK_MS)
     mesh.run(WARM_UP_MS)
     costs = mesh.measure(WINDOW_MS, WINDOWS)
     return RoleSample(
--- a/benches/capacity_roles/discovery_role.py
+++ b/benches/capacity_roles/discovery_role.py
@@ -1,4 +1,4 @@
-"""The role of answering where callers connect."""
+"""Costs of telling callers which instances to connect to."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from benches.capacity_roles.target import SIZES, Target
 from savorychute.membership import DiscoverySettings, MemberView, answer_discovery
 
-ANSWERS = 400
+RESPONSES = 400
 CALLERS_PER_ORGANISATION = 20
 MEAN_LIFETIME_S = 60
 
@@ -26,7 +26,7 @@
     SIZES,
 )
 def measure_discovery(instances: int) -> RoleSample:
-    """Measure the time of an answer at the assumed rate of questions.
+    """Measure the time of a response at the assumed rate of requests.
 
     :param instances: the size of the system.
     """
@@ -37,11 +37,11 @@
     rng = Random(1)
 
     def answer_all() -> None:
-        for number in range(ANSWERS):
+        for number in range(RESPONSES):
             answer_discovery(f'organisation-{number}', view, settings, rng)
 
-    answer_us = time_us(answer_all) / ANSWERS
-    questions_per_s = target.organisations * CALLERS_PER_ORGANISATION / MEAN_LIFETIME_S
+    response_us = time_us(answer_all) / RESPONSES
+    requests_per_s = target.organisations * CALLERS_PER_ORGANISATION / MEAN_LIFETIME_S
     return RoleSample(
-        instances, processor_us_per_s=answer_us * questions_per_s / instances
+        instances, processor_us_per_s=response_us * requests_per_s / instances
     )
--- a/benches/capacity_roles/fake_log.py
+++ b/benches/capacity_roles/fake_log.py
@@ -12,7 +12,7 @@
 
 
 class FakeLog:
-    """Answers at once, and counts what it is asked."""
+    """Executes each operation at once and counts the operations."""
 
     def __init__(self) -> None:
         self.streams: dict[str, list[bytes]] = {}
@@ -34,7 +34,7 @@
     def read(self, action: ReadRecords) -> RecordsRead:
         """Return records.
 
-        :param action: from where, and how many at most.
+        :param action: the first offset and the maximum number of records.
         """
         records = self.streams.get(action.stream, [])
         start = max(0, action.from_offset)
@@ -49,7 +49,7 @@
         )
 
     def reset_counts(self) -> None:
-        """Begin to count anew."""
+        """Reset all counts to 0."""
         self.appends = 0
         self.reads = 0
         self.read_bytes = 0
--- a/benches/capacity_roles/homes_role.py
+++ b/benches/capacity_roles/homes_role.py
@@ -1,4 +1,4 @@
-"""The role of a home: who is responsible for which endpoint."""
+"""Costs of choosing the home instance of each endpoint."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from savorychute.clock import MS_PER_S
 from savorychute.membership import HomeTable
 
-CHANGES = 10
+MEASURED_CHANGES = 10
 
 
 @role(
@@ -31,7 +31,7 @@
     SIZES,
 )
 def measure_homes(instances: int) -> RoleSample:
-    """Measure members that come and go.
+    """Measure the table while members join and leave.
 
     :param instances: the size of the system.
     """
@@ -43,12 +43,12 @@
     region_count = Target(instances).regions
 
     def change() -> None:
-        for number in range(CHANGES):
+        for number in range(MEASURED_CHANGES):
             joined = make_address(instances + number, region_count)
             table.set_view(make_view(alive[0], (*alive, joined)))
             table.set_view(make_view(alive[0], alive))
 
-    each_us = time_us(change) / (2 * CHANGES)
+    change_us = time_us(change) / (2 * MEASURED_CHANGES)
     changes_per_s = (
         (TARGET_FAILED_PER_DAY + TARGET_REPLACED_PER_DAY)
         * instances
@@ -57,14 +57,14 @@
     )
     return RoleSample(
         instances,
-        state_bytes=allocated_bytes(lambda: build_homes(instances)),
-        processor_us_per_s=each_us * changes_per_s,
-        busiest_loop_ms=each_us / MS_PER_S,
+        state_bytes=allocated_bytes(lambda: build_home_table(instances)),
+        processor_us_per_s=change_us * changes_per_s,
+        busiest_loop_ms=change_us / MS_PER_S,
     )
 
 
-def build_homes(instances: int) -> HomeTable:
-    """Return a table with a home for every endpoint.
+def build_home_table(instances: int) -> HomeTable:
+    """Return a table with the home of every endpoint.
 
     :param instances: the size of the system.
     """
--- a/benches/capacity_roles/interpreter.py
+++ b/benches/capacity_roles/interpreter.py
@@ -1,4 +1,4 @@
-"""Memory of an interpreter with the package's libraries."""
+"""Memory of an interpreter that has imported the package and its libraries."""
 
 from __future__ import annotations
 
--- a/benches/capacity_roles/keys_role.py
+++ b/benches/capacity_roles/keys_role.py
@@ -1,4 +1,4 @@
-"""The role of an issuer of request keys and of a witness."""
+"""Costs of an instance that issues request keys and is a witness for others."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 WARM_UP_MS = 4_000
 WINDOW_MS = 3_000
 WINDOWS = 3
-SAMPLED = 16
+SAMPLED_INSTANCES = 16
 # Assumed: one request in ten is not idempotent and runs under an issued key.
 KEYED_SHARE = 0.1
 FINGERPRINT = 'f' * 32
 
 
-class DrivenIssuer:
-    """A key keeper that issues keys and witnesses for others.
+class SimulatedKeyIssuer:
+    """A key manager that issues keys and is a witness for other instances.
 
-    :param own: where the instance is.
+    :param own: the address of the instance.
     :param alive: all members.
-    :param rate_per_ms: of requests with such keys.
-    :param rng: makes the load.
+    :param rate_per_ms: rate of requests with such keys.
+    :param rng: random numbers for the load.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         rate_per_ms: float,
         rng: Random,
     ) -> None:
-        self.keeper = KeyManager(KeySettings(), own, rng)
+        self.manager = KeyManager(KeySettings(), own, rng)
         self.permitted = 0
         self._view = make_view(own, alive)
         self._rng = rng
@@ -57,42 +57,42 @@
         self._arrival_ms = rng.expovariate(rate_per_ms)
 
     def prepare(self, now_ms: int) -> None:
-        """Do nothing; requests are admitted within the tick that is timed."""
+        """Do nothing; requests are admitted in the tick, which is timed."""
 
     def tick(self, now_ms: int) -> Sequence[Action]:
-        """Issue, admit and announce, and tick the keeper."""
+        """Issue, admit and announce requests, and tick the key manager."""
         results: list[object] = []
         while self._arrival_ms <= now_ms:
             self._arrival_ms += self._rng.expovariate(self._rate_per_ms)
-            key = self.keeper.issuer.issue(self._view, now_ms)
-            results += self.keeper.admit(key, key, FINGERPRINT, self._view, now_ms)
-        results += self.keeper.tick(self._view, now_ms)
-        return self._follow(results, now_ms)
+            key = self.manager.issuer.issue(self._view, now_ms)
+            results += self.manager.admit(key, key, FINGERPRINT, self._view, now_ms)
+        results += self.manager.tick(self._view, now_ms)
+        return self._process_results(results, now_ms)
 
     def receive(
         self, sender: str, message: tuple[object, ...], now_ms: int
     ) -> Sequence[Action]:
-        """Pass a message on."""
-        results = self.keeper.receive(sender, message, self._view, now_ms)
-        return self._follow(results, now_ms)
+        """Pass a peer message to the measured part."""
+        results = self.manager.receive(sender, message, self._view, now_ms)
+        return self._process_results(results, now_ms)
 
     def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
-        """Do nothing; the log is left out here."""
+        """Do nothing; the log is not measured here."""
         del action, now_ms
         return []
 
-    def _follow(self, results: Sequence[object], now_ms: int) -> list[Action]:
-        """Announce what may run, and finish at once what is permitted."""
+    def _process_results(self, results: Sequence[object], now_ms: int) -> list[Action]:
+        """Announce granted requests, and finish permitted ones at once."""
         actions: list[Action] = []
         for result in results:
             if isinstance(result, KeyGranted):
-                announced = self.keeper.announce_start(
+                announced = self.manager.announce_start(
                     result.request_id, 'engine-0001', 'stream', self._view, now_ms
                 )
-                actions += self._follow(announced, now_ms)
+                actions += self._process_results(announced, now_ms)
             elif isinstance(result, StartPermitted):
                 self.permitted += 1
-                self.keeper.finish(result.request_id, 200, 'text/plain', b'', now_ms)
+                self.manager.finish(result.request_id, 200, 'text/plain', b'', now_ms)
             elif isinstance(result, SendPeer):
                 actions.append(result)
         return actions
@@ -108,17 +108,17 @@
     SIZES,
 )
 def measure_keys(instances: int) -> RoleSample:
-    """Measure keepers at the assumed rate of keyed requests.
+    """Measure key managers at the assumed rate of keyed requests.
 
     :param instances: the size of the system.
     """
     alive = make_members(instances)
     rate_per_ms = Target(instances).requests_per_s * KEYED_SHARE / instances / MS_PER_S
     parts = {
-        own.instance: DrivenIssuer(own, alive, rate_per_ms, Random(number))
+        own.instance: SimulatedKeyIssuer(own, alive, rate_per_ms, Random(number))
         for number, own in enumerate(alive)
     }
-    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED), TICK_MS)
+    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED_INSTANCES), TICK_MS)
     mesh.run(WARM_UP_MS)
     costs = mesh.measure(WINDOW_MS, WINDOWS)
     if instances > 1 and not any(part.permitted for part in parts.values()):
--- a/benches/capacity_roles/lease_role.py
+++ b/benches/capacity_roles/lease_role.py
@@ -1,4 +1,4 @@
-"""The role of a holder of leases."""
+"""Costs of an instance that wants or holds a lease."""
 
 from __future__ import annotations
 
@@ -25,31 +25,31 @@
 WINDOW_MS = 30_000
 WINDOWS = 3
 # Assumed: one lease for each region, wanted by two instances of it.
-RIVALS = 2
+CLAIMANTS_PER_LEASE = 2
 
 
-class DrivenHolder:
-    """A lease keeper that reads a log in memory.
+class SimulatedLeaseHolder:
+    """A lease manager that reads a log in memory.
 
-    :param instance: its name.
-    :param lease: what it wants.
-    :param log: shared by all.
-    :param rng: of the keeper.
+    :param instance: the name of the instance.
+    :param lease: the lease that it wants.
+    :param log: the log shared by all instances.
+    :param rng: random numbers for the manager.
     """
 
     def __init__(self, instance: str, lease: str, log: FakeLog, rng: Random) -> None:
-        self.keeper = LeaseKeeper(LeaseSettings(), instance, rng)
-        self.keeper.want(lease)
+        self.manager = LeaseKeeper(LeaseSettings(), instance, rng)
+        self.manager.want(lease)
         self.lease = lease
         self._log = log
 
     def prepare(self, now_ms: int) -> None:
-        """Do nothing; leases are renewed without load."""
+        """Do nothing; lease renewals do not depend on load."""
 
     def tick(self, now_ms: int) -> Sequence[Action]:
-        """Tick the keeper."""
-        self.keeper.take_changes()
-        return self.keeper.tick(now_ms)
+        """Tick the lease manager."""
+        self.manager.take_changes()
+        return self.manager.tick(now_ms)
 
     def receive(
         self, sender: str, message: tuple[object, ...], now_ms: int
@@ -59,11 +59,11 @@
         return []
 
     def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
-        """Ask the log."""
+        """Execute a read or an append on the log."""
         if isinstance(action, ReadRecords):
-            return self.keeper.records_read(self._log.read(action), now_ms)
+            return self.manager.records_read(self._log.read(action), now_ms)
         if isinstance(action, AppendRecord):
-            return self.keeper.append_finished(self._log.append(action), now_ms)
+            return self.manager.append_finished(self._log.append(action), now_ms)
         return []
 
 
@@ -77,32 +77,32 @@
     SIZES,
 )
 def measure_lease(instances: int) -> RoleSample:
-    """Measure the holders and their rivals.
+    """Measure the holders and the instances that also want their leases.
 
     :param instances: the size of the system.
     """
     regions = Target(instances).regions
     log = FakeLog()
     parts = {
-        f'entry-{number:04}': DrivenHolder(
+        f'entry-{number:04}': SimulatedLeaseHolder(
             f'entry-{number:04}', f'orders:{number % regions}', log, Random(number)
         )
-        for number in range(RIVALS * regions)
+        for number in range(CLAIMANTS_PER_LEASE * regions)
     }
     mesh = PartMesh(parts, choose_sampled(list(parts), len(parts)), TICK_MS)
     mesh.run(WARM_UP_MS)
     log.reset_counts()
     costs = mesh.measure(WINDOW_MS, WINDOWS)
     held = sum(
-        part.keeper.holds(part.lease, mesh.now_ms) is not None
+        part.manager.holds(part.lease, mesh.now_ms) is not None
         for part in parts.values()
     )
     if held != regions:
         raise RuntimeError(f'{held} of {regions} leases are held')
-    each = instances * WINDOWS * WINDOW_MS / MS_PER_S
+    instance_seconds = instances * WINDOWS * WINDOW_MS / MS_PER_S
     return RoleSample(
         instances,
         processor_us_per_s=costs.processor_us_per_s,
-        log_appends_per_s=log.appends / each,
-        log_reads_per_s=log.reads / each,
+        log_appends_per_s=log.appends / instance_seconds,
+        log_reads_per_s=log.reads / instance_seconds,
     )
--- a/benches/capacity_roles/limits_role.py
+++ b/benches/capacity_roles/limits_role.py
@@ -1,4 +1,4 @@
-"""The role of a keeper of organisations' limits, and of a home of some of them."""
+"""Costs of enforcing the limits of organisations and of being home to some of them."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 WARM_UP_MS = 8_000
 WINDOW_MS = 2_000
 WINDOWS = 3
-SAMPLED = 32
-SEATS = 3
+SAMPLED_INSTANCES = 32
+INSTANCES_PER_ORGANISATION = 3
 MEAN_SERVICE_MS = 8_000
 EXPECTED_TOKENS = 200
 
 
-class Running(NamedTuple):
+class ActiveRequest(NamedTuple):
     """A request that counts against a limit."""
 
     end_ms: int
     request_id: str
 
 
-class DrivenLimiter:
-    """A limiter under one instance's part of the target's load.
+class SimulatedLimiter:
+    """A limiter under one instance's share of the target load.
 
-    :param own: where the instance is.
+    :param own: the address of the instance.
     :param alive: all members.
-    :param limits: of all organisations.
-    :param served: those whose callers use it.
-    :param rate_per_ms: of requests.
-    :param rng: makes the load.
+    :param limits: the limits of all organisations.
+    :param served: organisations whose callers use the instance.
+    :param rate_per_ms: request rate of the instance.
+    :param rng: random numbers for the load.
     """
 
     def __init__(
@@ -69,11 +69,11 @@
         self._served = served
         self._rng = rng
         self._rate_per_ms = rate_per_ms
-        self._running: list[Running] = []
+        self._running: list[ActiveRequest] = []
         self._arrival_ms = rng.expovariate(rate_per_ms)
 
     def prepare(self, now_ms: int) -> None:
-        """End and start requests; one that may not start is counted and gone."""
+        """End and start requests; a refused one is counted and dropped."""
         while self._running and self._running[0].end_ms <= now_ms:
             ended = heapq.heappop(self._running)
             self.limiter.finish(ended.request_id, EXPECTED_TOKENS, now_ms)
@@ -89,11 +89,11 @@
     def receive(
         self, sender: str, message: tuple[object, ...], now_ms: int
     ) -> Sequence[Action]:
-        """Pass a message on."""
+        """Pass a peer message to the measured part."""
         return self.limiter.receive(sender, message, self._view, now_ms)
 
     def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
-        """Do nothing; a limiter only sends."""
+        """Do nothing; a limiter only sends peer messages."""
         del action, now_ms
         return []
 
@@ -105,7 +105,7 @@
         request_id = f'request-{self.started}'
         self.limiter.start(organisation, request_id, EXPECTED_TOKENS, now_ms)
         service_ms = int(self._rng.expovariate(1 / MEAN_SERVICE_MS))
-        heapq.heappush(self._running, Running(now_ms + service_ms, request_id))
+        heapq.heappush(self._running, ActiveRequest(now_ms + service_ms, request_id))
 
 
 @role(
@@ -117,7 +117,7 @@
     SIZES,
 )
 def measure_limits(instances: int) -> RoleSample:
-    """Measure limiters at the target's load, with equal organisations.
+    """Measure limiters under the target load, with equal organisations.
 
     :param instances: the size of the system.
     """
@@ -126,7 +126,7 @@
     served = assign_organisations(alive, list(limits))
     rate_per_ms = Target(instances).requests_per_s / instances / MS_PER_S
     parts = {
-        own.instance: DrivenLimiter(
+        own.instance: SimulatedLimiter(
             own,
             alive,
             limits,
@@ -136,11 +136,11 @@
         )
         for number, own in enumerate(alive)
     }
-    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED), TICK_MS)
+    mesh = PartMesh(parts, choose_sampled(list(parts), SAMPLED_INSTANCES), TICK_MS)
     mesh.run(WARM_UP_MS)
     costs = mesh.measure(WINDOW_MS, WINDOWS)
     if not any(part.started for part in parts.values()):
-        raise RuntimeError('no request may start')
+        raise RuntimeError('no request was started')
     return RoleSample(
         instances,
         state_bytes=allocated_bytes(lambda: build_limiter(instances)),
@@ -160,7 +160,7 @@
 def assign_organisations(
     alive: tuple[MemberAddress, ...], organisations: Sequence[str]
 ) -> dict[str, list[str]]:
-    """Return by instance whom it serves.
+    """Return the organisations that each instance serves.
 
     :param alive: all members.
     :param organisations: all organisations; each has its callers in one region.
@@ -169,8 +169,8 @@
     regions = sorted({member.region for member in alive})
     for number, organisation in enumerate(organisations):
         region = regions[number % len(regions)]
-        near = [member for member in alive if member.region == region]
-        for seat in choose_homes(organisation, near, SEATS):
+        in_region = [member for member in alive if member.region == region]
+        for seat in choose_homes(organisation, in_region, INSTANCES_PER_ORGANISATION):
             served[seat.instance].append(organisation)
     return served
 
--- a/benches/capacity_roles/measuring.py
+++ b/benches/capacity_roles/measuring.py
@@ -1,4 +1,4 @@
-"""Shared ways to measure bytes, memory and processor time."""
+"""Functions that measure bytes, memory and processor time."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from collections.abc import Callable
 
 NS_PER_US = 1_000
-REPEATS = 5
+REPETITIONS = 5
 KEYS = PeerKeys(PeerKey(1, b'capacity measurement, no secret.'))
 
 load_peer_messages()
@@ -34,7 +34,7 @@
 
 
 def decode(data: bytes, receiver: str) -> tuple[object, ...]:
-    """Return the message in bytes of :func:`encode`.
+    """Return the message from the bytes that :func:`encode` returned.
 
     :param data: the signed frame.
     :param receiver: the receiving instance.
@@ -43,27 +43,27 @@
     return message
 
 
-def time_us(work: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Return the median processor time of some work, in microseconds.
+def time_us(work: Callable[[], object], repetitions: int = REPETITIONS) -> float:
+    """Return the median processor time of a function, in microseconds.
 
     Processor time, not wall time, because the machine is shared.
 
-    :param work: is called once per repeat.
-    :param repeats: how often.
+    :param work: called once for each repetition.
+    :param repetitions: number of repetitions.
     """
     samples = []
-    for _ in range(repeats):
+    for _ in range(repetitions):
         gc.collect()
-        begin_ns = time.process_time_ns()
+        start_ns = time.process_time_ns()
         work()
-        samples.append((time.process_time_ns() - begin_ns) / NS_PER_US)
+        samples.append((time.process_time_ns() - start_ns) / NS_PER_US)
     return statistics.median(samples)
 
 
 def allocated_bytes(build: Callable[[], object]) -> float:
-    """Return the bytes of Python objects that a built part keeps.
+    """Return the size of the Python objects that a built part retains.
 
-    :param build: returns the part, with nothing of it alive beforehand.
+    :param build: returns the part; none of its objects may exist before the call.
     """
     gc.collect()
     tracemalloc.start()
--- a/benches/capacity_roles/member_mesh.py
+++ b/benches/capacity_roles/member_mesh.py
@@ -22,7 +22,7 @@
 
 
 class Delivery(NamedTuple):
-    """A message on its way; ``number`` keeps the order of equal times."""
+    """A message in transit; ``number`` orders messages of the same time."""
 
     at_ms: int
     number: int
@@ -32,10 +32,10 @@
 
 
 class MemberMesh:
-    """A fake network: delay, loss, pauses, cuts and a lagging list.
+    """A fake network with delay, loss, pauses, partitions and a stale listing.
 
-    :param settings: the memberships' settings.
-    :param seed: of all random numbers.
+    :param settings: the settings of all memberships.
+    :param seed: seed of all random numbers.
     """
 
     def __init__(
@@ -59,10 +59,10 @@
         self._number = 0
 
     def start(self, address: MemberAddress, listed: bool = True) -> Membership:
-        """Start an instance, or start one of the same name anew.
+        """Start an instance, or restart the one of the same name.
 
-        :param address: where it is.
-        :param listed: whether the list shows it at once.
+        :param address: its address.
+        :param listed: whether the listing contains it at once.
         """
         member = Membership(self.settings, address, Random(self.rng.random()))
         self.members[address.instance] = member
@@ -77,7 +77,7 @@
         """Kill an instance.
 
         :param instance: its name.
-        :param listed: whether the list goes on showing it.
+        :param listed: whether the listing still contains it.
         """
         del self.members[instance]
         self._ticks = [entry for entry in self._ticks if entry[1] != instance]
@@ -86,39 +86,39 @@
             self.listed.pop(instance, None)
 
     def pause(self, instance: str, duration_ms: int) -> None:
-        """Let an instance stand still; its messages wait.
+        """Suspend an instance; messages to it are delayed.
 
         :param instance: its name.
-        :param duration_ms: for how long.
+        :param duration_ms: duration of the pause.
         """
         self.paused_until_ms[instance] = self.now_ms + duration_ms
 
     def leave(self, instance: str) -> None:
-        """Begin a graceful shutdown of an instance.
+        """Start a graceful shutdown of an instance.
 
         :param instance: its name.
         """
         self._carry_out(instance, self.members[instance].leave(self.now_ms))
 
     def run(self, duration_ms: int) -> None:
-        """Let time pass.
+        """Advance the virtual clock.
 
-        :param duration_ms: how much.
+        :param duration_ms: by how much.
         """
         self.run_until(lambda: False, duration_ms)
 
     def run_until(self, done: Callable[[], bool], limit_ms: int) -> int | None:
-        """Let time pass until a condition holds.
+        """Advance the virtual clock until a condition holds.
 
-        :param done: looked at every tick period.
-        :param limit_ms: when to give up.
-        :returns: the milliseconds that it took, or None.
+        :param done: the condition, checked once per tick period.
+        :param limit_ms: the maximum time.
+        :returns: the elapsed milliseconds, or None if the condition did not hold.
         """
-        begin_ms = self.now_ms
-        while self.now_ms - begin_ms < limit_ms:
+        start_ms = self.now_ms
+        while self.now_ms - start_ms < limit_ms:
             self._step(self.now_ms + TICK_MS)
             if done():
-                return self.now_ms - begin_ms
+                return self.now_ms - start_ms
         return None
 
     def _step(self, end_ms: int) -> None:
@@ -150,7 +150,7 @@
             return
         until_ms = self.paused_until_ms.get(delivery.target, 0)
         if until_ms > self.now_ms:
-            # After the tick of the same moment: a woken process ticks first.
+            # After the tick of the same time: a resumed process ticks first.
             heapq.heappush(self._deliveries, delivery._replace(at_ms=until_ms + 1))
             return
         if self.on_deliver is not None:
@@ -190,15 +190,15 @@
 
 
 def no_cut(source: MemberAddress, target: MemberAddress) -> bool:
-    """Return False: every instance reaches every other."""
+    """Return False, as every instance can reach every other."""
     return source is target
 
 
 def make_address(number: int, regions: int = 1, incarnation: int = 1) -> MemberAddress:
-    """Return the address of instance *number*, regions taken in turn.
+    """Return the address of instance *number*; regions are assigned in turn.
 
-    :param number: from 0.
-    :param regions: how many regions there are.
+    :param number: the number of the instance, from 0.
+    :param regions: the number of regions.
     :param incarnation: larger at each start.
     """
     region = number % regions
--- a/benches/capacity_roles/member_role.py
+++ b/benches/capacity_roles/member_role.py
@@ -1,4 +1,4 @@
-"""The role of a member: probes, gossip, digests."""
+"""Costs of membership: probes, gossip and digests."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from benches.capacity_roles.measuring import (
-    REPEATS,
+    REPETITIONS,
     allocated_bytes,
     decode,
     encode,
@@ -38,34 +38,34 @@
 
 WARM_UP_MS = 120_000
 WINDOW_MS = 60_000
-SAMPLED = 'entry-0001'
+SAMPLED_INSTANCE = 'entry-0001'
 
 
-class Event(NamedTuple):
-    """A tick of the sampled instance, or with a sender a frame it received."""
+class RecordedEvent(NamedTuple):
+    """A tick of the sampled instance or, with a sender, a frame that it received."""
 
     at_ms: int
     sender: str = ''
     frame: bytes = b''
 
 
-class Traffic(NamedTuple):
-    """What a mesh exchanged, and what one sampled instance met.
+class RecordedTraffic(NamedTuple):
+    """The traffic of a mesh and the recorded events of one sampled instance.
 
-    ``member`` is the sampled instance as it was at the beginning; the byte
-    counts are of each instance.
+    ``member`` is a copy of the sampled instance from the start of the
+    recording; the byte counts are kept for each instance.
     """
 
     member: Membership
     live: tuple[MemberAddress, ...]
-    events: tuple[Event, ...]
+    events: tuple[RecordedEvent, ...]
     messages: int
     sent_bytes: Counter[str]
     received_bytes: Counter[str]
 
 
-class MeshFigures(NamedTuple):
-    """One mesh, settled, and while one member fails and another joins."""
+class MeshSamples(NamedTuple):
+    """Samples of a settled mesh, and of it while one member fails and another joins."""
 
     settled: RoleSample
     changing: RoleSample
@@ -96,7 +96,7 @@
     SIZES,
 )
 def measure_changes(instances: int) -> RoleSample:
-    """Measure what failures and replacements add, at their rate of a usual day.
+    """Measure what failures and replacements add at the rate of an ordinary day.
 
     :param instances: the size of the system.
     """
@@ -110,64 +110,68 @@
     share = changes_per_s / 2 * WINDOW_MS / MS_PER_S
     settled, changing = figures
 
-    def extra(field: str) -> float:
+    def added_cost(field: str) -> float:
         return max(0.0, getattr(changing, field) - getattr(settled, field)) * share
 
     return RoleSample(
         instances,
-        sent_messages_per_s=extra('sent_messages_per_s'),
-        received_messages_per_s=extra('received_messages_per_s'),
-        sent_bytes_per_s=extra('sent_bytes_per_s'),
-        received_bytes_per_s=extra('received_bytes_per_s'),
+        sent_messages_per_s=added_cost('sent_messages_per_s'),
+        received_messages_per_s=added_cost('received_messages_per_s'),
+        sent_bytes_per_s=added_cost('sent_bytes_per_s'),
+        received_bytes_per_s=added_cost('received_bytes_per_s'),
     )
 
 
 @cache
-def measure_mesh(instances: int) -> MeshFigures:
+def measure_mesh(instances: int) -> MeshSamples:
     """Return the figures of a settled mesh and of one with a change.
 
     :param instances: the size of the system.
     """
     regions = Target(instances).regions
     mesh = start_mesh(instances, regions)
-    settled = summarize(record(mesh, WINDOW_MS), instances, regions, WINDOW_MS)
+    settled = summarise_traffic(
+        record_traffic(mesh, WINDOW_MS), instances, regions, WINDOW_MS
+    )
     mesh.stop('entry-0002')
     mesh.start(make_address(instances, regions))
-    changing = summarize(record(mesh, WINDOW_MS), instances, regions, WINDOW_MS)
-    return MeshFigures(settled, changing)
+    changing = summarise_traffic(
+        record_traffic(mesh, WINDOW_MS), instances, regions, WINDOW_MS
+    )
+    return MeshSamples(settled, changing)
 
 
-def summarize(
-    traffic: Traffic, instances: int, regions: int, window_ms: int
+def summarise_traffic(
+    traffic: RecordedTraffic, instances: int, regions: int, window_ms: int
 ) -> RoleSample:
-    """Return the rates of recorded traffic, its processor time measured.
+    """Return the rates of recorded traffic, and its processor time from a replay.
 
-    :param traffic: of one instance.
+    :param traffic: the recorded traffic.
     :param instances: the size of the system.
-    :param regions: its regions.
-    :param window_ms: how long was recorded.
+    :param regions: the number of regions.
+    :param window_ms: duration of the recording.
     """
     seconds = window_ms / MS_PER_S
     total_bytes = sum(traffic.sent_bytes.values())
-    each = instances * seconds
+    instance_seconds = instances * seconds
     busiest_bytes = max((traffic.sent_bytes + traffic.received_bytes).values())
     return RoleSample(
         instances,
         state_bytes=allocated_bytes(lambda: build_table(instances, regions)),
-        sent_messages_per_s=traffic.messages / each,
-        received_messages_per_s=traffic.messages / each,
-        sent_bytes_per_s=total_bytes / each,
-        received_bytes_per_s=total_bytes / each,
+        sent_messages_per_s=traffic.messages / instance_seconds,
+        received_messages_per_s=traffic.messages / instance_seconds,
+        sent_bytes_per_s=total_bytes / instance_seconds,
+        received_bytes_per_s=total_bytes / instance_seconds,
         busiest_bytes_per_s=busiest_bytes / seconds,
         processor_us_per_s=time_replay(traffic) / seconds,
     )
 
 
 def start_mesh(instances: int, regions: int) -> MemberMesh:
-    """Return a mesh that has settled after a start of all at once.
+    """Return a mesh that has settled after all instances started at once.
 
-    :param instances: how many.
-    :param regions: in how many regions.
+    :param instances: the number of instances.
+    :param regions: the number of regions.
     """
     mesh = MemberMesh()
     for number in range(instances):
@@ -176,14 +180,14 @@
     return mesh
 
 
-def record(mesh: MemberMesh, window_ms: int) -> Traffic:
-    """Let a mesh run and keep what one instance meets and sends.
+def record_traffic(mesh: MemberMesh, window_ms: int) -> RecordedTraffic:
+    """Run a mesh, and record its traffic and the events of the sampled instance.
 
     :param mesh: a mesh with the sampled instance.
-    :param window_ms: for how long.
+    :param window_ms: duration of the recording.
     """
-    member = copy.deepcopy(mesh.members[SAMPLED])
-    events: list[Event] = []
+    member = copy.deepcopy(mesh.members[SAMPLED_INSTANCE])
+    events: list[RecordedEvent] = []
     messages = 0
     sent_bytes: Counter[str] = Counter()
     received_bytes: Counter[str] = Counter()
@@ -196,18 +200,20 @@
         received_bytes[target] += size_bytes
 
     def on_deliver(sender: str, target: str, message: tuple[object, ...]) -> None:
-        if target == SAMPLED:
-            events.append(Event(mesh.now_ms, sender, encode(sender, target, message)))
+        if target == SAMPLED_INSTANCE:
+            events.append(
+                RecordedEvent(mesh.now_ms, sender, encode(sender, target, message))
+            )
 
     def on_tick(instance: str) -> None:
-        if instance == SAMPLED:
-            events.append(Event(mesh.now_ms))
+        if instance == SAMPLED_INSTANCE:
+            events.append(RecordedEvent(mesh.now_ms))
 
     mesh.on_send = on_send
     mesh.on_deliver = on_deliver
     mesh.on_tick = on_tick
     mesh.run(window_ms)
-    return Traffic(
+    return RecordedTraffic(
         member,
         tuple(mesh.listed.values()),
         tuple(events),
@@ -218,10 +224,10 @@
 
 
 def build_table(instances: int, regions: int) -> Membership:
-    """Return a membership that knows everybody, with objects of its own.
+    """Return a membership that knows all instances and shares no objects.
 
-    :param instances: how many.
-    :param regions: in how many regions.
+    :param instances: the number of instances.
+    :param regions: the number of regions.
     """
     own = make_address(1, regions)
     member = Membership(MembershipSettings(), own, Random(1))
@@ -231,24 +237,24 @@
     return member
 
 
-def time_replay(traffic: Traffic) -> float:
+def time_replay(traffic: RecordedTraffic) -> float:
     """Return the processor time of one instance for its recorded events.
 
-    A copy of the instance, its random numbers included, meets the same events
-    again, so it does the same.  Decoding, the state machine and encoding are
-    counted; sockets are not.
+    A copy of the instance, including its random number generator, processes
+    the same events again and so does the same work.  Decoding, the state
+    machine and encoding are counted; sockets are not.
 
-    :param traffic: what was recorded.
+    :param traffic: the recorded traffic.
     """
-    members = [copy.deepcopy(traffic.member) for _ in range(REPEATS)]
+    members = [copy.deepcopy(traffic.member) for _ in range(REPETITIONS)]
     return time_us(lambda: replay(members.pop(), traffic))
 
 
-def replay(member: Membership, traffic: Traffic) -> None:
-    """Let an instance meet recorded events.
+def replay(member: Membership, traffic: RecordedTraffic) -> None:
+    """Replay recorded events to an instance.
 
-    :param member: the instance as it was when the recording began.
-    :param traffic: what was recorded.
+    :param member: the instance as it was at the start of the recording.
+    :param traffic: the recorded traffic.
     """
     own = member.view().own
     for event in traffic.events:
--- a/benches/capacity_roles/part_mesh.py
+++ b/benches/capacity_roles/part_mesh.py
@@ -19,30 +19,30 @@
 DELAY_MS = 2
 
 
-class Driven(Protocol):
-    """A part with what drives it; only what it spends itself is timed."""
+class SimulatedPart(Protocol):
+    """A measured part with its simulated load; only the part itself is timed."""
 
     def prepare(self, now_ms: int) -> None:
-        """Make the load that the part meets; not timed."""
+        """Generate the load of the part; not timed."""
         ...
 
     def tick(self, now_ms: int) -> Sequence[Action]:
-        """Do what is due and return the actions."""
+        """Tick the part and return its actions."""
         ...
 
     def receive(
         self, sender: str, message: tuple[object, ...], now_ms: int
     ) -> Sequence[Action]:
-        """Take in a peer message and return the actions."""
+        """Handle a peer message and return the actions."""
         ...
 
     def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
-        """Stand in for the host, for actions that are no peer messages."""
+        """Execute an action that is not a peer message, in place of the host."""
         ...
 
 
 class Delivery(NamedTuple):
-    """A message on its way; ``number`` keeps the order of equal times."""
+    """A message in transit; ``number`` orders messages of the same time."""
 
     at_ms: int
     number: int
@@ -52,9 +52,9 @@
 
 
 class Costs(NamedTuple):
-    """What one instance spent on average over the sampled ones.
+    """Costs of one instance, as the mean over the sampled instances.
 
-    ``busiest_bytes_per_s`` is of the busiest sampled instance, both ways.
+    ``busiest_bytes_per_s`` is what the busiest sampled instance sent and received.
     """
 
     sent_messages_per_s: float
@@ -65,8 +65,8 @@
     processor_us_per_s: float
 
 
-class Meter:
-    """Counts and times of one sampled instance."""
+class TrafficCounter:
+    """Message counts and processor time of one sampled instance."""
 
     def __init__(self) -> None:
         self.sent_messages = 0
@@ -77,29 +77,29 @@
 
 
 class PartMesh:
-    """A loss-free network of parts; some instances are sampled.
+    """A loss-free network of parts that measures a sample of the instances.
 
-    :param parts: by instance.
+    :param parts: the parts by instance.
     :param sampled: the instances that are measured.
     :param tick_ms: the time between two ticks of a part.
     """
 
     def __init__(
-        self, parts: Mapping[str, Driven], sampled: Sequence[str], tick_ms: int
+        self, parts: Mapping[str, SimulatedPart], sampled: Sequence[str], tick_ms: int
     ) -> None:
         self.now_ms = 0
         self._parts = parts
         self._tick_ms = tick_ms
-        self._meters = {name: Meter() for name in sampled}
+        self._counters = {name: TrafficCounter() for name in sampled}
         self._ticks = [(i % tick_ms, name) for i, name in enumerate(parts)]
         heapq.heapify(self._ticks)
         self._deliveries: list[Delivery] = []
         self._number = 0
 
     def run(self, duration_ms: int) -> None:
-        """Let time pass.
+        """Advance the virtual clock.
 
-        :param duration_ms: how much.
+        :param duration_ms: by how much.
         """
         end_ms = self.now_ms + duration_ms
         while True:
@@ -115,53 +115,55 @@
         self.now_ms = end_ms
 
     def measure(self, window_ms: int, windows: int) -> Costs:
-        """Return the mean costs; of processor time the median over windows.
+        """Return the mean costs, but for processor time the median over windows.
 
-        :param window_ms: how long each window is.
-        :param windows: how many follow each other.
+        :param window_ms: duration of each window.
+        :param windows: number of consecutive windows.
         """
-        for name in self._meters:
-            self._meters[name] = Meter()
+        for name in self._counters:
+            self._counters[name] = TrafficCounter()
         processor_us = []
         for _ in range(windows):
-            before_ns = sum(meter.spent_ns for meter in self._meters.values())
+            before_ns = sum(counter.spent_ns for counter in self._counters.values())
             self.run(window_ms)
-            spent_ns = sum(m.spent_ns for m in self._meters.values()) - before_ns
-            processor_us.append(spent_ns / NS_PER_US / len(self._meters))
-        meters = self._meters.values()
-        each = len(meters) * windows * window_ms / MS_PER_S
-        busiest = max(meter.sent_bytes + meter.received_bytes for meter in meters)
+            spent_ns = sum(c.spent_ns for c in self._counters.values()) - before_ns
+            processor_us.append(spent_ns / NS_PER_US / len(self._counters))
+        counters = self._counters.values()
+        instance_seconds = len(counters) * windows * window_ms / MS_PER_S
+        busiest_bytes = max(
+            counter.sent_bytes + counter.received_bytes for counter in counters
+        )
         return Costs(
-            sum(meter.sent_messages for meter in meters) / each,
-            sum(meter.received_messages for meter in meters) / each,
-            sum(meter.sent_bytes for meter in meters) / each,
-            sum(meter.received_bytes for meter in meters) / each,
-            busiest / (windows * window_ms / MS_PER_S),
+            sum(counter.sent_messages for counter in counters) / instance_seconds,
+            sum(counter.received_messages for counter in counters) / instance_seconds,
+            sum(counter.sent_bytes for counter in counters) / instance_seconds,
+            sum(counter.received_bytes for counter in counters) / instance_seconds,
+            busiest_bytes / (windows * window_ms / MS_PER_S),
             statistics.median(processor_us) / (window_ms / MS_PER_S),
         )
 
     def _tick(self, instance: str) -> None:
         self._parts[instance].prepare(self.now_ms)
-        begin_ns = time.process_time_ns()
+        start_ns = time.process_time_ns()
         actions = self._parts[instance].tick(self.now_ms)
-        self._charge(instance, begin_ns)
+        self._add_processor_time(instance, start_ns)
         self._carry_out(instance, actions)
         heapq.heappush(self._ticks, (self.now_ms + self._tick_ms, instance))
 
     def _deliver(self, delivery: Delivery) -> None:
         instance = delivery.target
         message = delivery.message
-        meter = self._meters.get(instance)
-        if meter is not None:
+        counter = self._counters.get(instance)
+        if counter is not None:
             frame = encode(delivery.sender, instance, message)
-            meter.received_messages += 1
-            meter.received_bytes += len(frame)
-            begin_ns = time.process_time_ns()
+            counter.received_messages += 1
+            counter.received_bytes += len(frame)
+            start_ns = time.process_time_ns()
             message = decode(frame, instance)
-            self._charge(instance, begin_ns)
-        begin_ns = time.process_time_ns()
+            self._add_processor_time(instance, start_ns)
+        start_ns = time.process_time_ns()
         actions = self._parts[instance].receive(delivery.sender, message, self.now_ms)
-        self._charge(instance, begin_ns)
+        self._add_processor_time(instance, start_ns)
         self._carry_out(instance, actions)
 
     def _carry_out(self, instance: str, actions: Sequence[Action]) -> None:
@@ -169,19 +171,19 @@
             if isinstance(action, SendPeer):
                 self._send(instance, action)
             else:
-                begin_ns = time.process_time_ns()
+                start_ns = time.process_time_ns()
                 reply = self._parts[instance].carry_out(action, self.now_ms)
-                self._charge(instance, begin_ns)
+                self._add_processor_time(instance, start_ns)
                 self._carry_out(instance, reply)
 
     def _send(self, sender: str, action: SendPeer) -> None:
-        meter = self._meters.get(sender)
-        if meter is not None:
-            begin_ns = time.process_time_ns()
+        counter = self._counters.get(sender)
+        if counter is not None:
+            start_ns = time.process_time_ns()
             frame = encode(sender, action.instance, action.message)
-            self._charge(sender, begin_ns)
-            meter.sent_messages += 1
-            meter.sent_bytes += len(frame)
+            self._add_processor_time(sender, start_ns)
+            counter.sent_messages += 1
+            counter.sent_bytes += len(frame)
         if action.instance not in self._parts:
             return
         self._number += 1
@@ -191,17 +193,17 @@
             Delivery(at_ms, self._number, sender, action.instance, action.message),
         )
 
-    def _charge(self, instance: str, begin_ns: int) -> None:
-        meter = self._meters.get(instance)
-        if meter is not None:
-            meter.spent_ns += time.process_time_ns() - begin_ns
+    def _add_processor_time(self, instance: str, start_ns: int) -> None:
+        counter = self._counters.get(instance)
+        if counter is not None:
+            counter.spent_ns += time.process_time_ns() - start_ns
 
 
 def choose_sampled(instances: Sequence[str], count: int) -> list[str]:
     """Return instances spread evenly over all.
 
-    :param instances: their names.
-    :param count: how many at most.
+    :param instances: the names of all instances.
+    :param count: the maximum number to return.
     """
     step = max(1, len(instances) // count)
     return list(instances)[::step][:count]
--- a/benches/capacity_roles/polls_role.py
+++ b/benches/capacity_roles/polls_role.py
@@ -1,4 +1,4 @@
-"""The role of an asker for the load of endpoints."""
+"""Costs of polling endpoints for their load."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 DIALECT = 'openai-engine'
 TICK_MS = 100
 WINDOW_MS = 10_000
-SUBSET = 16
-CACHED_SINCE = 8
+MAX_ENDPOINTS_PER_MODEL = 16
+NEW_CACHE_ENTRIES = 8
 HASH_BITS = 62
 
 
@@ -40,64 +40,64 @@
     SIZES,
 )
 def measure_polls(instances: int) -> RoleSample:
-    """Measure a book whose endpoints all have an attempt outstanding.
+    """Measure a table whose endpoints all have an outstanding attempt.
 
-    Bytes are of HTTP requests and answers with eight new cache entries each,
-    without the transport's headers.
+    Bytes are those of HTTP requests, and of responses with eight new cache entries
+    each, without the headers of the transport.
 
     :param instances: the size of the system.
     """
     own = make_members(instances)[0]
     endpoints = make_endpoints(instances)
-    used = choose_used(endpoints, own.region)
-    answer = make_answer()
+    polled = choose_polled(endpoints, own.region)
+    load_report = make_load_report()
     dialect = DIALECTS.get(DIALECT)
     polls: list[PollEndpoint] = []
 
     def poll_all() -> None:
         polls.clear()
-        book = EndpointTable(
+        table = EndpointTable(
             RoutingSettings(), Random(1), own.failure_domain, own.region
         )
-        book.set_endpoints(endpoints)
-        for number, name in enumerate(used):
-            book.record_start(f'attempt-{number}', name, 100, 200, (), 0)
+        table.set_endpoints(endpoints)
+        for number, name in enumerate(polled):
+            table.record_start(f'attempt-{number}', name, 100, 200, (), 0)
         for now_ms in range(0, WINDOW_MS, TICK_MS):
-            for action in book.due_polls(now_ms):
+            for action in table.due_polls(now_ms):
                 if not isinstance(action, PollEndpoint):
                     continue
                 polls.append(action)
-                report = dialect.read_load(action.endpoint, answer)
+                report = dialect.read_load(action.endpoint, load_report)
                 if report is not None:
-                    book.apply_report(report, now_ms)
+                    table.apply_report(report, now_ms)
 
-    def build_only() -> None:
-        book = EndpointTable(
+    def build_table() -> None:
+        table = EndpointTable(
             RoutingSettings(), Random(1), own.failure_domain, own.region
         )
-        book.set_endpoints(endpoints)
+        table.set_endpoints(endpoints)
 
     seconds = WINDOW_MS / MS_PER_S
-    spent_us = max(0.0, time_us(poll_all) - time_us(build_only))
-    asked = count_request_bytes(polls)
-    answered = len(polls) * len(frame_answer(answer))
+    spent_us = max(0.0, time_us(poll_all) - time_us(build_table))
+    request_bytes = count_request_bytes(polls)
+    response_bytes = len(polls) * len(frame_response(load_report))
     return RoleSample(
         instances,
         sent_messages_per_s=len(polls) / seconds,
         received_messages_per_s=len(polls) / seconds,
-        sent_bytes_per_s=asked / seconds,
-        received_bytes_per_s=answered / seconds,
+        sent_bytes_per_s=request_bytes / seconds,
+        received_bytes_per_s=response_bytes / seconds,
         processor_us_per_s=spent_us / seconds,
     )
 
 
-def choose_used(endpoints: dict[str, EndpointDocument], region: str) -> list[str]:
+def choose_polled(endpoints: dict[str, EndpointDocument], region: str) -> list[str]:
     """Return up to 16 endpoints of each model in the region.
 
-    :param endpoints: all of them.
-    :param region: of the instance.
+    :param endpoints: all endpoints.
+    :param region: the region of the instance.
     """
-    used: list[str] = []
+    polled: list[str] = []
     for model in range(TARGET_MODELS):
         serving = [
             name
@@ -105,12 +105,12 @@
             if document['region'] == region
             and f'model-{model}' in document.get('models', [])
         ]
-        used += serving[:SUBSET]
-    return used
+        polled += serving[:MAX_ENDPOINTS_PER_MODEL]
+    return polled
 
 
-def make_answer() -> bytes:
-    """Return a load report as an engine sends it."""
+def make_load_report() -> bytes:
+    """Return a load report in the form that an engine sends."""
     rng = Random(1)
     return msgspec.json.encode(
         {
@@ -122,15 +122,15 @@
             'models': ['model-1'],
             'state': 'active',
             'cache_sequence': 123_456,
-            'cached': [rng.getrandbits(HASH_BITS) for _ in range(CACHED_SINCE)],
-            'evicted': [rng.getrandbits(HASH_BITS) for _ in range(CACHED_SINCE)],
+            'cached': [rng.getrandbits(HASH_BITS) for _ in range(NEW_CACHE_ENTRIES)],
+            'evicted': [rng.getrandbits(HASH_BITS) for _ in range(NEW_CACHE_ENTRIES)],
             'cache_gap': False,
         }
     )
 
 
-def frame_answer(body: bytes) -> bytes:
-    """Return the answer as HTTP puts it on the wire.
+def frame_response(body: bytes) -> bytes:
+    """Return a response as HTTP sends it.
 
     :param body: the JSON document.
     """
@@ -147,9 +147,9 @@
 
 
 def count_request_bytes(polls: list[PollEndpoint]) -> int:
-    """Return the bytes of all requests as HTTP puts them on the wire.
+    """Return the total size of requests as HTTP sends them.
 
-    :param polls: what was asked.
+    :param polls: the polls to encode.
     """
     total = 0
     for poll in polls:
@@ -160,10 +160,10 @@
 
 
 def frame_request(request: HttpRequest, host: str) -> bytes:
-    """Return a request as HTTP puts it on the wire.
+    """Return a request as HTTP sends it.
 
-    :param request: without a body.
-    :param host: whom it goes to.
+    :param request: a request without a body.
+    :param host: value of the ``Host`` header.
     """
     client = h11.Connection(h11.CLIENT)
     headers = [('host', host), *request.headers]
--- a/benches/capacity_roles/quantities.py
+++ b/benches/capacity_roles/quantities.py
@@ -1,4 +1,4 @@
-"""The quantities of a role, their units and limits."""
+"""The measured quantities of a role with their units and limits."""
 
 from __future__ import annotations
 
--- a/benches/capacity_roles/report.py
+++ b/benches/capacity_roles/report.py
@@ -20,13 +20,13 @@
     from benches.capacity_roles.role_sample import RoleSample
     from benches.capacity_roles.roles import Role
 
-HEAD = '| quantity | {} | slope | intercept | r² | at 530 | limit | margin |'
+HEADER_ROW = '| quantity | {} | slope | intercept | r² | at 530 | limit | margin |'
 
 
 def render_role(role: Role, samples: Sequence[RoleSample]) -> str:
-    """Return one role's section.
+    """Return the section of one role.
 
-    :param role: what was measured.
+    :param role: the measured role.
     :param samples: one for each size, ascending.
     """
     sizes = [sample.instances for sample in samples]
@@ -36,7 +36,7 @@
         '',
         f'Breaks first beyond the target: {role.breaks}.',
         '',
-        HEAD.format(columns),
+        HEADER_ROW.format(columns),
         '|' + '---|' * (len(sizes) + 7),
     ]
     for quantity in QUANTITIES:
@@ -47,10 +47,10 @@
 
 
 def value_at_target(samples: Sequence[RoleSample], quantity: Quantity) -> float | None:
-    """Return a quantity at the target, measured there or extrapolated.
+    """Return a quantity at the target size, measured or extrapolated.
 
     :param samples: one for each size, ascending.
-    :param quantity: which.
+    :param quantity: the quantity.
     """
     values = _values(samples, quantity)
     if not values:
@@ -94,7 +94,7 @@
 
 
 def render_log(measured: Mapping[str, Sequence[RoleSample]]) -> str:
-    """Return the log's appends and reads at the target, by role.
+    """Return the table of appends to and reads from the log at the target.
 
     :param measured: the samples of each role.
     """
@@ -130,21 +130,27 @@
     fit = fit_line(sizes, values)
     measured = sizes[-1] == TARGET_INSTANCES
     at_target = values[-1] if measured else max(0.0, fit.at(TARGET_INSTANCES))
-    cells = [quantity.title, *(_number(value) for value in values)]
-    cells += [_number(fit.slope), _number(fit.intercept), f'{fit.r_squared:.2f}']
-    cells.append(f'{_number(at_target)} {"measured" if measured else "extrapolated"}')
+    cells = [quantity.title, *(_format_number(value) for value in values)]
+    cells += [
+        _format_number(fit.slope),
+        _format_number(fit.intercept),
+        f'{fit.r_squared:.2f}',
+    ]
+    cells.append(
+        f'{_format_number(at_target)} {"measured" if measured else "extrapolated"}'
+    )
     cells.append(f'{quantity.limit:,.0f}' if quantity.limit else '-')
-    cells.append(_margin(quantity, at_target))
+    cells.append(_format_margin(quantity, at_target))
     return '| ' + ' | '.join(cells) + ' |'
 
 
-def _margin(quantity: Quantity, value: float) -> str:
+def _format_margin(quantity: Quantity, value: float) -> str:
     if not quantity.limit or value <= 0:
         return '-'
     return f'x{quantity.limit / value:.3g}'
 
 
-def _number(value: float) -> str:
+def _format_number(value: float) -> str:
     if abs(value) >= 1_000:
         return f'{value:,.0f}'
     return f'{value:.3g}'
--- a/benches/capacity_roles/role_sample.py
+++ b/benches/capacity_roles/role_sample.py
@@ -1,4 +1,4 @@
-"""What one role costs one instance at one size of the system."""
+"""Costs of one role for one instance at one system size."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class RoleSample(NamedTuple):
-    """Per instance, averaged over the measured time.
+    """Costs per instance, averaged over the measured time.
 
     ``busiest_bytes_per_s`` is what the busiest instance sends and receives,
-    ``busiest_loop_ms`` the longest time for which a loop stands still.
-    ``instances`` is the size that was measured.  A quantity that the role does
-    not have, or that was not measured, is None; it is left out of the page.
+    ``busiest_loop_ms`` the longest time for which an event loop is blocked.
+    ``instances`` is the measured system size.  A quantity that the role does
+    not have, or that was not measured, is None and is left out of the page.
     """
 
     instances: int
--- a/benches/capacity_roles/roles.py
+++ b/benches/capacity_roles/roles.py
@@ -1,4 +1,4 @@
-"""The registry of roles, filled by the modules beside this one."""
+"""The registry of roles, filled by the other modules of this package."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class Role(NamedTuple):
-    """A role that an instance plays for control.
+    """A control task of an instance.
 
-    ``mechanism`` says what carries the role at the target size, ``breaks``
-    what gives way first beyond it.  ``sizes`` are the numbers of instances to
-    measure at.  Only ``summed`` roles count for an instance.
+    ``mechanism`` describes how the role works at the target size, ``breaks``
+    what reaches its limit first beyond it.  ``sizes`` are the numbers of
+    instances to measure.  Only ``summed`` roles count for the sum of an instance.
     """
 
     name: str
@@ -38,11 +38,11 @@
 ) -> Callable[[Callable[[int], RoleSample]], Callable[[int], RoleSample]]:
     """Return a decorator that registers a measurement.
 
-    :param name: the role, as the page calls it.
-    :param mechanism: what carries it.
-    :param breaks: what gives way first beyond the target.
-    :param sizes: numbers of instances to measure at.
-    :param summed: whether an instance spends it.
+    :param name: the name of the role on the page.
+    :param mechanism: how it works at the target size.
+    :param breaks: what reaches its limit first beyond the target.
+    :param sizes: numbers of instances to measure.
+    :param summed: whether it counts for the sum of an instance.
     """
 
     def register(
--- a/benches/capacity_roles/site.py
+++ b/benches/capacity_roles/site.py
@@ -1,4 +1,4 @@
-"""Instances, endpoints and contracts of a system of a given size."""
+"""Creates the instances, endpoints and contracts of a system of a given size."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
     from savorychute.member_address import MemberAddress
 
 CONCURRENT_REQUESTS = 80
-SERVICE_ONE_IN = 50
+SERVICE_ENDPOINT_PERIOD = 50
 
 
 def make_members(instances: int) -> tuple[MemberAddress, ...]:
     """Return the addresses of all instances, sorted.
 
-    :param instances: how many.
+    :param instances: the number of instances.
     """
     regions = Target(instances).regions
     return tuple(sorted(make_address(n, regions) for n in range(instances)))
 
 
 def make_view(own: MemberAddress, alive: tuple[MemberAddress, ...]) -> MemberView:
-    """Return the view of one instance.
+    """Return the member view of one instance.
 
     :param own: its address.
     :param alive: all members.
@@ -46,7 +46,7 @@
 def make_endpoints(instances: int) -> dict[str, EndpointDocument]:
     """Return the endpoints in proportion to the instances.
 
-    :param instances: how many.
+    :param instances: the number of instances.
     """
     target = Target(instances)
     return {
@@ -58,35 +58,35 @@
 
 
 def make_endpoint(number: int, regions: int) -> EndpointDocument:
-    """Return one endpoint; models and regions take turns.
+    """Return one endpoint; regions and models are assigned in turn.
 
-    :param number: from 0.
-    :param regions: how many regions there are.
+    :param number: the number of the endpoint, from 0.
+    :param regions: the number of regions.
     """
     region = number % regions
-    turn = number // regions
+    index = number // regions
     document: EndpointDocument = {
         'endpoint': f'engine-{number:04}',
         'dialect': 'openai',
-        'host': f'10.{100 + region}.{turn // 250}.{turn % 250 + 1}',
+        'host': f'10.{100 + region}.{index // 250}.{index % 250 + 1}',
         'port': 8000,
         'region': f'region-{region}',
-        'failure_domain': f'region-{region}-hall-{turn % DOMAINS_PER_REGION}',
+        'failure_domain': f'region-{region}-hall-{index % DOMAINS_PER_REGION}',
         'state': 'active',
         'concurrent_requests': CONCURRENT_REQUESTS,
     }
-    if turn % SERVICE_ONE_IN == SERVICE_ONE_IN - 1:
+    if index % SERVICE_ENDPOINT_PERIOD == SERVICE_ENDPOINT_PERIOD - 1:
         document['dialect'] = 'plain'
         document['service'] = 'register'
     else:
-        document['models'] = [f'model-{turn % TARGET_MODELS}']
+        document['models'] = [f'model-{index % TARGET_MODELS}']
     return document
 
 
 def make_contracts(instances: int) -> dict[str, ContractDocument]:
     """Return the contracts in proportion to the instances.
 
-    :param instances: how many.
+    :param instances: the number of instances.
     """
     count = Target(instances).organisations
     contracts = (make_contract(number, count) for number in range(count))
@@ -96,8 +96,8 @@
 def make_contract(number: int, organisations: int) -> ContractDocument:
     """Return one contract with a class of each tier.
 
-    :param number: from 0.
-    :param organisations: how many share the pool.
+    :param number: the number of the organisation, from 0.
+    :param organisations: the number of organisations that share the pool.
     """
     rate_per_s = TARGET_REQUESTS_PER_S / TARGET_ORGANISATIONS
     classes = [
--- a/benches/capacity_roles/snapshot_role.py
+++ b/benches/capacity_roles/snapshot_role.py
@@ -1,4 +1,4 @@
-"""The role of the instance that writes a snapshot."""
+"""Costs of writing snapshots of the configuration."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     SIZES,
 )
 def measure_snapshot(instances: int) -> RoleSample:
-    """Measure one snapshot of the state at a size.
+    """Measure one snapshot of the configuration state.
 
     :param instances: the size of the system.
     """
--- a/benches/capacity_roles/target.py
+++ b/benches/capacity_roles/target.py
@@ -1,4 +1,4 @@
-"""The target size, and smaller systems of the same proportions."""
+"""The target system size, and smaller systems of the same proportions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Target(NamedTuple):
-    """A system with *instances* and everything else in proportion."""
+    """A system of *instances* instances with everything else in proportion."""
 
     instances: int
 
