--- a/benches/__init__.py
+++ b/benches/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of parts; each module has a ``run`` that returns rows."""
+"""Benches of components; each bench module has a ``run`` that returns rows."""
--- a/benches/__main__.py
+++ b/benches/__main__.py
@@ -26,7 +26,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run the benches that were named, or all of them."""
+    """Run the named benches, or all of them."""
     arguments = _parse(argv)
     rows: list[BenchRow] = []
     for name in arguments.names or list(find_benches()):
@@ -41,7 +41,7 @@
 
 
 def find_benches() -> Iterator[str]:
-    """Yield the modules beside this one that have a ``run``."""
+    """Yield the names of the modules of this package that have a ``run``."""
     for found in pkgutil.iter_modules(benches.__path__):
         if found.ispkg or found.name.startswith('_'):
             continue
--- a/benches/bench_row.py
+++ b/benches/bench_row.py
@@ -1,4 +1,4 @@
-"""One measured figure."""
+"""The result row of a bench."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class BenchRow(NamedTuple):
-    """A figure beside its baseline; ``ratio`` is value over baseline."""
+    """A measured value and its baseline; ``ratio`` is value over baseline."""
 
     name: str
     value: float
@@ -16,12 +16,12 @@
 
 
 def make_row(name: str, value: float, unit: str, baseline: float) -> BenchRow:
-    """Return a row with its ratio, 0 without a baseline.
+    """Return a row with its ratio, which is 0 without a baseline.
 
     :param name: what was measured.
-    :param value: the figure.
-    :param unit: the figure's unit.
-    :param baseline: the same figure of the simplest way.
+    :param value: the measured value.
+    :param unit: the unit of the value.
+    :param baseline: the same value of the simplest method.
     """
     ratio = value / baseline if baseline else 0.0
     return BenchRow(name, value, unit, baseline, ratio)
--- a/benches/configuration.py
+++ b/benches/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration's fold, memory, join, spread and conflicts."""
+"""Fold, memory, join, propagation and conflicts of the configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
     day_of_changes,
     simulate_changes,
 )
-from benches.configuration_rig import Rig, make_contract, make_endpoint
+from benches.configuration_rig import (
+    ConfigurationSimulation,
+    make_contract,
+    make_endpoint,
+)
 from savorychute.configuration.amendment_record import AMENDMENT_KIND, AmendmentRecord
 from savorychute.configuration.fold import ConfigurationFold
 from savorychute.configuration.record_codec import decode_record, encode_record
@@ -32,16 +36,16 @@
 MEMBERS = 530
 REGIONS = 8
 DOMAINS = 22
-SPREAD_CHANGES = 5
+PROPAGATED_CHANGES = 5
 LOSS_SHARE = 0.1
-CHANGES_A_DAY = 1_500
+CHANGES_PER_DAY = 1_500
 BURST_OPERATORS = 50
 BYTES_PER_MB = 1_000_000
 MS_PER_S = 1_000
 
 
-class SpreadFigures(NamedTuple):
-    """How soon changes were in force, and what it took."""
+class PropagationFigures(NamedTuple):
+    """Times until changes were in force, and the traffic that this caused."""
 
     p50_ms: float
     p95_ms: float
@@ -51,9 +55,9 @@
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:
-    """Measure everything; the spread once, because it is deterministic.
+    """Measure everything; the propagation once, because it is deterministic.
 
-    :param repeats: how often each timing is taken; the median counts.
+    :param repeats: number of measurements of each time; the median is returned.
     :param rng: chooses items and seeds.
     """
     records = make_records(AMENDMENTS, rng)
@@ -61,15 +65,15 @@
         *_bench_fold(records, repeats),
         *_bench_memory(records),
         *_bench_join(records, repeats),
-        *_bench_spread(),
+        *_bench_propagation(),
         *_bench_conflicts(rng),
     ]
 
 
 def make_records(count: int, rng: random.Random) -> list[LogRecord]:
-    """Return amendments: first all items at the target's size, then changes.
+    """Return amendments: first every item of the target size, then changes.
 
-    :param count: how many in all.
+    :param count: the total number of amendments.
     :param rng: chooses the items that change.
     """
     names = [f'contract:organisation-{number:04}' for number in range(CONTRACTS)]
@@ -98,48 +102,53 @@
 
 
 def fold_all(records: list[LogRecord]) -> ConfigurationFold:
-    """Return the fold of the records."""
+    """Return a fold with all the records applied."""
     fold = ConfigurationFold()
     for record in records:
         fold.apply(record)
     return fold
 
 
-def measure_spread(
-    members: int, settings: ConfigurationSettings, changes: int = SPREAD_CHANGES
-) -> SpreadFigures:
-    """Let members spread changes under loss, without the membership's help.
+def measure_propagation(
+    members: int, settings: ConfigurationSettings, changes: int = PROPAGATED_CHANGES
+) -> PropagationFigures:
+    """Measure the propagation of changes under loss, without offsets from membership.
 
-    :param members: how many.
-    :param settings: the way to spread.
-    :param changes: how many changes, one after the other.
+    :param members: the number of members.
+    :param settings: the settings of propagation.
+    :param changes: the number of consecutive changes.
     """
-    rig = Rig(seed=members, settings=settings)
+    simulation = ConfigurationSimulation(seed=members, settings=settings)
     for number in range(members):
         domain = number % DOMAINS
-        rig.add(f'i{number:03}', f'r{domain % REGIONS}', f'd{domain:02}')
-    rig.wait(8_000)
-    rig.loss_share = LOSS_SHARE
-    rig.reads = rig.messages = 0
-    started_ms = rig.now_ms
+        simulation.add(f'i{number:03}', f'r{domain % REGIONS}', f'd{domain:02}')
+    simulation.wait(8_000)
+    simulation.loss_share = LOSS_SHARE
+    simulation.reads = simulation.messages = 0
+    started_ms = simulation.now_ms
     delays: list[float] = []
     for change in range(changes):
-        rig.applied.clear()
-        proposed_ms = rig.now_ms
-        who = rig.rng.choice(sorted(rig.keepers))
-        rig.propose(who, f'contract:{change}', 0, make_contract(f'{change}'))
-        rig.wait(12_000)
-        delays += [each.at_ms - proposed_ms for each in rig.applied]
-        if len(rig.applied) != members:
-            raise RuntimeError(f'{members - len(rig.applied)} without the change')
-    elapsed_s = (rig.now_ms - started_ms) / MS_PER_S
-    cuts = statistics.quantiles(delays, n=100)
-    return SpreadFigures(
-        p50_ms=cuts[49],
-        p95_ms=cuts[94],
+        simulation.applied.clear()
+        proposed_ms = simulation.now_ms
+        proposer = simulation.rng.choice(sorted(simulation.managers))
+        simulation.propose(
+            proposer, f'contract:{change}', 0, make_contract(f'{change}')
+        )
+        simulation.wait(12_000)
+        delays += [each.at_ms - proposed_ms for each in simulation.applied]
+        if len(simulation.applied) != members:
+            raise RuntimeError(
+                f'{members - len(simulation.applied)} members '
+                'did not receive the change'
+            )
+    elapsed_s = (simulation.now_ms - started_ms) / MS_PER_S
+    percentiles = statistics.quantiles(delays, n=100)
+    return PropagationFigures(
+        p50_ms=percentiles[49],
+        p95_ms=percentiles[94],
         worst_ms=max(delays),
-        reads_per_s=rig.reads / elapsed_s,
-        messages_per_s=rig.messages / elapsed_s,
+        reads_per_s=simulation.reads / elapsed_s,
+        messages_per_s=simulation.messages / elapsed_s,
     )
 
 
@@ -168,16 +177,20 @@
     fold = ConfigurationFold()
     fold.adopt(*decode_state(data))
     gc.collect()
-    kept = tracemalloc.get_traced_memory()[0]
+    retained_bytes = tracemalloc.get_traced_memory()[0]
     documents = [
         *fold.state.contracts.values(),
         *fold.state.endpoints.values(),
     ]
-    decoded = tracemalloc.get_traced_memory()[0] - kept
+    decoded_bytes = tracemalloc.get_traced_memory()[0] - retained_bytes
     tracemalloc.stop()
     del documents
     name = 'resident state of 1,400 contracts and 2,100 endpoints / decoded'
-    return [make_row(name, kept / BYTES_PER_MB, 'MB', decoded / BYTES_PER_MB)]
+    return [
+        make_row(
+            name, retained_bytes / BYTES_PER_MB, 'MB', decoded_bytes / BYTES_PER_MB
+        )
+    ]
 
 
 def _bench_join(records: list[LogRecord], repeats: int) -> list[BenchRow]:
@@ -206,20 +219,27 @@
     ]
 
 
-def _bench_spread() -> list[BenchRow]:
-    spread = measure_spread(MEMBERS, ConfigurationSettings())
-    everybody_polls = ConfigurationSettings(
+def _bench_propagation() -> list[BenchRow]:
+    propagated = measure_propagation(MEMBERS, ConfigurationSettings())
+    polling_settings = ConfigurationSettings(
         pollers_per_domain=MEMBERS, poll_interval_ms=5_000, push_fanout=0
     )
-    polled = measure_spread(MEMBERS, everybody_polls)
+    polled = measure_propagation(MEMBERS, polling_settings)
     suffix = 'under 10 % loss / all poll each 5 s'
     return [
-        make_row(f'in force, median {suffix}', spread.p50_ms, 'ms', polled.p50_ms),
-        make_row(f'in force, 95th {suffix}', spread.p95_ms, 'ms', polled.p95_ms),
-        make_row(f'in force, worst {suffix}', spread.worst_ms, 'ms', polled.worst_ms),
-        make_row(f'log reads {suffix}', spread.reads_per_s, '1/s', polled.reads_per_s),
+        make_row(f'in force, median {suffix}', propagated.p50_ms, 'ms', polled.p50_ms),
+        make_row(f'in force, 95th {suffix}', propagated.p95_ms, 'ms', polled.p95_ms),
+        make_row(
+            f'in force, worst {suffix}', propagated.worst_ms, 'ms', polled.worst_ms
+        ),
+        make_row(
+            f'log reads {suffix}', propagated.reads_per_s, '1/s', polled.reads_per_s
+        ),
         make_row(
-            f'messages {suffix}', spread.messages_per_s, '1/s', polled.messages_per_s
+            f'messages {suffix}',
+            propagated.messages_per_s,
+            '1/s',
+            polled.messages_per_s,
         ),
     ]
 
@@ -227,7 +247,7 @@
 def _bench_conflicts(rng: random.Random) -> list[BenchRow]:
     rows = []
     for name, starts_s in (
-        ('1,500 changes a day', day_of_changes(CHANGES_A_DAY, rng)),
+        ('1,500 changes a day', day_of_changes(CHANGES_PER_DAY, rng)),
         ('a burst of 50 operators', burst_of_operators(BURST_OPERATORS, rng)),
     ):
         seed = rng.random()
--- a/benches/configuration_conflicts.py
+++ b/benches/configuration_conflicts.py
@@ -1,4 +1,4 @@
-"""How often unrelated changes get in each other's way."""
+"""Simulates how often unrelated changes conflict."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 POPULARITY_EXPONENT = 0.8
 THINK_MEDIAN_S = 60.0
 THINK_SIGMA = 0.7
-REWORK_S = 20.0
+MERGE_S = 20.0
 
 
 class ConflictCount(NamedTuple):
-    """What a way of basing changes led to.
+    """Counts of a simulation with one kind of base version.
 
-    ``false_conflicts`` are those of which the item had not changed.
+    ``false_conflicts`` are those whose item had not changed.
     """
 
     changes: int
@@ -29,18 +29,18 @@
 
     @property
     def false_share(self) -> float:
-        """False conflicts by attempt."""
+        """False conflicts per attempt."""
         return self.false_conflicts / self.attempts
 
 
 def simulate_changes(
     starts_s: list[float], per_item: bool, rng: random.Random
 ) -> ConflictCount:
-    """Let operators read, think, propose, and propose again after a conflict.
+    """Simulate operators who read, think, propose, and retry after a conflict.
 
-    :param starts_s: when each operator reads the item.
-    :param per_item: whether the base is the item's version or the document's.
-    :param rng: chooses items and the time for thought.
+    :param starts_s: the times at which each operator reads the item.
+    :param per_item: whether the base is the version of the item or of the document.
+    :param rng: chooses items and thinking times.
     """
     weights = [1 / rank**POPULARITY_EXPONENT for rank in range(1, ITEMS + 1)]
     items = rng.choices(range(ITEMS), weights, k=len(starts_s))
@@ -61,10 +61,10 @@
         if is_conflict:
             conflicts += 1
             false_conflicts += not is_true
-            # The conflict shows what is in force, so the next attempt only
-            # needs the time to merge.
-            again_s = at_s + REWORK_S
-            heapq.heappush(heap, (again_s, 1, item, versions[item], whole))
+            # A conflict returns the document in force, so the next attempt only
+            # takes the time to merge.
+            retry_s = at_s + MERGE_S
+            heapq.heappush(heap, (retry_s, 1, item, versions[item], whole))
             continue
         versions[item] += 1
         whole += 1
@@ -72,10 +72,10 @@
 
 
 def day_of_changes(changes: int, rng: random.Random) -> list[float]:
-    """Return the times of a day's changes, spread evenly."""
+    """Return uniformly distributed times of changes within a day."""
     return [rng.uniform(0, DAY_S) for _ in range(changes)]
 
 
 def burst_of_operators(operators: int, rng: random.Random) -> list[float]:
-    """Return the times at which operators begin within one minute."""
+    """Return the times at which operators start within one minute."""
     return [rng.uniform(0, 60) for _ in range(operators)]
--- a/benches/configuration_recovery.py
+++ b/benches/configuration_recovery.py
@@ -1,4 +1,4 @@
-"""Time until all instances have a configuration again, after large failures."""
+"""Time until all instances have a configuration after large failures."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from benches.bench_row import BenchRow, make_row
 from benches.capacity_roles.measuring import encode
 from benches.configuration import DOMAINS, MS_PER_S, REGIONS, fold_all, make_records
-from benches.configuration_rig import Rig, make_contract
+from benches.configuration_rig import ConfigurationSimulation, make_contract
 from savorychute.actions.append_record import AppendRecord
 from savorychute.configuration.log_reader import CONFIGURATION_STREAM
 from savorychute.configuration.record_codec import encode_record
@@ -23,16 +23,16 @@
 
 MEMBERS = 66
 RECORDS = 4_000
-SUFFIX = 100
+RECORDS_AFTER_SNAPSHOT = 100
 STEP_MS = 100
-LIMIT_MS = 300_000
+TIMEOUT_MS = 300_000
 SLOW_LOG_MS = 2_500
 CUT_MS = 3_600_000
-KB = 1_000
+BYTES_PER_KB = 1_000
 
 
 class RecoveryFigures(NamedTuple):
-    """What a recovery took; messages and bytes are of all instances."""
+    """Time and traffic of a recovery; messages and bytes are those of all instances."""
 
     first_ms: int
     last_ms: int
@@ -44,39 +44,39 @@
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:
-    """Measure each recovery once; the baseline is the log up and quick.
+    """Measure each recovery once; the baseline has a fast and available log.
 
     :param repeats: not used, because the clock is virtual.
     :param rng: chooses items.
     """
     del repeats
     payloads = make_log(rng)
-    usual = measure_restart(MEMBERS, payloads)
-    rows = [_make_row('restart of all, log up', usual, usual)]
+    baseline = measure_restart(MEMBERS, payloads)
+    rows = [_make_row('restart of all, log up', baseline, baseline)]
 
-    def slow_down(rig: Rig) -> None:
-        rig.log_latency_ms = SLOW_LOG_MS
+    def slow_down(simulation: ConfigurationSimulation) -> None:
+        simulation.log_latency_ms = SLOW_LOG_MS
 
     slow = measure_restart(MEMBERS, payloads, slow_down)
-    rows.append(_make_row('restart of all, log answers in 2.5 s', slow, usual))
+    rows.append(_make_row('restart of all, log answers in 2.5 s', slow, baseline))
 
-    def take_down(rig: Rig) -> None:
-        rig.log.is_up = False
-        rig.after(60_000, lambda: setattr(rig.log, 'is_up', True))
+    def take_down(simulation: ConfigurationSimulation) -> None:
+        simulation.log.is_up = False
+        simulation.after(60_000, lambda: setattr(simulation.log, 'is_up', True))
 
     down = measure_restart(MEMBERS, payloads, take_down)
-    rows.append(_make_row('restart of all, log down for 60 s', down, usual))
+    rows.append(_make_row('restart of all, log down for 60 s', down, baseline))
     return rows
 
 
 def make_log(rng: random.Random) -> list[bytes]:
-    """Return a log at the target's size: a snapshot and some amendments.
+    """Return a log of the target size, with a snapshot and some amendments.
 
     :param rng: chooses items.
     """
     records = make_records(RECORDS, rng)
-    fold = fold_all(records[:-SUFFIX])
-    slices = split_state(
+    fold = fold_all(records[:-RECORDS_AFTER_SNAPSHOT])
+    snapshot_parts = split_state(
         encode_state(fold), ConfigurationSettings().snapshot_part_bytes
     )
     payloads = [record.payload for record in records]
@@ -87,11 +87,11 @@
                 snapshot_id='writer.1',
                 through_offset=fold.state.offset,
                 part=part,
-                parts=len(slices),
+                parts=len(snapshot_parts),
                 data=data,
             )
         )
-        for part, data in enumerate(slices)
+        for part, data in enumerate(snapshot_parts)
     ]
     return payloads
 
@@ -99,73 +99,79 @@
 def measure_restart(
     members: int,
     payloads: list[bytes],
-    disturb: Callable[[Rig], None] | None = None,
+    disturb: Callable[[ConfigurationSimulation], None] | None = None,
 ) -> RecoveryFigures:
-    """Start all instances at once on a log whose beginning has expired.
+    """Start all instances at once on a log whose oldest records have expired.
 
-    :param members: how many.
-    :param payloads: the configuration's stream.
-    :param disturb: what else goes wrong.
+    :param members: the number of instances.
+    :param payloads: the records of the configuration stream.
+    :param disturb: injects a further fault.
     """
-    rig = Rig(seed=members, loss_share=0.0)
+    simulation = ConfigurationSimulation(seed=members, loss_share=0.0)
     for payload in payloads:
-        rig.log.append(AppendRecord('', CONFIGURATION_STREAM, payload))
-    rig.log.expire(CONFIGURATION_STREAM, RECORDS - SUFFIX)
-    rig.log.appends = 0
-    meter = _Meter(rig)
+        simulation.log.append(AppendRecord('', CONFIGURATION_STREAM, payload))
+    simulation.log.expire(CONFIGURATION_STREAM, RECORDS - RECORDS_AFTER_SNAPSHOT)
+    simulation.log.appends = 0
+    counter = _TrafficCounter(simulation)
     if disturb is not None:
-        disturb(rig)
+        disturb(simulation)
     for number in range(members):
         domain = number % DOMAINS
-        rig.add(f'i{number:03}', f'r{domain % REGIONS}', f'd{domain:02}')
-    return _wait_for_all(rig, meter)
+        simulation.add(f'i{number:03}', f'r{domain % REGIONS}', f'd{domain:02}')
+    return _wait_for_all(simulation, counter)
 
 
 def measure_cut(members: int) -> RecoveryFigures:
     """Cut one region off from the others and from the log for an hour.
 
-    :param members: how many.
+    :param members: the number of instances.
     """
-    rig = Rig(seed=members, tick_ms=1_000)
+    simulation = ConfigurationSimulation(seed=members, tick_ms=1_000)
     for number in range(members):
         domain = number % DOMAINS
-        rig.add(f'i{number:03}', f'r{domain % REGIONS}', f'd{domain:02}')
-    rig.wait(10_000)
-    rig.cut_regions = {'r0'}
-    rig.log_is_cut_from = {
-        name for name, address in rig.addresses.items() if address.region == 'r0'
+        simulation.add(f'i{number:03}', f'r{domain % REGIONS}', f'd{domain:02}')
+    simulation.wait(10_000)
+    simulation.cut_regions = {'r0'}
+    simulation.cut_from_log = {
+        name for name, address in simulation.addresses.items() if address.region == 'r0'
     }
-    inside = next(name for name in rig.addresses if name not in rig.log_is_cut_from)
+    connected = next(
+        name for name in simulation.addresses if name not in simulation.cut_from_log
+    )
     for change in range(60):
-        rig.propose(inside, f'contract:{change}', 0, make_contract(f'{change}'))
-        rig.wait(CUT_MS // 60)
-    meter = _Meter(rig)
-    rig.cut_regions = set()
-    rig.log_is_cut_from = set()
-    return _wait_for_all(rig, meter)
+        simulation.propose(
+            connected, f'contract:{change}', 0, make_contract(f'{change}')
+        )
+        simulation.wait(CUT_MS // 60)
+    counter = _TrafficCounter(simulation)
+    simulation.cut_regions = set()
+    simulation.cut_from_log = set()
+    return _wait_for_all(simulation, counter)
 
 
-class _Meter:
-    """Counts messages and their bytes, encoding one of each size."""
+class _TrafficCounter:
+    """Counts messages and their bytes; each distinct message is encoded once."""
 
-    def __init__(self, rig: Rig) -> None:
+    def __init__(self, simulation: ConfigurationSimulation) -> None:
         self.bytes = 0
-        self._messages = rig.messages
-        self._reads = rig.reads
-        self._records = rig.read_records
+        self._messages = simulation.messages
+        self._reads = simulation.reads
+        self._records = simulation.read_records
         self._sizes: dict[int, int] = {}
-        rig.on_message = self._count
+        simulation.on_message = self._count
 
-    def figures(self, rig: Rig, first_ms: int, last_ms: int) -> RecoveryFigures:
-        """Return what was counted."""
+    def figures(
+        self, simulation: ConfigurationSimulation, first_ms: int, last_ms: int
+    ) -> RecoveryFigures:
+        """Return the counts since the start, with the times."""
         return RecoveryFigures(
             first_ms,
             last_ms,
-            rig.messages - self._messages,
+            simulation.messages - self._messages,
             self.bytes,
-            rig.reads - self._reads,
-            rig.read_records - self._records,
-            rig.log.appends,
+            simulation.reads - self._reads,
+            simulation.read_records - self._records,
+            simulation.log.appends,
         )
 
     def _count(self, sender: str, action: SendPeer) -> None:
@@ -176,31 +182,35 @@
         self.bytes += self._sizes[key]
 
 
-def _wait_for_all(rig: Rig, meter: _Meter) -> RecoveryFigures:
-    begun_ms = rig.now_ms
+def _wait_for_all(
+    simulation: ConfigurationSimulation, counter: _TrafficCounter
+) -> RecoveryFigures:
+    start_ms = simulation.now_ms
     first_ms = 0
-    while rig.now_ms - begun_ms < LIMIT_MS:
-        rig.wait(STEP_MS)
-        newest = max(keeper.state.offset for keeper in rig.keepers.values())
+    while simulation.now_ms - start_ms < TIMEOUT_MS:
+        simulation.wait(STEP_MS)
+        newest = max(manager.state.offset for manager in simulation.managers.values())
         done = [
-            keeper.ready and keeper.state.offset == newest and newest >= 0
-            for keeper in rig.keepers.values()
+            manager.ready and manager.state.offset == newest and newest >= 0
+            for manager in simulation.managers.values()
         ]
         if any(done) and not first_ms:
-            first_ms = rig.now_ms - begun_ms
+            first_ms = simulation.now_ms - start_ms
         if all(done):
-            return meter.figures(rig, first_ms, rig.now_ms - begun_ms)
+            return counter.figures(simulation, first_ms, simulation.now_ms - start_ms)
     raise RuntimeError(f'{done.count(False)} instances are without a configuration')
 
 
-def _make_row(name: str, figures: RecoveryFigures, usual: RecoveryFigures) -> BenchRow:
+def _make_row(
+    name: str, figures: RecoveryFigures, baseline: RecoveryFigures
+) -> BenchRow:
     suffix = (
-        f'{figures.messages} messages, {figures.bytes // KB} KB, '
+        f'{figures.messages} messages, {figures.bytes // BYTES_PER_KB} KB, '
         f'{figures.log_reads} reads of {figures.log_records} records'
     )
     return make_row(
         f'{name}, {MEMBERS} instances: {suffix}',
         figures.last_ms / MS_PER_S,
         's',
-        usual.last_ms / MS_PER_S,
+        baseline.last_ms / MS_PER_S,
     )
--- a/benches/configuration_rig.py
+++ b/benches/configuration_rig.py
@@ -1,4 +1,4 @@
-"""Many configuration keepers over a lossy network, on a virtual clock."""
+"""Configuration managers in a lossy network on a virtual clock."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def make_contract(organisation: str, pool_share: float = 0.0005) -> dict[str, Any]:
-    """Return a contract as large as an ordinary one."""
+    """Return a contract of ordinary size."""
     token_hash = random.Random(organisation).randbytes(32).hex()
     classes = [
         {
@@ -59,7 +59,7 @@
 
 
 def make_endpoint(name: str, state: str = 'active') -> dict[str, Any]:
-    """Return a model engine."""
+    """Return the document of a model engine."""
     return {
         'endpoint': name,
         'dialect': 'openai',
@@ -75,7 +75,7 @@
 
 
 class FakeLog:
-    """Streams of records with offsets, an outage switch and a retention."""
+    """A log of record streams that can be unavailable and expire records."""
 
     def __init__(self) -> None:
         self.streams: dict[str, list[bytes]] = {}
@@ -86,7 +86,7 @@
         self.reads = 0
 
     def append(self, action: AppendRecord) -> AppendFinished:
-        """Append, or refuse, or lose the reply."""
+        """Append a record, refuse it, or lose the reply."""
         if not self.is_up:
             return AppendFinished(action.append_id, action.stream, 'refused')
         records = self.streams.setdefault(action.stream, [])
@@ -98,29 +98,29 @@
         return AppendFinished(action.append_id, action.stream, 'appended', offset)
 
     def read(self, action: ReadRecords) -> RecordsRead:
-        """Return records from an offset on, without those that expired."""
+        """Return records from an offset on, without expired ones."""
         self.reads += 1
         if not self.is_up:
             return RecordsRead(action.stream, ok=False)
         records = self.streams.get(action.stream, [])
         first = self.first_offsets.get(action.stream, 0)
         start = max(first, action.from_offset)
-        taken = records[start : start + action.max_records]
+        found = records[start : start + action.max_records]
         return RecordsRead(
             action.stream,
             ok=True,
-            records=tuple(LogRecord(start + i, each) for i, each in enumerate(taken)),
+            records=tuple(LogRecord(start + i, each) for i, each in enumerate(found)),
             first_offset=first,
             end_offset=len(records),
         )
 
     def expire(self, stream: str, before_offset: int) -> None:
-        """Serve no records below an offset any more."""
+        """Expire all records below an offset."""
         self.first_offsets[stream] = before_offset
 
 
-class Applied(NamedTuple):
-    """When a member had a change in force."""
+class ChangeInForce(NamedTuple):
+    """The time at which a change came into force at a member."""
 
     instance: str
     item: str
@@ -128,8 +128,8 @@
     at_ms: int
 
 
-class Rig:
-    """Members, a network with loss and delays, and a log."""
+class ConfigurationSimulation:
+    """Simulates members, a network with loss and delays, and a log."""
 
     def __init__(
         self,
@@ -145,13 +145,13 @@
         self.log = FakeLog()
         self.now_ms = 0
         self.addresses: dict[str, MemberAddress] = {}
-        self.keepers: dict[str, ConfigurationKeeper] = {}
+        self.managers: dict[str, ConfigurationKeeper] = {}
         self.views: dict[str, MemberView] = {}
-        self.applied: list[Applied] = []
+        self.applied: list[ChangeInForce] = []
         self.replies: dict[str, OperatorReply] = {}
         self.messages = 0
         self.reads = 0
-        self.log_is_cut_from: set[str] = set()
+        self.cut_from_log: set[str] = set()
         self.late_append_ms = 0
         self.log_latency_ms = LOG_LATENCY_MS
         self.cut_regions: set[str] = set()
@@ -161,28 +161,28 @@
         self._count = 0
 
     def add(self, name: str, region: str = 'north', domain: str = 'north-1') -> None:
-        """Start a member; all members see it at once."""
+        """Start a member; it is in the views of all members at once."""
         incarnation = self.now_ms + 1
         address = MemberAddress(name, incarnation, region, domain, name, 1, 2)
         self.addresses[name] = address
         rng = random.Random(self.rng.random())
-        keeper = ConfigurationKeeper(self.settings, address, rng)
-        self.keepers[name] = keeper
-        self._refresh()
-        self.after(rng.randrange(self.tick_ms), lambda: self._tick(name, keeper))
+        manager = ConfigurationKeeper(self.settings, address, rng)
+        self.managers[name] = manager
+        self._update_views()
+        self.after(rng.randrange(self.tick_ms), lambda: self._tick(name, manager))
 
     def stop(self, name: str) -> None:
-        """End a member; all members see it at once."""
-        del self.addresses[name], self.keepers[name]
-        self._refresh()
+        """Stop a member; it leaves the views of all members at once."""
+        del self.addresses[name], self.managers[name]
+        self._update_views()
 
     def after(self, delay_ms: int, callback: Callable[[], None]) -> None:
-        """Call back later."""
+        """Schedule a callback after a delay."""
         self._count += 1
         heapq.heappush(self._events, (self.now_ms + delay_ms, self._count, callback))
 
     def run(self, until_ms: int) -> None:
-        """Advance the clock."""
+        """Advance the clock to a time."""
         while self._events and self._events[0][0] <= until_ms:
             self.now_ms, _, callback = heapq.heappop(self._events)
             callback()
@@ -193,33 +193,33 @@
         self.run(self.now_ms + duration_ms)
 
     def propose(self, name: str, item: str, base: int, document: Any) -> str:
-        """Propose a change at a member and return the command's id."""
+        """Propose a change at a member and return the id of the command."""
         self._count += 1
         command_id = f'command-{self._count}'
-        actions = self.keepers[name].propose(
+        actions = self.managers[name].propose(
             command_id, 'asha', item, base, document, 'a test', self.now_ms
         )
         self.perform(name, actions)
         return command_id
 
     def perform(self, name: str, actions: list[Any]) -> None:
-        """Carry out a member's actions."""
-        keeper = self.keepers[name]
-        for change in keeper.take_changes():
+        """Execute the actions of a member."""
+        manager = self.managers[name]
+        for change in manager.take_changes():
             self.applied.append(
-                Applied(name, change.item, change.to_version, self.now_ms)
+                ChangeInForce(name, change.item, change.to_version, self.now_ms)
             )
         for action in actions:
             if isinstance(action, SendPeer):
                 self._send(name, action)
             elif isinstance(action, ReadRecords):
-                self._read(name, keeper, action)
+                self._read(name, manager, action)
             elif isinstance(action, AppendRecord):
-                self._append(name, keeper, action)
+                self._append(name, manager, action)
             elif isinstance(action, OperatorReply):
                 self.replies[action.command_id] = action
 
-    def _refresh(self) -> None:
+    def _update_views(self) -> None:
         alive = tuple(sorted(self.addresses.values()))
         by_instance = dict(self.addresses)
         self.views = {
@@ -227,11 +227,11 @@
             for name, address in self.addresses.items()
         }
 
-    def _tick(self, name: str, keeper: ConfigurationKeeper) -> None:
-        if self.keepers.get(name) is not keeper:
+    def _tick(self, name: str, manager: ConfigurationKeeper) -> None:
+        if self.managers.get(name) is not manager:
             return
-        self.perform(name, keeper.tick(self.views[name], {}, self.now_ms))
-        self.after(self.tick_ms, lambda: self._tick(name, keeper))
+        self.perform(name, manager.tick(self.views[name], {}, self.now_ms))
+        self.after(self.tick_ms, lambda: self._tick(name, manager))
 
     def _send(self, name: str, action: SendPeer) -> None:
         self.messages += 1
@@ -250,31 +250,31 @@
         self.after(delay_ms, lambda: self._deliver(name, action))
 
     def _deliver(self, sender: str, action: SendPeer) -> None:
-        keeper = self.keepers.get(action.instance)
-        if keeper is None:
+        manager = self.managers.get(action.instance)
+        if manager is None:
             return
         view = self.views[action.instance]
-        actions = keeper.receive(sender, action.message, view, self.now_ms)
+        actions = manager.receive(sender, action.message, view, self.now_ms)
         self.perform(action.instance, actions)
 
     def _read(
-        self, name: str, keeper: ConfigurationKeeper, action: ReadRecords
+        self, name: str, manager: ConfigurationKeeper, action: ReadRecords
     ) -> None:
         self.reads += 1
-        if name in self.log_is_cut_from:
+        if name in self.cut_from_log:
             read = RecordsRead(action.stream, ok=False)
         else:
             read = self.log.read(action)
         self.read_records += len(read.records)
 
-        def answer() -> None:
-            if self.keepers.get(name) is keeper:
-                self.perform(name, keeper.records_read(read, self.now_ms))
+        def respond() -> None:
+            if self.managers.get(name) is manager:
+                self.perform(name, manager.records_read(read, self.now_ms))
 
-        self.after(self.log_latency_ms, answer)
+        self.after(self.log_latency_ms, respond)
 
     def _append(
-        self, name: str, keeper: ConfigurationKeeper, action: AppendRecord
+        self, name: str, manager: ConfigurationKeeper, action: AppendRecord
     ) -> None:
         finished = AppendFinished(action.append_id, action.stream, 'unknown')
         if self.late_append_ms:
@@ -282,11 +282,11 @@
         else:
             finished = self.log.append(action)
 
-        def answer() -> None:
-            if self.keepers.get(name) is keeper:
-                self.perform(name, keeper.append_finished(finished, self.now_ms))
+        def respond() -> None:
+            if self.managers.get(name) is manager:
+                self.perform(name, manager.append_finished(finished, self.now_ms))
 
-        self.after(self.log_latency_ms, answer)
+        self.after(self.log_latency_ms, respond)
 
     def _append_late(self, action: AppendRecord) -> None:
         self.log.append(action)
--- a/benches/daemon.py
+++ b/benches/daemon.py
@@ -1,4 +1,4 @@
-"""What the daemon adds to a direct connection to the same engine."""
+"""Overhead of the daemon compared with a direct connection to the same engine."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from benches.bench_row import BenchRow, make_row
 from benches.daemon_rig import (
     BYTES_PER_KB,
-    RigSettings,
+    EngineRate,
     connect,
     run_daemon_process,
     serve_engine,
@@ -34,8 +34,8 @@
 def run(repeats: int, rng: Random) -> list[BenchRow]:  # noqa: ARG001
     """Return first-token time, processor time and memory of the daemon.
 
-    :param repeats: how often each figure is taken; the median counts.
-    :param rng: not used; the load is the same each time.
+    :param repeats: number of measurements, of which the median is returned.
+    :param rng: not used; the load is always the same.
     """
     return asyncio.run(_run(repeats))
 
@@ -51,7 +51,7 @@
 async def _measure_first_token(
     engine: PacedEngine, daemon: DaemonProcess, repeats: int
 ) -> list[BenchRow]:
-    engine.settings = RigSettings(1, 1.0)
+    engine.settings = EngineRate(1, 1.0)
     direct: list[float] = []
     routed: list[float] = []
     spent_ms: list[float] = []
@@ -72,10 +72,15 @@
         )
     ]
     for name, share in (('median', 50), ('95 in 100', 95)):
-        far = statistics.quantiles(routed, n=100)[share - 1]
-        near = statistics.quantiles(direct, n=100)[share - 1]
+        routed_quantile = statistics.quantiles(routed, n=100)[share - 1]
+        direct_quantile = statistics.quantiles(direct, n=100)[share - 1]
         rows.append(
-            make_row(f'first token through the daemon, {name}', far, 'ms', near)
+            make_row(
+                f'first token through the daemon, {name}',
+                routed_quantile,
+                'ms',
+                direct_quantile,
+            )
         )
     return rows
 
@@ -85,11 +90,11 @@
     caller = await connect(port)
     times_ms = []
     for _ in range(FIRST_TOKEN_CALLS):
-        begin_s = loop.time()
+        start_s = loop.time()
         caller.send()
         first_s = await caller.first
         await caller.done
-        times_ms.append((first_s - begin_s) * MS_PER_S)
+        times_ms.append((first_s - start_s) * MS_PER_S)
     caller.transport.close()
     return times_ms
 
@@ -97,7 +102,7 @@
 async def _measure_processor(
     engine: PacedEngine, daemon: DaemonProcess, repeats: int
 ) -> list[BenchRow]:
-    engine.settings = RigSettings(TOKENS, GAP_MS)
+    engine.settings = EngineRate(TOKENS, GAP_MS)
     routed: list[float] = []
     direct: list[float] = []
     for _ in range(repeats):
@@ -140,7 +145,7 @@
 
 
 async def _measure_memory(engine: PacedEngine, daemon: DaemonProcess) -> list[BenchRow]:
-    engine.settings = RigSettings(1_000_000, 5_000.0)
+    engine.settings = EngineRate(1_000_000, 5_000.0)
     before_kb = daemon.read_memory_kb()
     callers = [await connect(daemon.port) for _ in range(OPEN_STREAMS)]
     await asyncio.sleep(0.5)
--- a/benches/daemon_rig.py
+++ b/benches/daemon_rig.py
@@ -1,4 +1,4 @@
-"""A daemon in a process of its own, with light parties around it."""
+"""A daemon in a separate process, with lightweight callers and a simple engine."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from collections.abc import AsyncIterator
 
 HOST = '127.0.0.1'
-TOKEN = 'caller'
+CALLER_TOKEN = 'caller'
 OPERATOR_TOKEN = 'operator'
 BYTES_PER_KB = 1_024
 HEAD_END = b'\r\n\r\n'
@@ -34,49 +34,49 @@
 )
 
 
-class RigSettings(NamedTuple):
-    """How fast the engine is; ``tokens`` for each stream."""
+class EngineRate(NamedTuple):
+    """The token rate of the engine; ``tokens`` is the length of each stream."""
 
     tokens: int
     gap_ms: float
 
 
 class PacedEngine:
-    """Writes one event for every open stream at each step, and nothing else.
+    """Writes one event for every open stream at each step.
 
-    It stands for an engine whose own cost does not matter here.
+    It replaces an engine whose own cost is not measured.
     """
 
     def __init__(self) -> None:
-        self.settings = RigSettings(1, 0.0)
+        self.settings = EngineRate(1, 0.0)
         self.port = 0
         self._streams: dict[asyncio.Transport, int] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     def open(self, transport: asyncio.Transport) -> None:
-        """Begin a stream; its first token leaves at once."""
+        """Open a stream and send its first token at once."""
         transport.write(STREAM_HEAD)
         self._streams[transport] = 0
-        self._step_one(transport)
+        self._write_event(transport)
         if self._timer is None:
             self._schedule()
 
     def close(self, transport: asyncio.Transport) -> None:
-        """Forget a stream."""
+        """Remove a stream."""
         self._streams.pop(transport, None)
 
     def _schedule(self) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self.settings.gap_ms / 1_000, self._step)
+        self._timer = loop.call_later(self.settings.gap_ms / 1_000, self._write_events)
 
-    def _step(self) -> None:
+    def _write_events(self) -> None:
         self._timer = None
         for transport in tuple(self._streams):
-            self._step_one(transport)
+            self._write_event(transport)
         if self._streams:
             self._schedule()
 
-    def _step_one(self, transport: asyncio.Transport) -> None:
+    def _write_event(self, transport: asyncio.Transport) -> None:
         number = self._streams[transport]
         data = (
             b'id: %d\ndata: {"choices":[{"index":0,"delta":{"content":" token"}}],'
@@ -93,25 +93,25 @@
 
 
 class EngineProtocol(asyncio.Protocol):
-    """Just enough HTTP: a completion opens a stream, the rest is answered."""
+    """Minimal HTTP: a completion opens a stream, other requests get 404."""
 
     def __init__(self, engine: PacedEngine) -> None:
         self._engine = engine
         self._buffer = b''
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
-        """Forget the stream."""
+        """Remove the stream of the connection."""
         self._engine.close(self._transport)
 
     def data_received(self, data: bytes) -> None:
-        """Take requests one by one."""
+        """Handle one complete request at a time."""
         self._buffer += data
-        head, mark, rest = self._buffer.partition(HEAD_END)
-        if not mark:
+        head, separator, rest = self._buffer.partition(HEAD_END)
+        if not separator:
             return
         length = 0
         for line in head.lower().split(b'\r\n'):
@@ -129,7 +129,7 @@
 
 
 class StreamCaller(asyncio.Protocol):
-    """Reads one stream and notes when its first token and its end came."""
+    """Reads one stream and records the times of its first token and its end."""
 
     def __init__(self, request: bytes) -> None:
         self._request = request
@@ -140,7 +140,7 @@
         self.done = asyncio.get_running_loop().create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = transport
 
     def send(self) -> None:
@@ -153,12 +153,12 @@
         self.transport.write(self._request)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002
-        """End the wait."""
+        """Resolve the pending future."""
         if not self.done.done():
             self.done.set_result(False)
 
     def data_received(self, data: bytes) -> None:
-        """Look for the first token and the end."""
+        """Detect the first token and the end of the stream."""
         if not self.status:
             self.status = data[9:12]
         if not self.first.done() and b'token' in data:
@@ -171,8 +171,8 @@
             self.done.set_result(True)
 
 
-def write_request(target: str = '/v1/chat/completions') -> bytes:
-    """Return a caller's request as bytes."""
+def encode_request(target: str = '/v1/chat/completions') -> bytes:
+    """Return the request of a caller as bytes."""
     body = json.dumps(
         {
             'model': 'm',
@@ -181,7 +181,7 @@
         }
     ).encode()
     return (
-        f'POST {target} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {TOKEN}\r\n'
+        f'POST {target} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {CALLER_TOKEN}\r\n'
         f'x-request-class: c\r\ncontent-length: {len(body)}\r\n\r\n'
     ).encode() + body
 
@@ -190,24 +190,24 @@
     """Return a connected caller."""
     loop = asyncio.get_running_loop()
     _, caller = await loop.create_connection(
-        lambda: StreamCaller(write_request()), HOST, port
+        lambda: StreamCaller(encode_request()), HOST, port
     )
     return caller
 
 
 class DaemonProcess(NamedTuple):
-    """A daemon's process id and its port."""
+    """The process id and the port of a daemon."""
 
     pid: int
     port: int
 
     def read_processor_s(self) -> float:
-        """Return the processor time used so far, user and system."""
+        """Return the user and system processor time used so far."""
         fields = Path(f'/proc/{self.pid}/stat').read_text().rpartition(')')[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf('SC_CLK_TCK')
 
     def read_memory_kb(self) -> int:
-        """Return the resident memory."""
+        """Return the resident memory in KiB."""
         for line in Path(f'/proc/{self.pid}/status').read_text().splitlines():
             if line.startswith('VmRSS'):
                 return int(line.split()[1])
@@ -248,18 +248,18 @@
                 file.name,
                 stdout=asyncio.subprocess.PIPE,
             )
-            drain = None
+            log_reader = None
             try:
                 port = await _read_port(process)
-                drain = asyncio.create_task(_drain(process))
+                log_reader = asyncio.create_task(_discard_output(process))
                 await _configure(port, engine.port)
                 yield DaemonProcess(process.pid, port)
             finally:
                 with suppress(ProcessLookupError):
                     process.kill()
                 await process.wait()
-                if drain is not None:
-                    await drain
+                if log_reader is not None:
+                    await log_reader
 
 
 def _make_settings(log_port: int, list_port: int) -> dict[str, object]:
@@ -282,7 +282,7 @@
 
 
 async def _read_port(process: asyncio.subprocess.Process) -> int:
-    """Return the callers' port, which the process logs."""
+    """Return the port for callers from the log of the process."""
     if process.stdout is None:
         raise RuntimeError('the daemon has no standard output')
     async for line in process.stdout:
@@ -292,8 +292,8 @@
     raise RuntimeError('the daemon did not start')
 
 
-async def _drain(process: asyncio.subprocess.Process) -> None:
-    """Read the log to its end, so that the process never waits for it."""
+async def _discard_output(process: asyncio.subprocess.Process) -> None:
+    """Read the log until it ends, so that the pipe never blocks the process."""
     if process.stdout is not None:
         async for _ in process.stdout:
             pass
@@ -302,7 +302,7 @@
 async def _configure(port: int, engine_port: int) -> None:
     contract = {
         'organisation': 'bench',
-        'token_hashes': [hashlib.sha256(TOKEN.encode()).hexdigest()],
+        'token_hashes': [hashlib.sha256(CALLER_TOKEN.encode()).hexdigest()],
         'pool_share': 1.0,
         'requests_per_s': 100_000.0,
         'concurrent_requests': 100_000,
@@ -333,14 +333,14 @@
         'models': ['m'],
     }
     base = {'base_version': 0, 'why': 'bench'}
-    await _operate(
+    await _send_command(
         port, 'contract-amend', {**base, 'organisation': 'bench', 'document': contract}
     )
-    await _operate(port, 'endpoint-add', {**base, 'document': endpoint})
+    await _send_command(port, 'endpoint-add', {**base, 'document': endpoint})
     await _warm_up(port)
 
 
-async def _operate(port: int, verb: str, arguments: dict[str, object]) -> None:
+async def _send_command(port: int, verb: str, arguments: dict[str, object]) -> None:
     body = json.dumps(arguments).encode()
     head = (
         f'POST /v1/operator/{verb} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n'
@@ -351,15 +351,15 @@
         while True:
             reader, writer = await asyncio.open_connection(HOST, port)
             writer.write(head + body)
-            answer = await reader.read()
+            response = await reader.read()
             writer.close()
-            if b' 200 ' in answer[:16]:
+            if b' 200 ' in response[:16]:
                 return
             await asyncio.sleep(0.1)
 
 
 async def _warm_up(port: int) -> None:
-    """Wait until the daemon answers requests, and let it settle."""
+    """Wait until a request to the daemon succeeds."""
     async with asyncio.timeout(30):
         caller = await connect(port)
         while True:
--- a/benches/duty_holders.py
+++ b/benches/duty_holders.py
@@ -1,7 +1,7 @@
-"""Two ways to hold a duty: a lease of claims in a topic, and a group joined on the store.
+"""Compares two ways to assign a duty: a lease by claims in a topic, and a group.
 
-How long nobody holds the duty after a fault, and how many calls each way makes, in a model of
-the store on virtual time.
+The group is joined on the store. Measured are the time without a holder after a
+fault and the calls of each way, with a simulated store on virtual time.
 """
 
 from __future__ import annotations
@@ -38,19 +38,19 @@
 SEEDS = range(12)
 STEADY_MS = 30_000
 FAULT_MS = 4_000
-AFTER_MS = 16_000
-LOOK_MS = 20
-# A member of a group is silent for this long before another one gets its part, and joins
-# three times as often.  The store takes no shorter time than a second.
+OBSERVED_MS = 16_000
+POLL_INTERVAL_MS = 20
+# A member of a group that has not joined for this long loses its partition; members
+# join three times as often.  The store accepts no time below 1 s.
 GROUP_TTL_MS = 1_500
-JOIN_MS = 500
+JOIN_INTERVAL_MS = 500
 JOIN_MARGIN_MS = 100
-# A call that joins counts as this part of another call.
+# A join counts as this share of another call.
 JOIN_WEIGHT = 0.1
 
 
 class GroupModel:
-    """The group with its one partition, as the store deals it."""
+    """A group with one partition, as the store assigns it."""
 
     def __init__(self) -> None:
         self.generation = 0
@@ -59,32 +59,32 @@
         self.joins = 0
 
     def join(self, member: str) -> tuple[int, bool]:
-        """Keep a member in the group; return the generation and whether it owns."""
+        """Refresh a member; return the generation and whether it owns the partition."""
         self.joins += 1
         now_ms = loop_ms()
         if member not in self.seen_ms:
             self.generation += 1
         self.seen_ms[member] = now_ms
-        for silent in [
+        for expired in [
             each
             for each, seen_ms in self.seen_ms.items()
             if now_ms - seen_ms > GROUP_TTL_MS
         ]:
-            del self.seen_ms[silent]
+            del self.seen_ms[expired]
             self.generation += 1
         if self.owner not in self.seen_ms:
             self.owner = member
             self.generation += 1
         return self.generation, self.owner == member
 
-    def deal(self, rng: random.Random) -> None:
-        """Deal the partition anew, unasked."""
+    def reassign(self, rng: random.Random) -> None:
+        """Reassign the partition without a request."""
         self.owner = rng.choice(sorted(self.seen_ms))
         self.generation += 1
 
 
 class GroupClaims(DutyClaims):
-    """Holds the duties for as long as the group says so; reports are settled as before."""
+    """Holds duties while it owns the partition; reports settle as with a lease."""
 
     group: GroupModel
     topic: InstanceTopic
@@ -95,9 +95,9 @@
     _next_ms = 0.0
 
     def tick(self, now_ms: int, *, should_hold: bool) -> list[ConditionalWrite]:
-        """Join from time to time."""
+        """Join the group at each interval."""
         if should_hold and now_ms >= self._next_ms:
-            self._next_ms = now_ms + JOIN_MS
+            self._next_ms = now_ms + JOIN_INTERVAL_MS
             self._joining = asyncio.get_running_loop().create_task(self._join(now_ms))
         return []
 
@@ -106,157 +106,159 @@
             await self.topic.reach_store()
         except StoreUnavailableError:
             return
-        generation, owns = self.group.join(self.member)
+        generation, is_owner = self.group.join(self.member)
         self._generation = generation
-        self._until_ms = now_ms + GROUP_TTL_MS - JOIN_MARGIN_MS if owns else 0.0
+        self._until_ms = now_ms + GROUP_TTL_MS - JOIN_MARGIN_MS if is_owner else 0.0
 
     def fencing_number(self, now_ms: int) -> int | None:
-        """Return era and generation while the partition is this member's."""
+        """Return era and generation while this member owns the partition."""
         if now_ms >= self._until_ms or self._store_era.current != self.records.era:
             return None
         return number_in_era(self.records.era, self._generation)
 
 
-class Outcome(NamedTuple):
-    """What one play of a fault showed."""
+class FaultOutcome(NamedTuple):
+    """The result of one simulated fault."""
 
     gap_ms: float
     calls_per_minute: float
 
 
 class Fault(NamedTuple):
-    """What happens to the holder or to the store, and how long it lasts."""
+    """A fault of the holder or of the store; ``inject`` returns when it is over."""
 
     name: str
-    strike: Callable[[DutySimulation, int], Awaitable[None]]
+    inject: Callable[[DutySimulation, int], Awaitable[None]]
 
 
-async def _kill(world: DutySimulation, holder: int) -> None:
-    world.instances[holder].kill()
+async def _kill(simulation: DutySimulation, holder: int) -> None:
+    simulation.instances[holder].kill()
     await sleep_ms(FAULT_MS)
 
 
-async def _freeze(world: DutySimulation, holder: int) -> None:
-    world.instances[holder].connection.pause()
+async def _suspend(simulation: DutySimulation, holder: int) -> None:
+    simulation.instances[holder].connection.pause()
     await sleep_ms(FAULT_MS)
-    world.instances[holder].connection.resume()
+    simulation.instances[holder].connection.resume()
 
 
-async def _cut(world: DutySimulation, holder: int) -> None:
-    world.instances[holder].connection.cut_from_store = True
+async def _cut_from_store(simulation: DutySimulation, holder: int) -> None:
+    simulation.instances[holder].connection.cut_from_store = True
     await sleep_ms(FAULT_MS)
-    world.instances[holder].connection.cut_from_store = False
+    simulation.instances[holder].connection.cut_from_store = False
 
 
-async def _store_down(world: DutySimulation, holder: int) -> None:
+async def _store_down(simulation: DutySimulation, holder: int) -> None:
     del holder
-    world.store.is_down = True
+    simulation.store.is_down = True
     await sleep_ms(FAULT_MS)
-    world.store.is_down = False
+    simulation.store.is_down = False
 
 
-async def _store_slow(world: DutySimulation, holder: int) -> None:
+async def _store_slow(simulation: DutySimulation, holder: int) -> None:
     del holder
-    world.store.faults = CallFaults(slow_ms=230)
+    simulation.store.faults = CallFaults(slow_ms=230)
     await sleep_ms(FAULT_MS)
-    world.store.faults = CallFaults()
+    simulation.store.faults = CallFaults()
 
 
-async def _answers_lost(world: DutySimulation, holder: int) -> None:
+async def _lose_responses(simulation: DutySimulation, holder: int) -> None:
     del holder
-    world.store.faults = CallFaults(lost=0.3)
+    simulation.store.faults = CallFaults(lost=0.3)
     await sleep_ms(FAULT_MS)
-    world.store.faults = CallFaults()
+    simulation.store.faults = CallFaults()
 
 
-async def _older_copy(world: DutySimulation, holder: int) -> None:
+async def _restore_older_copy(simulation: DutySimulation, holder: int) -> None:
     del holder
-    world.store.restore_older_copy(3_000)
+    simulation.store.restore_older_copy(3_000)
 
 
-async def _dealt_anew(world: DutySimulation, holder: int) -> None:
+async def _reassign_partition(simulation: DutySimulation, holder: int) -> None:
     del holder
-    if hasattr(world, 'group'):
-        world.group.deal(world.rng)
+    if hasattr(simulation, 'group'):
+        simulation.group.reassign(simulation.rng)
 
 
 FAULTS = (
     Fault('holder killed', _kill),
-    Fault('holder paused 4 s', _freeze),
-    Fault('holder cut from the store 4 s', _cut),
+    Fault('holder paused 4 s', _suspend),
+    Fault('holder cut from the store 4 s', _cut_from_store),
     Fault('store down 4 s', _store_down),
     Fault('store slow 4 s', _store_slow),
-    Fault('3 of 10 answers lost 4 s', _answers_lost),
-    Fault('store back from an older copy', _older_copy),
-    Fault('all parts dealt anew', _dealt_anew),
+    Fault('3 of 10 answers lost 4 s', _lose_responses),
+    Fault('store back from an older copy', _restore_older_copy),
+    Fault('all parts dealt anew', _reassign_partition),
 )
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:
-    """Return the longest time without a holder, and the calls, of both ways."""
+    """Return the longest time without a holder and the calls of both ways."""
     del repeats, rng
     rows = []
     for fault in FAULTS:
-        lease = [_play(seed, fault, joined=False) for seed in SEEDS]
-        group = [_play(seed, fault, joined=True) for seed in SEEDS]
+        lease = [_simulate(seed, fault, use_group=False) for seed in SEEDS]
+        group = [_simulate(seed, fault, use_group=True) for seed in SEEDS]
         for name, pick in (('median', statistics.median), ('worst', max)):
-            of_group = pick(each.gap_ms for each in group)
-            of_lease = pick(each.gap_ms for each in lease)
+            group_value = pick(each.gap_ms for each in group)
+            lease_value = pick(each.gap_ms for each in lease)
             label = f'no holder, {fault.name}, {name}: lease (baseline: group)'
-            rows.append(make_row(label, of_lease, 'ms', of_group))
+            rows.append(make_row(label, lease_value, 'ms', group_value))
     calls = [each.calls_per_minute for each in lease]
-    of_group = [each.calls_per_minute for each in group]
+    group_value = [each.calls_per_minute for each in group]
     label = 'calls of three candidates: lease (baseline: group)'
     unit = 'calls/min'
     rows.append(
-        make_row(label, statistics.median(calls), unit, statistics.median(of_group))
+        make_row(label, statistics.median(calls), unit, statistics.median(group_value))
     )
     return rows
 
 
-def _play(seed: int, fault: Fault, *, joined: bool) -> Outcome:
-    async def main() -> Outcome:
-        world: Any = DutySimulation(seed)
-        if joined:
-            world.group = GroupModel()
-            for each in world.instances:
-                _join_group(world, each)
+def _simulate(seed: int, fault: Fault, *, use_group: bool) -> FaultOutcome:
+    async def main() -> FaultOutcome:
+        simulation: Any = DutySimulation(seed)
+        if use_group:
+            simulation.group = GroupModel()
+            for each in simulation.instances:
+                _join_group(simulation, each)
         await sleep_ms(STEADY_MS + seed * 130)
-        calls_per_minute = _calls(world) * 60_000 / loop_ms()
-        while world.holder() is None:
-            await sleep_ms(LOOK_MS)
-        strike = asyncio.create_task(fault.strike(world, world.holder()))
-        longest_ms = await _longest_gap(world)
-        await strike
-        world.stop()
-        return Outcome(longest_ms, calls_per_minute)
+        calls_per_minute = _count_calls(simulation) * 60_000 / loop_ms()
+        while simulation.holder() is None:
+            await sleep_ms(POLL_INTERVAL_MS)
+        injection = asyncio.create_task(fault.inject(simulation, simulation.holder()))
+        longest_ms = await _longest_gap(simulation)
+        await injection
+        simulation.stop()
+        return FaultOutcome(longest_ms, calls_per_minute)
 
     return run_simulation(main())
 
 
-def _join_group(world: Any, instance: Instance) -> None:
+def _join_group(simulation: Any, instance: Instance) -> None:
     claims = instance.claims
     claims.__class__ = GroupClaims
-    claims.group = world.group
+    claims.group = simulation.group
     claims.member = instance.name
     claims.topic = instance.worker._topic
 
 
-def _calls(world: Any) -> float:
-    if not hasattr(world, 'group'):
-        return float(world.store.calls)
-    others = world.store.calls - world.group.joins
-    return float(others + JOIN_WEIGHT * world.group.joins)
+def _count_calls(simulation: Any) -> float:
+    if not hasattr(simulation, 'group'):
+        return float(simulation.store.calls)
+    others = simulation.store.calls - simulation.group.joins
+    return float(others + JOIN_WEIGHT * simulation.group.joins)
 
 
-async def _longest_gap(world: DutySimulation) -> float:
-    """Return the longest time in which no living instance held the duties."""
+async def _longest_gap(simulation: DutySimulation) -> float:
+    """Return the longest time in which no available instance held the duties."""
     longest_ms = 0.0
     since_ms: float | None = None
-    end_ms = loop_ms() + AFTER_MS
+    end_ms = loop_ms() + OBSERVED_MS
     while loop_ms() < end_ms:
-        await sleep_ms(LOOK_MS)
-        holds = any(each.is_holder() for each in world.instances if each.is_available())
+        await sleep_ms(POLL_INTERVAL_MS)
+        holds = any(
+            each.is_holder() for each in simulation.instances if each.is_available()
+        )
         if holds:
             since_ms = None
             continue
--- a/benches/gateway_choice.py
+++ b/benches/gateway_choice.py
@@ -1,4 +1,4 @@
-"""Cost of a gateway's choice among a model's engines."""
+"""Cost of the choice of an engine in a gateway."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from savorychute.gateway.dispatch.chooser import Chooser
 
-# Engines of one model: on the users' grown sites, and at the target size.
+# Engines of one model: on the grown sites of users, and at the target size.
 ENGINES = (45, 160)
 PROMPTS = 200
 DECISIONS = 1_000
@@ -28,10 +28,10 @@
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:
-    """Return the cost of one choice beside that of the fewest outstanding requests.
+    """Return the cost of one choice, compared with least-outstanding routing.
 
-    :param repeats: rounds; the quickest counts.
-    :param rng: gives the seeds.
+    :param repeats: number of rounds, of which the fastest is returned.
+    :param rng: generates the seeds.
     """
     load_choosers()
     return [_measure(engines, repeats, rng) for engines in ENGINES]
@@ -41,7 +41,7 @@
     costs = {}
     for name in ('prompt-cache', 'least-outstanding'):
         chooser = CHOOSERS.get(name)('hall', random.Random(rng.getrandbits(32)))
-        costs[name] = min(_cost_us(chooser, engines) for _ in range(repeats))
+        costs[name] = min(_measure_us(chooser, engines) for _ in range(repeats))
     return make_row(
         f'choice among {engines} engines',
         costs['prompt-cache'],
@@ -50,21 +50,21 @@
     )
 
 
-def _cost_us(chooser: Chooser, engines: int) -> float:
-    records = [EndpointRecord(_entry(number)) for number in range(engines)]
-    needs = [
-        RequestRequirements(_prompt(n), GAP_TARGET_MS, TARGET_MS)
+def _measure_us(chooser: Chooser, engines: int) -> float:
+    records = [EndpointRecord(_make_entry(number)) for number in range(engines)]
+    requirements = [
+        RequestRequirements(_make_prompt(n), GAP_TARGET_MS, TARGET_MS)
         for n in range(PROMPTS)
     ]
-    began_ns = time.process_time_ns()
+    start_ns = time.process_time_ns()
     for number in range(DECISIONS):
-        need = needs[number % PROMPTS]
-        chooser.endpoints_to_query(records, need, number)
-        chooser.choose(records, need, number)
-    return (time.process_time_ns() - began_ns) / NS_PER_US / DECISIONS
+        requirement = requirements[number % PROMPTS]
+        chooser.endpoints_to_query(records, requirement, number)
+        chooser.choose(records, requirement, number)
+    return (time.process_time_ns() - start_ns) / NS_PER_US / DECISIONS
 
 
-def _entry(number: int) -> EndpointEntry:
+def _make_entry(number: int) -> EndpointEntry:
     return EndpointEntry(
         endpoint=f'i-{number:010x}',
         service='pool',
@@ -76,6 +76,6 @@
     )
 
 
-def _prompt(number: int) -> Prompt:
+def _make_prompt(number: int) -> Prompt:
     parts = (PromptPart(f'shared-{number}', 13_300), PromptPart(f'own-{number}', 3_720))
     return Prompt('m', 17_020, 120, parts)
--- a/benches/leases.py
+++ b/benches/leases.py
@@ -1,4 +1,4 @@
-"""How soon a lost lease holder is followed, and what a lease costs the log."""
+"""Time until a lost lease holder is replaced, and the log traffic of a lease."""
 
 from __future__ import annotations
 
@@ -25,71 +25,71 @@
 MS_PER_S = 1_000
 
 
-class LeaseRig:
-    """Candidates for one lease, and a log that answers at once.
+class LeaseSimulation:
+    """Candidates for one lease and a log that responds at once.
 
-    :param seed: of the candidates' chance.
+    :param seed: seed of the candidates.
     """
 
     def __init__(self, seed: int) -> None:
         self.log = FakeLog()
         self.now_ms = 0
-        self.keepers = [
+        self.candidates = [
             LeaseKeeper(
                 LeaseSettings(), f'i{number}', random.Random(seed * 10 + number)
             )
             for number in range(CANDIDATES)
         ]
-        for keeper in self.keepers:
-            keeper.want(LEASE)
+        for candidate in self.candidates:
+            candidate.want(LEASE)
 
     def holder(self) -> LeaseKeeper | None:
-        """Return who holds the lease."""
-        for keeper in self.keepers:
-            if keeper.holds(LEASE, self.now_ms) is not None:
-                return keeper
+        """Return the candidate that holds the lease, or None."""
+        for candidate in self.candidates:
+            if candidate.holds(LEASE, self.now_ms) is not None:
+                return candidate
         return None
 
     def step(self) -> None:
         """Advance the clock by a step."""
         self.now_ms += STEP_MS
-        for keeper in self.keepers:
-            self.perform(keeper, keeper.tick(self.now_ms))
+        for candidate in self.candidates:
+            self.perform(candidate, candidate.tick(self.now_ms))
 
     def run(self, duration_ms: int) -> None:
         """Advance the clock by a duration."""
         for _ in range(0, duration_ms, STEP_MS):
             self.step()
 
-    def perform(self, keeper: LeaseKeeper, actions: list[Action]) -> None:
-        """Carry out a candidate's actions."""
+    def perform(self, candidate: LeaseKeeper, actions: list[Action]) -> None:
+        """Execute the actions of a candidate."""
         while actions:
             action = actions.pop(0)
             if isinstance(action, AppendRecord):
                 finished = self.log.append(action)
-                actions += keeper.append_finished(finished, self.now_ms)
+                actions += candidate.append_finished(finished, self.now_ms)
             elif isinstance(action, ReadRecords):
-                actions += keeper.records_read(self.log.read(action), self.now_ms)
+                actions += candidate.records_read(self.log.read(action), self.now_ms)
 
     def wait_for_holder(self) -> int:
-        """Return how long it takes until somebody holds, in milliseconds."""
-        begun_ms = self.now_ms
+        """Run until a candidate holds the lease; return the time in milliseconds."""
+        start_ms = self.now_ms
         while self.holder() is None:
             self.step()
-        return self.now_ms - begun_ms
+        return self.now_ms - start_ms
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:
-    """Measure on a virtual clock; the baseline is the lease's duration.
+    """Measure on a virtual clock; the baseline is the duration of the lease.
 
     :param repeats: not used, because the clock is virtual.
-    :param rng: chooses when the holder is lost.
+    :param rng: chooses the time at which the holder is lost.
     """
     del repeats
     duration_s = LeaseSettings().duration_ms / MS_PER_S
-    lost = [_follow_lost(seed, rng) / MS_PER_S for seed in range(SAMPLES)]
-    released = [_follow_released(seed, rng) / MS_PER_S for seed in range(SAMPLES)]
-    appends_per_s, reads_per_s = _count_calm_hour()
+    lost = [_measure_lost(seed, rng) / MS_PER_S for seed in range(SAMPLES)]
+    released = [_measure_released(seed, rng) / MS_PER_S for seed in range(SAMPLES)]
+    appends_per_s, reads_per_s = _count_quiet_hour()
     suffix = '/ duration of the lease'
     return [
         make_row(
@@ -117,27 +117,31 @@
     ]
 
 
-def _follow_lost(seed: int, rng: random.Random) -> int:
-    rig = LeaseRig(seed)
-    rig.run(SETTLE_MS + rng.randrange(SETTLE_MS))
-    rig.keepers = [keeper for keeper in rig.keepers if keeper is not rig.holder()]
-    return rig.wait_for_holder()
+def _measure_lost(seed: int, rng: random.Random) -> int:
+    simulation = LeaseSimulation(seed)
+    simulation.run(SETTLE_MS + rng.randrange(SETTLE_MS))
+    simulation.candidates = [
+        candidate
+        for candidate in simulation.candidates
+        if candidate is not simulation.holder()
+    ]
+    return simulation.wait_for_holder()
 
 
-def _follow_released(seed: int, rng: random.Random) -> int:
-    rig = LeaseRig(seed)
-    rig.run(SETTLE_MS + rng.randrange(SETTLE_MS))
-    holder = rig.holder()
+def _measure_released(seed: int, rng: random.Random) -> int:
+    simulation = LeaseSimulation(seed)
+    simulation.run(SETTLE_MS + rng.randrange(SETTLE_MS))
+    holder = simulation.holder()
     if holder is None:
-        raise RuntimeError('nobody holds the lease')
-    rig.perform(holder, holder.release(LEASE, rig.now_ms))
-    return rig.wait_for_holder()
+        raise RuntimeError('no candidate holds the lease')
+    simulation.perform(holder, holder.release(LEASE, simulation.now_ms))
+    return simulation.wait_for_holder()
 
 
-def _count_calm_hour() -> tuple[float, float]:
-    rig = LeaseRig(1)
-    rig.run(SETTLE_MS)
-    rig.log.appends = rig.log.reads = 0
-    rig.run(HOUR_MS)
+def _count_quiet_hour() -> tuple[float, float]:
+    simulation = LeaseSimulation(1)
+    simulation.run(SETTLE_MS)
+    simulation.log.appends = simulation.log.reads = 0
+    simulation.run(HOUR_MS)
     seconds = HOUR_MS / MS_PER_S
-    return rig.log.appends / seconds, rig.log.reads / seconds
+    return simulation.log.appends / seconds, simulation.log.reads / seconds
--- a/benches/ledger_rig.py
+++ b/benches/ledger_rig.py
@@ -1,4 +1,4 @@
-"""Ledgers that exchange messages in one process, on a virtual clock."""
+"""Credit ledgers that exchange messages in one process on a virtual clock."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def build_address(name, region='south'):
-    """Return where an instance is."""
+    """Return the address of an instance."""
     domain = f'hall-{sum(name.encode()) % 3}'
     return MemberAddress(name, 1, region, domain, '127.0.0.1', 0, 0)
 
 
 def build_endpoint(name, *, capacity=8, state='active', domain='hall-0', tokens=0):
-    """Return an engine as operators enter it."""
+    """Return the document of an engine."""
     return {
         'endpoint': name,
         'dialect': 'plain',
@@ -38,7 +38,7 @@
 
 
 def build_endpoints(count, **options):
-    """Return engines over three failure domains."""
+    """Return the documents of engines in three failure domains."""
     names = [f'engine-{number}' for number in range(count)]
     return {
         name: build_endpoint(name, domain=f'hall-{number % 3}', **options)
@@ -46,8 +46,8 @@
     }
 
 
-class LedgerRig:
-    """Instances with views that a test sets, and links that it cuts."""
+class LedgerSimulation:
+    """Instances whose member views and network links a test controls."""
 
     def __init__(self, endpoints, seed=1, settings=None):
         self.settings = settings or CreditSettings()
@@ -59,66 +59,66 @@
         self.cut = set()
         self.demand = {}
         self.sent = []
-        self._wires = []
+        self._deliveries = []
         self._count = 0
 
     def start(self, *names):
-        """Start instances that all see each other."""
+        """Start instances; each has all running ones in its view."""
         for name in names:
             ledger = CreditLedger(self.settings, name, random.Random(self.rng.random()))
             ledger.set_endpoints(self.endpoints)
             self.ledgers[name] = ledger
             self.demand[name] = {}
-        self.see_all()
+        self.set_all_alive()
 
     def stop(self, name):
-        """Kill an instance; the others still see it."""
+        """Kill an instance; it stays in the views of the others."""
         del self.ledgers[name]
 
-    def see(self, viewer, alive):
-        """Set who is alive for one instance."""
+    def set_alive(self, instance, alive):
+        """Set the living members in the view of one instance."""
         members = tuple(build_address(name) for name in sorted(alive))
-        self.views[viewer] = MemberView(build_address(viewer), members)
+        self.views[instance] = MemberView(build_address(instance), members)
 
-    def see_all(self):
-        """Let all see those that run."""
+    def set_all_alive(self):
+        """Set the view of every instance to all running instances."""
         for name in self.ledgers:
-            self.see(name, self.ledgers)
+            self.set_alive(name, self.ledgers)
 
     def run(self, duration_ms, each_step=None):
-        """Let time pass, a millisecond a step."""
+        """Advance the clock in steps of 1 ms."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += 1
-            while self._wires and self._wires[0][0] <= self.now_ms:
-                _, _, sender, receiver, message = heapq.heappop(self._wires)
+            while self._deliveries and self._deliveries[0][0] <= self.now_ms:
+                _, _, sender, receiver, message = heapq.heappop(self._deliveries)
                 if receiver in self.ledgers:
                     actions = self.ledgers[receiver].receive(
                         sender, message, self.views[receiver], self.now_ms
                     )
-                    self._post(receiver, actions)
+                    self._send(receiver, actions)
             if self.now_ms % TICK_MS == 0:
                 self._tick()
             if each_step is not None:
                 each_step()
 
     def home(self):
-        """Return the instance that the first one takes for the home."""
+        """Return the home instance according to the first instance."""
         first = next(iter(self.ledgers.values()))
         return next(iter(first._groups.holdings.values())).home
 
-    def level(self, name):
-        """Return what an instance may start now and what it runs, together."""
+    def entitlement(self, name):
+        """Return the number of requests that an instance can start now or runs."""
         ledger = self.ledgers[name]
         return self.available(name) + len(ledger._groups._uses)
 
     def available(self, name, tier=0):
-        """Return how many requests an instance may start now."""
+        """Return the number of requests that an instance can start now."""
         ledger = self.ledgers[name]
         return sum(ledger.available(e, tier) for e in self.endpoints)
 
-    def fill(self, name, tier, limit=10**6):
-        """Start as much as an instance may, and return the attempts."""
+    def start_requests(self, name, tier, limit=10**6):
+        """Start as many requests as an instance can, and return the attempts."""
         attempts = []
         for endpoint in self.endpoints:
             while len(attempts) < limit:
@@ -130,34 +130,34 @@
                 attempts.append(attempt)
         return attempts
 
-    def promised(self):
-        """Return the most that may run at each endpoint, by all instances."""
+    def committed_by_endpoint(self):
+        """Return by endpoint how many requests all instances run or can start."""
         totals = {}
         for ledger in self.ledgers.values():
             for endpoint in self.endpoints:
                 holding = ledger._groups.holdings[ledger._groups.group_of(endpoint).key]
                 in_use = holding.in_use.get(hash_name(endpoint), 0)
-                level = in_use + ledger.available(endpoint, 0)
-                totals[endpoint] = totals.get(endpoint, 0) + level
+                committed = in_use + ledger.available(endpoint, 0)
+                totals[endpoint] = totals.get(endpoint, 0) + committed
         return totals
 
-    def end(self, name, attempts):
-        """End attempts of an instance."""
+    def release_all(self, name, attempts):
+        """Release the credits of attempts of an instance."""
         for attempt in attempts:
             self.ledgers[name].release(attempt, self.now_ms)
 
-    def overcommit(self):
-        """Return by how much the promises exceed the capacity, as a share."""
+    def overcommit_share(self):
+        """Return by which share of the capacity the commitments exceed it."""
         capacity = sum(e['concurrent_requests'] for e in self.endpoints.values())
-        return max(0, sum(self.promised().values()) - capacity) / capacity
+        return max(0, sum(self.committed_by_endpoint().values()) - capacity) / capacity
 
     def _tick(self):
         for name, ledger in list(self.ledgers.items()):
             if self.demand[name]:
                 ledger.set_demand(POOL, self.demand[name], self.now_ms)
-            self._post(name, ledger.tick(self.views[name], self.now_ms))
+            self._send(name, ledger.tick(self.views[name], self.now_ms))
 
-    def _post(self, sender, actions):
+    def _send(self, sender, actions):
         for action in actions:
             if (sender, action.instance) in self.cut:
                 continue
@@ -170,4 +170,4 @@
                 action.instance,
                 action.message,
             )
-            heapq.heappush(self._wires, entry)
+            heapq.heappush(self._deliveries, entry)
--- a/benches/limiter_rig.py
+++ b/benches/limiter_rig.py
@@ -1,4 +1,4 @@
-"""Limiters that exchange messages in one process, on a virtual clock."""
+"""Limiters that exchange messages in one process on a virtual clock."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 TICK_MS = 50
 DELAY_MS = 1
 
-#: What ticks and steps of work add to the durations of the settings.
+#: Time that ticks and simulation steps add to the durations of the settings.
 SLACK_MS = 100
 ORGANISATION = 'kuttanad-pumps'
 
-#: Short durations, so that a random history passes through all of them.
+#: Short durations, so that a random history exercises all of them.
 FAST = LimitSettings(
     grant_ms=400,
     floor_ms=4_000,
@@ -31,7 +31,7 @@
 
 
 def build_limits(concurrent=40, requests_per_s=10**6, tokens_per_s=10**9):
-    """Return an organisation's limits; rates bind only if they are given."""
+    """Return the limits of an organisation; the default rates never limit."""
     return {
         ORGANISATION: OrganisationLimits(
             ORGANISATION, 0.2, requests_per_s, concurrent, tokens_per_s, 0.1, 3, {}
@@ -39,11 +39,11 @@
     }
 
 
-class LimiterRig:
-    """Instances that start what they may, in a network that a test cuts.
+class LimiterSimulation:
+    """Instances that start as many requests as they can, and a network with partitions.
 
-    An instance sees a change of the others after a delay of its own, at most
-    the detection time.
+    An instance learns of a change of members after its own random delay, which
+    is at most the detection time.
     """
 
     def __init__(self, settings=FAST, limits=None, seed=1):
@@ -53,66 +53,66 @@
         self.now_ms = 0
         self.limiters = {}
         self.side = {}
-        self.greed = {}
+        self.demand = {}
         self.leaving = set()
-        self.hold_ms = settings.in_progress_ms - SLACK_MS
+        self.max_running_ms = settings.in_progress_ms - SLACK_MS
         self.running = {}
         self.starts = []
         self.sent = []
         self._views = {}
         self._due_views = []
-        self._wires = []
+        self._deliveries = []
         self._count = 0
 
-    def start(self, name, greed=10**6, side=0):
-        """Start an instance; it and the others see that after a while."""
+    def start(self, name, demand=10**6, side=0):
+        """Start an instance; the views of all instances change after a delay."""
         limiter = OrganisationLimiter(
             self.settings, name, random.Random(self.rng.random())
         )
         limiter.set_limits(self.limits)
         self.limiters[name] = limiter
         self.side[name] = side
-        self.greed[name] = greed
+        self.demand[name] = demand
         self.running[name] = []
-        self._set_view(name, self._true_alive(name))
-        self.changed()
+        self._set_view(name, self._reachable_members(name))
+        self.schedule_views()
 
     def stop(self, name):
-        """Kill an instance and all that it runs."""
-        for table in (self.limiters, self.side, self.greed, self.running):
+        """Kill an instance with all its running requests."""
+        for table in (self.limiters, self.side, self.demand, self.running):
             del table[name]
         self._views.pop(name)
-        self.changed()
+        self.schedule_views()
 
     def leave(self, name):
-        """Let an instance leave gracefully, and tell all."""
+        """Start the graceful leave of an instance, which notifies all others."""
         self.leaving.add(name)
-        self.greed[name] = 0
-        self.changed()
-        view = self._make_view(name, self._true_alive(name) - {name})
+        self.demand[name] = 0
+        self.schedule_views()
+        view = self._make_view(name, self._reachable_members(name) - {name})
         self._views[name] = view
-        self._post(name, self.limiters[name].leave(view, self.now_ms))
+        self._send(name, self.limiters[name].leave(view, self.now_ms))
 
-    def see_nobody(self, name):
-        """Let an instance see that it is leaving and that nobody else is there."""
+    def set_empty_view(self, name):
+        """Give a leaving instance a view without any living members."""
         self._views[name] = MemberView(
             build_address(name), (), leaving=frozenset({name})
         )
 
     def cut(self, side):
-        """Put instances on another side of a cut, or back with 0."""
+        """Put instances on another side of a partition, or back with 0."""
         for name, number in side.items():
             self.side[name] = number
-        self.changed()
+        self.schedule_views()
 
-    def changed(self):
-        """Let every instance see the members, each after its own delay."""
+    def schedule_views(self):
+        """Schedule a new view for every instance, each after its own delay."""
         for name in self.limiters:
             delay_ms = self.rng.randrange(self.settings.detection_ms - SLACK_MS)
             heapq.heappush(self._due_views, (self.now_ms + delay_ms, name))
 
     def run(self, duration_ms, each_step=None, step_ms=10):
-        """Let time pass and work be done."""
+        """Advance the clock and run requests."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += 1
@@ -120,28 +120,28 @@
             if self.now_ms % TICK_MS == 0:
                 self._tick()
             if self.now_ms % step_ms == 0:
-                self._work()
+                self._run_requests()
                 if each_step is not None:
                     each_step()
 
     def in_use(self):
-        """Return how many requests run, over all instances."""
+        """Return the number of running requests of all instances."""
         return sum(len(entries) for entries in self.running.values())
 
     def units(self, name):
-        """Return how many units an instance may use."""
+        """Return the number of units that an instance can use."""
         return self.limiters[name]._handler.units(ORGANISATION, self.now_ms)
 
     def home(self):
-        """Return the instance that the first one takes for the home."""
+        """Return the home instance according to the first instance."""
         first = next(iter(self.limiters.values()))
         return first._handler._shares.holdings[ORGANISATION].home
 
-    def _true_alive(self, viewer):
+    def _reachable_members(self, instance):
         return {
             name
             for name in self.limiters
-            if self.side[name] == self.side[viewer] and name not in self.leaving
+            if self.side[name] == self.side[instance] and name not in self.leaving
         }
 
     def _set_view(self, name, alive):
@@ -157,39 +157,39 @@
         while self._due_views and self._due_views[0][0] <= self.now_ms:
             _, name = heapq.heappop(self._due_views)
             if name in self.limiters:
-                self._set_view(name, self._true_alive(name))
-        while self._wires and self._wires[0][0] <= self.now_ms:
-            _, _, sender, side, receiver, message = heapq.heappop(self._wires)
+                self._set_view(name, self._reachable_members(name))
+        while self._deliveries and self._deliveries[0][0] <= self.now_ms:
+            _, _, sender, side, receiver, message = heapq.heappop(self._deliveries)
             if receiver in self.limiters and self.side[receiver] == side:
                 actions = self.limiters[receiver].receive(
                     sender, message, self._views[receiver], self.now_ms
                 )
-                self._post(receiver, actions)
+                self._send(receiver, actions)
 
     def _tick(self):
         for name, limiter in list(self.limiters.items()):
-            self._post(name, limiter.tick(self._views[name], self.now_ms))
+            self._send(name, limiter.tick(self._views[name], self.now_ms))
             if name in self.leaving and not self.running[name]:
                 self.stop(name)
 
-    def _work(self):
+    def _run_requests(self):
         for name, limiter in self.limiters.items():
             entries = self.running[name]
             for ends_ms, request_id in entries:
                 if ends_ms <= self.now_ms:
                     limiter.finish(request_id, 10, self.now_ms)
             entries[:] = [entry for entry in entries if entry[0] > self.now_ms]
-            while len(entries) < self.greed[name]:
+            while len(entries) < self.demand[name]:
                 if limiter.check(ORGANISATION, 10, self.now_ms) > 0:
                     break
                 self._count += 1
                 request_id = f'{name}-{self._count}'
                 limiter.start(ORGANISATION, request_id, 10, self.now_ms)
                 self.starts.append(self.now_ms)
-                ends_ms = self.now_ms + 1 + self.rng.randrange(self.hold_ms)
+                ends_ms = self.now_ms + 1 + self.rng.randrange(self.max_running_ms)
                 entries.append((ends_ms, request_id))
 
-    def _post(self, sender, actions):
+    def _send(self, sender, actions):
         for action in actions:
             self._count += 1
             self.sent.append((sender, action.instance, action.message))
@@ -201,4 +201,4 @@
                 action.instance,
                 action.message,
             )
-            heapq.heappush(self._wires, entry)
+            heapq.heappush(self._deliveries, entry)
--- a/benches/measurement_page.py
+++ b/benches/measurement_page.py
@@ -1,7 +1,7 @@
-"""Writes the tables of ``docs/measurements.md`` out of load runs.
+"""Writes the tables of ``docs/measurements.md`` from the results of load runs.
 
-``savorychute load <scenario> ... --json > run.json`` makes the input, any number
-of files of it.
+``savorychute load <scenario> ... --json > run.json`` creates an input file; several
+files can be given.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 def main(paths: list[str]) -> int:
-    """Print both tables."""
+    """Print the table of runs and the table of classes."""
     runs: list[Run] = []
     for path in paths:
         runs += json.loads(Path(path).read_text())['runs']
--- a/benches/membership.py
+++ b/benches/membership.py
@@ -1,4 +1,4 @@
-"""Membership under loss, pauses, kills and cuts; homes; discovery's balance."""
+"""Membership under faults, stability of homes, and balance of discovery."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 PAUSE_MS = 2_000
 FALSE_DEATH_MEMBERS = 66
 FALSE_DEATH_MS = 300_000
-PAUSE_EVERY_MS = 1_000
+PAUSE_INTERVAL_MS = 1_000
 KILLED_MEMBERS = 128
 KILLED_REGIONS = 2
 KILLS = 10
@@ -35,21 +35,21 @@
 KEYS = 2_100
 REGION_MEMBERS = 66
 REGION_ORGANISATIONS = 175
-LARGE_ONE_IN = 20
+LARGE_ORGANISATION_PERIOD = 20
 CALLERS = 20
 BALANCE_MS = 600_000
 BALANCE_STEP_MS = 5_000
 BALANCE_LAG_STEPS = 6
 CUT_MEMBERS = 32
 CUT_MS = 3_600_000
-GIVE_UP_MS = 120_000
+TIMEOUT_MS = 120_000
 
 
 def run(repeats: int, rng: Random) -> list[BenchRow]:
-    """Measure once each; the meshes run on a virtual clock and are exact.
+    """Measure each figure once, as the meshes run on a virtual clock.
 
-    :param repeats: how many organisations' mixes discovery is measured with.
-    :param rng: seeds the meshes.
+    :param repeats: number of mixes of organisations for the discovery measurement.
+    :param rng: generates the seeds of the meshes.
     """
     seed = rng.getrandbits(32)
     return [
@@ -68,10 +68,10 @@
 ) -> MemberMesh:
     """Return a mesh that has settled.
 
-    :param members: how many.
-    :param regions: in how many regions.
-    :param seed: of the mesh.
-    :param settings: of all memberships.
+    :param members: the number of members.
+    :param regions: the number of regions.
+    :param seed: seed of the mesh.
+    :param settings: settings of all memberships.
     """
     mesh = MemberMesh(settings, seed)
     for number in range(members):
@@ -83,59 +83,59 @@
 
 
 def bench_false_deaths(seed: int) -> list[BenchRow]:
-    """Count deaths of living members, against a membership without suspicion."""
-    settled = MembershipSettings()
-    hasty = settled._replace(suspicion_ms=0)
+    """Count false deaths, compared with a membership without suspicion."""
+    with_suspicion = MembershipSettings()
+    without_suspicion = with_suspicion._replace(suspicion_ms=0)
     name = (
         'false deaths an instance and hour, 5 % loss and pauses of 2 s / no suspicion'
     )
     return [
         make_row(
             name,
-            count_false_deaths(settled, seed),
+            count_false_deaths(with_suspicion, seed),
             '1/h',
-            count_false_deaths(hasty, seed),
+            count_false_deaths(without_suspicion, seed),
         )
     ]
 
 
 def count_false_deaths(settings: MembershipSettings, seed: int) -> float:
-    """Return how often a living member was declared dead, each in an hour.
+    """Return how often a living member is declared dead, per member and hour.
 
-    Every second another instance stands still for two seconds.
+    Every second, another instance is suspended for 2 seconds.
 
-    :param settings: of all memberships.
-    :param seed: of the mesh.
+    :param settings: settings of all memberships.
+    :param seed: seed of the mesh.
     """
     mesh = start_mesh(FALSE_DEATH_MEMBERS, 1, seed, settings)
     mesh.loss = LOSS_SHARE
     dead: set[tuple[str, int]] = set()
-    rested = sorted(mesh.members)
-    mesh.rng.shuffle(rested)
-    for _ in range(FALSE_DEATH_MS // PAUSE_EVERY_MS):
-        # In turn, so that two pauses never add up to a longer one.
-        rested.append(rested.pop(0))
-        mesh.pause(rested[-1], PAUSE_MS)
-        mesh.run(PAUSE_EVERY_MS)
+    pause_order = sorted(mesh.members)
+    mesh.rng.shuffle(pause_order)
+    for _ in range(FALSE_DEATH_MS // PAUSE_INTERVAL_MS):
+        # In turn, so that pauses of one instance never overlap.
+        pause_order.append(pause_order.pop(0))
+        mesh.pause(pause_order[-1], PAUSE_MS)
+        mesh.run(PAUSE_INTERVAL_MS)
         for member in mesh.members.values():
             for change in member.take_changes():
                 if change.to_state == 'dead':
-                    dead.add((change.instance, change.at_ms // GIVE_UP_MS))
+                    dead.add((change.instance, change.at_ms // TIMEOUT_MS))
     hours = FALSE_DEATH_MS / CUT_MS
     return len(dead) / FALSE_DEATH_MEMBERS / hours
 
 
 def bench_detection(seed: int) -> list[BenchRow]:
-    """Kill one member after the other and wait until all know."""
+    """Kill members one after the other and wait until all others detect it."""
     mesh = start_mesh(KILLED_MEMBERS, KILLED_REGIONS, seed)
     near_ms: list[float] = []
     all_ms: list[float] = []
     for number in range(KILLS):
         address = make_address(3 * number, KILLED_REGIONS)
         mesh.stop(address.instance)
-        took_ms = wait_for(mesh, address, False, near=True)
-        near_ms.append(took_ms)
-        all_ms.append(took_ms + wait_for(mesh, address, False, near=False))
+        elapsed_ms = wait_for(mesh, address, False, near=True)
+        near_ms.append(elapsed_ms)
+        all_ms.append(elapsed_ms + wait_for(mesh, address, False, near=False))
     suspicion_ms = mesh.settings.suspicion_ms
     pairs = (('region', near_ms), ('all regions', all_ms))
     return [
@@ -159,31 +159,31 @@
 
 
 def wait_for(mesh: MemberMesh, address: MemberAddress, alive: bool, near: bool) -> int:
-    """Return the milliseconds until members agree on one.
+    """Return the milliseconds until members agree on the state of one member.
 
     :param mesh: the mesh.
-    :param address: whom they are to agree on.
-    :param alive: what they are to hold.
-    :param near: whether only those of its region count.
+    :param address: the member to agree on.
+    :param alive: the expected state.
+    :param near: whether only members of its region count.
     """
 
-    def agree() -> bool:
+    def members_agree() -> bool:
         return all(
             member.view().is_alive(address.instance) is alive
             for name, member in mesh.members.items()
             if not near or mesh.addresses[name].region == address.region
         )
 
-    if agree():
+    if members_agree():
         return 0
-    took_ms = mesh.run_until(agree, GIVE_UP_MS)
-    if took_ms is None:
+    elapsed_ms = mesh.run_until(members_agree, TIMEOUT_MS)
+    if elapsed_ms is None:
         raise RuntimeError(f'no agreement on {address.instance}')
-    return took_ms
+    return elapsed_ms
 
 
 def bench_leave(seed: int) -> list[BenchRow]:
-    """Let members of the target's size leave one after the other."""
+    """Let members of a mesh of the target size leave one after the other."""
     mesh = start_mesh(TARGET_MEMBERS, TARGET_REGIONS, seed)
     mesh.loss = LOSS_SHARE
     times_ms = []
@@ -196,27 +196,28 @@
 
 
 def bench_replacement(seed: int) -> list[BenchRow]:
-    """Replace half of all members at once, by others of other names."""
+    """Replace half of all members at once by members with other names."""
     mesh = start_mesh(KILLED_MEMBERS, KILLED_REGIONS, seed)
     for number in range(0, KILLED_MEMBERS, 2):
-        # Every second one of each region: two of four follow each other.
-        gone = number + number // 2 % 2 * (KILLED_REGIONS - 1)
-        mesh.stop(make_address(gone, KILLED_REGIONS).instance)
+        # Every second member of each region.  Regions alternate, so the offsets of a
+        # group of four are 0 and 3, not 0 and 2.
+        stopped = number + number // 2 % 2 * (KILLED_REGIONS - 1)
+        mesh.stop(make_address(stopped, KILLED_REGIONS).instance)
         mesh.start(make_address(KILLED_MEMBERS + number, KILLED_REGIONS))
     names = set(mesh.members)
-    took_ms = mesh.run_until(
+    elapsed_ms = mesh.run_until(
         lambda: all(
             {address.instance for address in member.view().alive} == names
             for member in mesh.members.values()
         ),
-        GIVE_UP_MS,
+        TIMEOUT_MS,
     )
     name = 'views right after half of 128 was replaced / time to refute'
-    return [make_row(name, took_ms or GIVE_UP_MS, 'ms', mesh.settings.suspicion_ms)]
+    return [make_row(name, elapsed_ms or TIMEOUT_MS, 'ms', mesh.settings.suspicion_ms)]
 
 
 def bench_cut(seed: int) -> list[BenchRow]:
-    """Cut two regions, and two halves of one, for an hour each."""
+    """Partition two regions, and two halves of a region, for an hour each."""
     rows = []
     for where, regions in (('regions', 2), ('halves of a region', 1)):
         mesh = start_mesh(CUT_MEMBERS, regions, seed)
@@ -229,20 +230,20 @@
         mesh.is_cut = lambda a, b, side=side: side[a.instance] != side[b.instance]
         mesh.run(CUT_MS)
         mesh.is_cut = lambda a, b: a is b
-        took_ms = mesh.run_until(
+        elapsed_ms = mesh.run_until(
             lambda mesh=mesh: all(
                 len(member.view().alive) == CUT_MEMBERS
                 for member in mesh.members.values()
             ),
-            GIVE_UP_MS,
+            TIMEOUT_MS,
         )
         name = f'views whole after two {where} were cut for an hour / cut'
-        rows.append(make_row(name, took_ms or GIVE_UP_MS, 'ms', CUT_MS))
+        rows.append(make_row(name, elapsed_ms or TIMEOUT_MS, 'ms', CUT_MS))
     return rows
 
 
 def bench_moved_share() -> list[BenchRow]:
-    """Compare the share of keys that one departure moves with 1/N."""
+    """Compare the share of keys that the departure of a member moves with 1/N."""
     rows = []
     for members in (8, 66, TARGET_MEMBERS):
         addresses = [make_address(number) for number in range(members)]
@@ -250,8 +251,8 @@
         before = [choose_homes(key, addresses, 1) for key in keys]
         moved = 0
         departures = addresses[:: max(1, members // 8)][:8]
-        for gone in departures:
-            rest = [address for address in addresses if address != gone]
+        for stopped in departures:
+            rest = [address for address in addresses if address != stopped]
             after = [choose_homes(key, rest, 1) for key in keys]
             moved += sum(a != b for a, b in zip(before, after, strict=True))
         share = moved / KEYS / len(departures)
@@ -261,12 +262,13 @@
 
 
 def bench_discovery(mixes: int, rng: Random) -> list[BenchRow]:
-    """Measure the busiest instance of a region over the mean, against no loads.
+    """Compare the balance of a region with and without known loads.
 
-    Callers ask again when their answer ends; loads are those of 30 s before.
+    The figure is the load of the busiest instance over the mean. Callers ask again when
+    the lifetime of a response ends; loads are 30 s old.
 
-    :param mixes: how many mixes of organisations.
-    :param rng: draws the mixes.
+    :param mixes: number of mixes of organisations.
+    :param rng: generates the mixes.
     """
     seeds = [rng.getrandbits(32) for _ in range(mixes)]
     blind = statistics.median(balance_region(seed, False) for seed in seeds)
@@ -282,10 +284,10 @@
 
 
 def balance_region(seed: int, aware: bool) -> float:
-    """Return the median over time of the busiest instance's load over the mean.
+    """Return the median over time of the highest load divided by the mean load.
 
-    :param seed: of organisations' rates and all choices.
-    :param aware: whether answers take the loads into account.
+    :param seed: seed of the rates of organisations and of all choices.
+    :param aware: whether discovery takes the loads into account.
     """
     rng = Random(seed)
     alive = tuple(make_address(number) for number in range(REGION_MEMBERS))
@@ -293,7 +295,7 @@
     settings = DiscoverySettings(far_seats=0)
     rates = [draw_rate(number, rng) for number in range(REGION_ORGANISATIONS)]
     ends_ms = {(c, k): 0 for c in range(len(rates)) for k in range(CALLERS)}
-    used: dict[tuple[int, int], str] = {}
+    assigned: dict[tuple[int, int], str] = {}
     history: list[dict[str, int]] = []
     ratios = []
     for now_ms in range(0, BALANCE_MS, BALANCE_STEP_MS):
@@ -304,13 +306,13 @@
             if end_ms > now_ms:
                 continue
             organisation = f'organisation-{caller[0]}'
-            seats = seats_for(rates[caller[0]])
+            seats = count_seats(rates[caller[0]])
             loads = lagging if aware else None
-            answer = answer_discovery(organisation, view, settings, rng, seats, loads)
-            used[caller] = answer.addresses[0].instance
-            ends_ms[caller] = now_ms + answer.lifetime_ms
+            response = answer_discovery(organisation, view, settings, rng, seats, loads)
+            assigned[caller] = response.addresses[0].instance
+            ends_ms[caller] = now_ms + response.lifetime_ms
         totals = dict.fromkeys((address.instance for address in alive), 0.0)
-        for caller, instance in used.items():
+        for caller, instance in assigned.items():
             totals[instance] += rates[caller[0]] / CALLERS
         history.append({name: round(10 * total) for name, total in totals.items()})
         if now_ms > BALANCE_MS // 2:
@@ -319,19 +321,19 @@
 
 
 def draw_rate(number: int, rng: Random) -> float:
-    """Return an organisation's requests a second; a few organisations are large.
+    """Return the requests per second of an organisation; a few are large.
 
-    :param number: of the organisation.
-    :param rng: draws the rate.
+    :param number: the number of the organisation.
+    :param rng: generates the rate.
     """
-    if number % LARGE_ONE_IN == 0:
+    if number % LARGE_ORGANISATION_PERIOD == 0:
         return rng.uniform(50, 150)
     return rng.uniform(1, 10)
 
 
-def seats_for(requests_per_s: float) -> int:
-    """Return an organisation's seats by its rate, as contracts give them.
+def count_seats(requests_per_s: float) -> int:
+    """Return the seats of an organisation by its rate, as in contracts.
 
-    :param requests_per_s: the organisation's rate.
+    :param requests_per_s: the request rate of the organisation.
     """
     return max(3, -(-int(requests_per_s) // REQUESTS_PER_S_OF_SEAT))
--- a/benches/placement.py
+++ b/benches/placement.py
@@ -1,4 +1,4 @@
-"""The cost of a plan at the target size, and orders under swinging demand."""
+"""Cost of a placement plan at the target size, and orders under varying demand."""
 
 from __future__ import annotations
 
@@ -23,69 +23,75 @@
 SWING_ENGINES = 32
 MODELS = tuple(f'model-{number:02d}' for number in range(13))
 DOMAINS = ('kochi-hall', 'thrissur-hall', 'kozhikode-hall')
-PLACES = 16
+SLOTS_PER_ENGINE = 16
 PLANS = 40
 HOUR_MS = 3_600_000
 SWING_PERIODS_MS = (40_000, 300_000, 1_200_000)
 SWING_MODELS = MODELS[:4]
 NS_PER_US = 1_000
-QUIET_USE = 0.5
-CROWDED_USE = 1.5
+LOW_USE = 0.5
+OVERLOADED_USE = 1.5
 
 
-class RegionPlan(NamedTuple):
-    """Times of the plans of one run, in us, and the orders that they gave."""
+class PlanFigures(NamedTuple):
+    """Times of the plans of one run in us, and the number of their orders."""
 
     plan_us: list[float]
     orders: int
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:
-    """Measure plans with and without lacks, and orders.
+    """Measure plans with and without a shortage of capacity, and count orders.
 
-    :param repeats: how often each measurement is taken; the median counts.
-    :param rng: decides where models are.
+    :param repeats: number of measurements, of which the median is returned.
+    :param rng: chooses the models of the engines.
     """
     settings = PlacementSettings(loads_per_min=60.0)
     engines = make_engines(rng)
-    quiet_us = _time_plans(repeats, settings, engines, QUIET_USE)
-    crowded_us = _time_plans(repeats, settings, engines, CROWDED_USE)
+    low_us = _time_plans(repeats, settings, engines, LOW_USE)
+    overloaded_us = _time_plans(repeats, settings, engines, OVERLOADED_USE)
     rows = [
-        make_row('placement plan, quiet, 160 engines', quiet_us, 'us', 0.0),
-        make_row('placement plan, crowded, 160 engines', crowded_us, 'us', quiet_us),
+        make_row('placement plan, quiet, 160 engines', low_us, 'us', 0.0),
+        make_row('placement plan, crowded, 160 engines', overloaded_us, 'us', low_us),
     ]
-    few = {name: engines[name] for name in sorted(engines)[:SWING_ENGINES]}
+    swing_engines = {name: engines[name] for name in sorted(engines)[:SWING_ENGINES]}
     allowed = frozenset(SWING_MODELS)
-    for number, name in enumerate(few):
+    for number, name in enumerate(swing_engines):
         loaded = frozenset({SWING_MODELS[number % len(SWING_MODELS)]})
-        few[name] = few[name]._replace(allowed=allowed, loaded=loaded)
-    return rows + [_measure_swing(period_ms, few) for period_ms in SWING_PERIODS_MS]
+        swing_engines[name] = swing_engines[name]._replace(
+            allowed=allowed, loaded=loaded
+        )
+    return rows + [
+        _measure_swing(period_ms, swing_engines) for period_ms in SWING_PERIODS_MS
+    ]
 
 
 def make_engines(rng: random.Random) -> dict[str, EngineState]:
-    """Return a region's engines, each with one of thirteen models.
+    """Return the engines of a region, each with one of 13 models loaded.
 
-    :param rng: decides which.
+    :param rng: chooses the models.
     """
     engines = {}
     for number in range(ENGINES):
         name = f'engine-{number:03d}'
         loaded = frozenset({rng.choice(MODELS)})
         domain = DOMAINS[number % len(DOMAINS)]
-        engines[name] = EngineState(name, domain, PLACES, frozenset(MODELS), loaded)
+        engines[name] = EngineState(
+            name, domain, SLOTS_PER_ENGINE, frozenset(MODELS), loaded
+        )
     return engines
 
 
-def drive(
+def run_plans(
     settings: PlacementSettings,
     engines: Mapping[str, EngineState],
     demand_by_plan: Iterable[Mapping[str, float]],
-) -> RegionPlan:
-    """Plan again and again; each order takes effect before the next plan.
+) -> PlanFigures:
+    """Make consecutive plans; each order takes effect before the next plan.
 
-    :param settings: of the planner.
-    :param engines: at the start.
-    :param demand_by_plan: requests by model.
+    :param settings: settings of the planner.
+    :param engines: the initial state of the engines.
+    :param demand_by_plan: for each plan, the requests by model.
     """
     planner = PlacementPlanner(settings)
     states = dict(engines)
@@ -96,16 +102,16 @@
         now_ms += settings.plan_interval_ms
         demand = [ModelDemand(*each, is_named=True) for each in requests.items()]
         fresh = [each._replace(as_of_ms=now_ms - 100) for each in states.values()]
-        begin_ns = time.perf_counter_ns()
-        given = planner.plan(demand, fresh, now_ms)
-        plan_us.append((time.perf_counter_ns() - begin_ns) / NS_PER_US)
-        orders += len(given)
-        for order in given:
+        start_ns = time.perf_counter_ns()
+        new_orders = planner.plan(demand, fresh, now_ms)
+        plan_us.append((time.perf_counter_ns() - start_ns) / NS_PER_US)
+        orders += len(new_orders)
+        for order in new_orders:
             loaded = states[order.endpoint].loaded - {order.target}
             if order.verb == LOAD:
                 loaded |= {order.target}
             states[order.endpoint] = states[order.endpoint]._replace(loaded=loaded)
-    return RegionPlan(plan_us, orders)
+    return PlanFigures(plan_us, orders)
 
 
 def _time_plans(
@@ -114,22 +120,22 @@
     engines: Mapping[str, EngineState],
     use: float,
 ) -> float:
-    """Return the median time of a plan after the warm-up, in us."""
+    """Return the median time of a plan in us, without the first plan."""
     settings = settings._replace(warm_up_ms=0, min_dwell_ms=0)
-    places = ENGINES * PLACES
+    slots = ENGINES * SLOTS_PER_ENGINE
     weight = len(MODELS) * (len(MODELS) + 1) / 2
     demand = {
-        model: use * places * rank / weight for rank, model in enumerate(MODELS, 1)
+        model: use * slots * rank / weight for rank, model in enumerate(MODELS, 1)
     }
     medians = []
     for _ in range(repeats):
-        plan = drive(settings, engines, [demand] * PLANS)
+        plan = run_plans(settings, engines, [demand] * PLANS)
         medians.append(statistics.median(plan.plan_us[1:]))
     return statistics.median(medians)
 
 
 def _measure_swing(period_ms: int, engines: Mapping[str, EngineState]) -> BenchRow:
-    """Return the orders in two hours, beside those with a single average."""
+    """Return the orders in 2 hours, compared with those of a single average."""
     settings = PlacementSettings()
     interval_ms = settings.plan_interval_ms
     demand = []
@@ -137,8 +143,8 @@
         is_first = at_ms % period_ms < period_ms / 2
         even, odd = (150.0, 15.0) if is_first else (15.0, 150.0)
         demand.append(dict(zip(SWING_MODELS, (even, odd) * 2, strict=True)))
-    held = drive(settings, engines, demand)
-    single = settings._replace(fall_half_life_ms=settings.half_life_ms)
-    alone = drive(single, engines, demand)
+    double_average = run_plans(settings, engines, demand)
+    single_settings = settings._replace(fall_half_life_ms=settings.half_life_ms)
+    single_average = run_plans(single_settings, engines, demand)
     name = f'placement orders in 2 h, swing of {period_ms // 1_000} s'
-    return make_row(name, held.orders, 'orders', alone.orders)
+    return make_row(name, double_average.orders, 'orders', single_average.orders)
--- a/benches/repeat_bound.py
+++ b/benches/repeat_bound.py
@@ -1,8 +1,9 @@
-"""How much of the bound on repeats a fleet uses, by its size and what happened before.
+"""Share of the retry limit that a fleet uses, by its size and by preceding faults.
 
-All endpoints turn every attempt away, and every instance repeats all that it may, on virtual
-time: in the first window of a storm after a calm, when most instances were killed just before it, and when they
-are killed in it.
+All endpoints refuse every attempt, and every instance retries as often as it can, on
+virtual time. The share is measured in the first window of a retry storm after a calm
+period: without faults, with most instances killed just before the storm, and with most
+instances killed in it.
 """
 
 from __future__ import annotations
@@ -25,14 +26,14 @@
 WINDOW_MS = 10_000
 CALM_MS = 30_000
 STORM_MS = 20_000
-# Of the storm, before instances are killed in it.
-FIRST_MS = 3_000
+# Time from the start of the storm until instances are killed in it.
+KILL_DELAY_MS = 3_000
 KILLED_SHARE = 0.8
 MS_PER_S = 1_000
 
 
-class Size(NamedTuple):
-    """A number of instances, the slack that they share, and their requests."""
+class FleetSize(NamedTuple):
+    """The size of a fleet: its instances, their shared slack and request rate."""
 
     instances: int
     slack: float
@@ -40,15 +41,15 @@
 
 
 SIZES = (
-    Size(8, 56, 32),
-    Size(65, 170, 104),
-    Size(195, 430, 193),
-    Size(530, 1_170, 15_000),
+    FleetSize(8, 56, 32),
+    FleetSize(65, 170, 104),
+    FleetSize(195, 430, 193),
+    FleetSize(530, 1_170, 15_000),
 )
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:  # noqa: ARG001
-    """Play each size once; the rig has no chance in it.
+    """Measure each size once, as the simulation is deterministic.
 
     :param repeats: not used.
     :param rng: not used.
@@ -56,50 +57,52 @@
     rows = []
     for size in SIZES:
         label = f'{size.instances} instances'
-        undisturbed = play(size, (), ())
-        used = find_used(undisturbed)
+        undisturbed = simulate(size, (), ())
+        used = measure_used_share(undisturbed)
         rows.append(make_row(f'{label}, bound used', used, 'share', 1.0))
-        before = find_used(play(size, pick_killed(size), ()))
+        before = measure_used_share(simulate(size, choose_killed(size), ()))
         rows.append(make_row(f'{label}, most killed before', before, 'share', used))
-        within = find_used(play(size, (), pick_killed(size)))
+        within = measure_used_share(simulate(size, (), choose_killed(size)))
         rows.append(make_row(f'{label}, most killed in it', within, 'share', used))
         writes = len(undisturbed.topic.records) / size.instances
         rows.append(make_row(f'{label}, writes', writes, 'a run', 0.0))
     return rows
 
 
-def pick_killed(size: Size) -> tuple[str, ...]:
-    """Return the names of most instances."""
+def choose_killed(size: FleetSize) -> tuple[str, ...]:
+    """Return the names of the instances that are killed."""
     return tuple(f'k{number}' for number in range(int(KILLED_SHARE * size.instances)))
 
 
-def play(size: Size, before: tuple[str, ...], within: tuple[str, ...]) -> RetryFleet:
-    """Play a calm and a storm.
+def simulate(
+    size: FleetSize, before: tuple[str, ...], within: tuple[str, ...]
+) -> RetryFleet:
+    """Simulate a calm period and a retry storm.
 
-    :param size: of the fleet.
-    :param before: instances that are killed at the end of the calm.
+    :param size: the size of the fleet.
+    :param before: instances that are killed at the end of the calm period.
     :param within: instances that are killed in the storm.
     """
     requests = size.requests_per_s / size.instances * TICK_MS / MS_PER_S
     bounds = RetryBounds(RATIO, WINDOW_MS, size.slack)
     fleet = RetryFleet(size.instances, requests, bounds)
-    pass_time(fleet, CALM_MS)
+    advance(fleet, CALM_MS)
     restart(fleet, before)
     fleet.storm = True
-    pass_time(fleet, FIRST_MS)
+    advance(fleet, KILL_DELAY_MS)
     restart(fleet, within)
-    pass_time(fleet, STORM_MS - FIRST_MS)
+    advance(fleet, STORM_MS - KILL_DELAY_MS)
     return fleet
 
 
-def pass_time(fleet: RetryFleet, duration_ms: int) -> None:
-    """Let the instances work."""
+def advance(fleet: RetryFleet, duration_ms: int) -> None:
+    """Advance the clock of the fleet."""
     for _ in range(duration_ms // TICK_MS):
         fleet.tick()
 
 
 def restart(fleet: RetryFleet, names: tuple[str, ...]) -> None:
-    """Kill instances and start them at once."""
+    """Kill instances and start them again at once."""
     for name in names:
         fleet.kill(name)
         fleet.start(name)
@@ -107,6 +110,6 @@
         fleet.gossip()
 
 
-def find_used(fleet: RetryFleet) -> float:
-    """Return the share of the bound that the first window of the storm has."""
+def measure_used_share(fleet: RetryFleet) -> float:
+    """Return the share of the retry limit used in the first window of the storm."""
     return fleet.count_retries(CALM_MS) / fleet.find_allowed(CALM_MS)
--- a/benches/retry_rig.py
+++ b/benches/retry_rig.py
@@ -1,4 +1,4 @@
-"""Retries and ejection while most of a pool is gone, on a virtual clock."""
+"""Simulates retries and ejection while most of a pool is unavailable."""
 
 from __future__ import annotations
 
@@ -18,34 +18,34 @@
 ENDPOINTS = 9
 ORGANISATIONS = 10
 OUTAGE_MS = 10_000
-END_MS = 30_000
+DURATION_MS = 30_000
 LOCAL_FAILURE_MS = 2
-ANSWER_MS = 200
+RESPONSE_MS = 200
 
 
-class RetryFigures(NamedTuple):
-    """Attempts per request and the share of requests that were answered."""
+class OutageFigures(NamedTuple):
+    """Attempts per request and the share of successful requests."""
 
     attempts_per_request: float
-    answered_share: float
+    success_share: float
 
 
 def run_outage(
     dead: int, max_attempts: int, budgeted: bool, ejecting: bool, rng: random.Random
-) -> RetryFigures:
-    """Send 100 requests a second through one instance while *dead* are gone.
+) -> OutageFigures:
+    """Send 100 requests a second through one instance during an outage.
 
-    :param dead: how many of nine endpoints refuse all connections for 10 s.
-    :param max_attempts: how often a request is tried at most.
-    :param budgeted: whether retries are bounded per organisation.
+    :param dead: number of the nine endpoints that refuse connections for 10 s.
+    :param max_attempts: maximum number of attempts of a request.
+    :param budgeted: whether the retries of an organisation are limited.
     :param ejecting: whether endpoints are ejected.
     """
     names = [f'endpoint-{number}' for number in range(ENDPOINTS)]
     ejector = Ejector(EjectorSettings(), rng)
     ejector.set_endpoints({name: {'models': ['m']} for name in names})
     budget = RetryBudget(RetrySettings())
-    requests = attempts = answered = 0
-    for now_ms in range(0, END_MS, 10):
+    requests = attempts = succeeded = 0
+    for now_ms in range(0, DURATION_MS, 10):
         organisation = f'organisation-{rng.randrange(ORGANISATIONS)}'
         budget.record_request(organisation, now_ms)
         requests += 1
@@ -58,8 +58,8 @@
             name = rng.choice(usable if ejecting and usable else names)
             attempts += 1
             if at_ms >= OUTAGE_MS or names.index(name) >= dead:
-                ejector.record_success(name, at_ms + ANSWER_MS)
-                answered += 1
+                ejector.record_success(name, at_ms + RESPONSE_MS)
+                succeeded += 1
                 break
             ejector.record_failure(name, at_ms, crashed=True)
-    return RetryFigures(attempts / requests, answered / requests)
+    return OutageFigures(attempts / requests, succeeded / requests)
--- a/benches/routing.py
+++ b/benches/routing.py
@@ -1,4 +1,4 @@
-"""Cost and quality of routing, and attempts per request in an outage."""
+"""Cost and quality of routing decisions, and attempts per request in an outage."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from benches.bench_row import BenchRow, make_row
 from benches.retry_rig import run_outage
-from benches.routing_rig import RigPlan, RoutingRig
+from benches.routing_rig import RoutingScenario, RoutingSimulation
 from savorychute.routing import ROUTERS, EndpointTable, RoutingRequest, RoutingSettings
 
 if TYPE_CHECKING:
@@ -19,22 +19,22 @@
 DECISIONS = 1_000
 HASHES = 64
 NS_PER_US = 1_000
-PLANS = (
-    RigPlan('steady', 60),
-    RigPlan('60 instances, straggler', 60, instances=60, straggler=5.0),
-    RigPlan('unlike engines', 50, small_engines=4),
+SCENARIOS = (
+    RoutingScenario('steady', 60),
+    RoutingScenario('60 instances, straggler', 60, instances=60, straggler=5.0),
+    RoutingScenario('unlike engines', 50, small_engines=4),
 )
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:
-    """Return the figures of routing beside those of the simplest router.
+    """Return the figures of the predicting router and those of simple routers.
 
-    :param repeats: how many seeds, and how many rounds of decisions.
-    :param rng: gives the seeds.
+    :param repeats: number of seeds and of rounds of decisions.
+    :param rng: generates the seeds.
     """
     rows = [_measure_decision(repeats, rng)]
     seeds = [rng.getrandbits(32) for _ in range(repeats)]
-    rows += [_measure_plan(plan, seeds) for plan in PLANS]
+    rows += [_measure_scenario(scenario, seeds) for scenario in SCENARIOS]
     bounded = run_outage(8, 3, True, True, random.Random(seeds[0]))
     naive = run_outage(8, 3, False, False, random.Random(seeds[0]))
     rows.append(
@@ -48,13 +48,15 @@
     return rows
 
 
-def _measure_plan(plan: RigPlan, seeds: list[int]) -> BenchRow:
+def _measure_scenario(scenario: RoutingScenario, seeds: list[int]) -> BenchRow:
     shares = {}
     for name in ('predicted', 'least-outstanding'):
-        figures = [RoutingRig(plan, name, RoutingSettings(), s).run() for s in seeds]
-        shares[name] = statistics.mean(item.in_time_share for item in figures)
+        figures = [
+            RoutingSimulation(scenario, name, RoutingSettings(), s).run() for s in seeds
+        ]
+        shares[name] = statistics.mean(result.in_time_share for result in figures)
     return make_row(
-        f'first token within 250 ms: {plan.name}',
+        f'first token within 250 ms: {scenario.name}',
         shares['predicted'],
         'share',
         shares['least-outstanding'],
@@ -75,8 +77,8 @@
 
 
 def _time_decisions(name: str, repeats: int, rng: random.Random) -> float:
-    book, candidates = _make_book(rng)
-    router: Router = ROUTERS.get(name)(RoutingSettings(), book, rng)
+    table, candidates = _make_table(rng)
+    router: Router = ROUTERS.get(name)(RoutingSettings(), table, rng)
     samples = []
     for number in range(repeats * DECISIONS):
         first = number % CANDIDATES
@@ -89,10 +91,10 @@
     return statistics.median(samples)
 
 
-def _make_book(rng: random.Random) -> tuple[EndpointTable, tuple[str, ...]]:
-    book = EndpointTable(RoutingSettings(), rng, 'domain-0', 'region')
+def _make_table(rng: random.Random) -> tuple[EndpointTable, tuple[str, ...]]:
+    table = EndpointTable(RoutingSettings(), rng, 'domain-0', 'region')
     names = tuple(f'endpoint-{number}' for number in range(CANDIDATES))
-    book.set_endpoints(
+    table.set_endpoints(
         {
             name: {
                 'endpoint': name,
@@ -110,7 +112,7 @@
     )
     for number in range(3 * CANDIDATES):
         hashes = tuple(range(number, number + HASHES))
-        book.record_start(
+        table.record_start(
             str(number), names[number % CANDIDATES], 5_000, 100, hashes, 0
         )
-    return book, names
+    return table, names
--- a/benches/routing_rig.py
+++ b/benches/routing_rig.py
@@ -1,7 +1,7 @@
-"""Instances that route to stand-in engines, on a virtual clock.
+"""Instances that route requests to stand-in engines on a virtual clock.
 
-Nothing but routing: no admission, no credits, no retries.  An instance sends
-each request at once, and what does not fit waits at the engine.
+Only routing is simulated, without admission, credits and retries.  An instance
+sends each request at once, and excess requests wait in the queue of the engine.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 CHARS_PER_TOKEN = 4
 
 
-class RigPlan(NamedTuple):
-    """A load, and what goes wrong.
+class RoutingScenario(NamedTuple):
+    """A load and its disturbances.
 
     Requests arrive at random at ``requests_per_s``, three times as many during
-    the second that begins at ``burst_ms``.  ``straggler`` is the factor by which
-    the first engine becomes slow at ``straggler_ms``.  ``small_engines`` have
-    half the places and twice the step time of the others.
+    the second that starts at ``burst_ms``.  ``straggler`` is the factor by which
+    the first engine becomes slower at ``straggler_ms``.  ``small_engines`` have
+    half the slots and twice the step time of the others.
     """
 
     name: str
@@ -53,8 +53,8 @@
     small_engines: int = 0
 
 
-class RigFigures(NamedTuple):
-    """Times to first token and between tokens, in ms, and answers in time."""
+class RoutingFigures(NamedTuple):
+    """Times to first token and between tokens in ms, and the share in time."""
 
     requests: int
     p50_ms: float
@@ -65,22 +65,26 @@
     gap_p95_ms: float
 
 
-class RoutingRig:
-    """Drives one plan with one router.
+class RoutingSimulation:
+    """Simulates one scenario with one router.
 
-    :param plan: the load.
-    :param router: a name of the registry.
-    :param settings: of the router and the books.
-    :param seed: of everything random.
+    :param scenario: the scenario.
+    :param router: the registered name of a router.
+    :param settings: settings of the router and of the endpoint tables.
+    :param seed: seed of all random numbers.
     """
 
     target_ms = 250.0
     gap_target_ms = 20.0
 
     def __init__(
-        self, plan: RigPlan, router: str, settings: RoutingSettings, seed: int
+        self,
+        scenario: RoutingScenario,
+        router: str,
+        settings: RoutingSettings,
+        seed: int,
     ) -> None:
-        self.plan = plan
+        self.scenario = scenario
         self.rng = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
         self._order = itertools.count()
@@ -95,12 +99,12 @@
     def _make_engines(self) -> None:
         self.engines = {}
         self.documents = {}
-        for number in range(self.plan.engines):
+        for number in range(self.scenario.engines):
             name = f'engine-{number}'
             options = EngineSettings(
-                name=name, models=(POOL,), report_lag_ms=self.plan.report_lag_ms
+                name=name, models=(POOL,), report_lag_ms=self.scenario.report_lag_ms
             )
-            if number >= self.plan.engines - self.plan.small_engines:
+            if number >= self.scenario.engines - self.scenario.small_engines:
                 options = options._replace(
                     max_running=options.max_running // 2, step_ms=2 * options.step_ms
                 )
@@ -116,130 +120,136 @@
                 'concurrent_requests': options.max_running,
                 'models': [POOL],
             }
-        self._wakes = dict.fromkeys(self.engines, -1.0)
+        self._wake_times_ms = dict.fromkeys(self.engines, -1.0)
 
     def _make_instances(self, router: str, settings: RoutingSettings) -> None:
-        self.books = []
+        self.tables = []
         self.routers = []
-        for number in range(self.plan.instances):
+        for number in range(self.scenario.instances):
             rng = random.Random(self.rng.getrandbits(32))
-            book = EndpointTable(settings, rng, DOMAINS[number % 3], 'kerala')
-            book.set_endpoints(self.documents)
-            self.books.append(book)
-            self.routers.append(ROUTERS.get(router)(settings, book, rng))
+            table = EndpointTable(settings, rng, DOMAINS[number % 3], 'kerala')
+            table.set_endpoints(self.documents)
+            self.tables.append(table)
+            self.routers.append(ROUTERS.get(router)(settings, table, rng))
 
     def at(self, when_ms: float, call: Callable[[float], None]) -> None:
-        """Call at a time."""
+        """Schedule a call at a time."""
         heapq.heappush(self._events, (when_ms, next(self._order), call))
 
-    def run(self) -> RigFigures:
-        """Run to the end and return the figures."""
-        plan = self.plan
-        self._plan_arrivals()
-        for book in self.books:
-            self._plan_polls(book, self.rng.random() * TICK_MS)
-        if plan.straggler != 1.0:
-            self.at(plan.straggler_ms, self._slow_down)
-        end_ms = plan.duration_ms + 60_000
+    def run(self) -> RoutingFigures:
+        """Run the scenario to its end and return the figures."""
+        scenario = self.scenario
+        self._schedule_arrivals()
+        for table in self.tables:
+            self._schedule_polls(table, self.rng.random() * TICK_MS)
+        if scenario.straggler != 1.0:
+            self.at(scenario.straggler_ms, self._slow_down)
+        end_ms = scenario.duration_ms + 60_000
         while self._events and self._events[0][0] < end_ms:
             when_ms, _, call = heapq.heappop(self._events)
             call(when_ms)
-            if len(self._first_ms) == self._arrivals and when_ms > plan.duration_ms:
+            if len(self._first_ms) == self._arrivals and when_ms > scenario.duration_ms:
                 break
-        return self._figures()
+        return self._summarise()
 
-    def _plan_arrivals(self) -> None:
+    def _schedule_arrivals(self) -> None:
         now_ms = 0.0
         self._arrivals = 0
-        while now_ms < self.plan.duration_ms:
-            rate = self.plan.requests_per_s
-            if self.plan.burst_ms <= now_ms < self.plan.burst_ms + 1_000:
+        while now_ms < self.scenario.duration_ms:
+            rate = self.scenario.requests_per_s
+            if self.scenario.burst_ms <= now_ms < self.scenario.burst_ms + 1_000:
                 rate *= 3
             now_ms += self.rng.expovariate(rate) * 1_000
             number = self._arrivals
             self.at(now_ms, lambda at_ms, number=number: self._arrive(number, at_ms))
             self._arrivals += 1
 
-    def _plan_polls(self, book: EndpointTable, first_ms: float) -> None:
+    def _schedule_polls(self, table: EndpointTable, first_ms: float) -> None:
         def tick(now_ms: float) -> None:
-            for poll in book.due_polls(int(now_ms)):
-                self._poll(book, poll, now_ms)
+            for poll in table.due_polls(int(now_ms)):
+                self._poll(table, poll, now_ms)
             self.at(now_ms + TICK_MS, tick)
 
         self.at(first_ms, tick)
 
-    def _poll(self, book: EndpointTable, poll: object, now_ms: float) -> None:
+    def _poll(self, table: EndpointTable, poll: object, now_ms: float) -> None:
         load = self.engines[poll.endpoint].report(poll.cache_cursor, now_ms)
         report = LoadReported(poll.endpoint, *load)
-        distance_ms = book.state_of(poll.endpoint).distance_ms
+        distance_ms = table.state_of(poll.endpoint).distance_ms
         self.at(
-            now_ms + distance_ms, lambda at_ms: book.apply_report(report, int(at_ms))
+            now_ms + distance_ms, lambda at_ms: table.apply_report(report, int(at_ms))
         )
 
     def _slow_down(self, now_ms: float) -> None:
-        events = self.engines['engine-0'].set_straggle(self.plan.straggler, now_ms)
-        self._take('engine-0', events, now_ms)
+        events = self.engines['engine-0'].set_straggle(self.scenario.straggler, now_ms)
+        self._handle_events('engine-0', events, now_ms)
 
     def _arrive(self, number: int, now_ms: float) -> None:
-        plan = self.plan
+        scenario = self.scenario
         prompt = self._make_prompt(number)
         tokens = len(prompt) // CHARS_PER_TOKEN
-        index = self.rng.randrange(plan.instances)
-        book = self.books[index]
+        index = self.rng.randrange(scenario.instances)
+        table = self.tables[index]
         hashes = hash_blocks(prompt)
         request = RoutingRequest(str(number), POOL, tokens, 150, hashes)
         choice = self.routers[index].choose(request, tuple(self.engines), int(now_ms))
         name = choice.endpoint
         attempt_id = str(number)
-        distance_ms = book.state_of(name).distance_ms
-        book.record_start(attempt_id, name, tokens, 150, hashes, int(now_ms))
-        self._started[attempt_id] = (now_ms, book, distance_ms)
+        distance_ms = table.state_of(name).distance_ms
+        table.record_start(attempt_id, name, tokens, 150, hashes, int(now_ms))
+        self._started[attempt_id] = (now_ms, table, distance_ms)
         send = EngineRequest(attempt_id, attempt_id, POOL, prompt, 0)
         self.at(
             now_ms + distance_ms,
-            lambda at_ms: self._take(
+            lambda at_ms: self._handle_events(
                 name, self.engines[name].submit(send, at_ms), at_ms
             ),
         )
 
     def _make_prompt(self, number: int) -> str:
-        plan = self.plan
+        scenario = self.scenario
         length = max(
-            4, int(self.rng.lognormvariate(0, 0.7) * plan.output_tokens * 0.78)
+            4, int(self.rng.lognormvariate(0, 0.7) * scenario.output_tokens * 0.78)
         )
-        tail = f'#tokens={length} request {number} '
-        head = ''
-        if plan.shared_tokens:
-            prefix = min(int(self.rng.expovariate(4 / plan.prefixes)), plan.prefixes)
-            head = f'prefix {prefix:04} ' * (plan.shared_tokens * CHARS_PER_TOKEN // 12)
-        fill = plan.prompt_tokens * CHARS_PER_TOKEN - len(head) - len(tail)
-        return head + tail + 'x' * max(0, fill)
-
-    def _take(self, name: str, events: list[object], now_ms: float) -> None:
+        suffix = f'#tokens={length} request {number} '
+        prefix_text = ''
+        if scenario.shared_tokens:
+            prefix = min(
+                int(self.rng.expovariate(4 / scenario.prefixes)), scenario.prefixes
+            )
+            prefix_text = f'prefix {prefix:04} ' * (
+                scenario.shared_tokens * CHARS_PER_TOKEN // 12
+            )
+        padding_chars = (
+            scenario.prompt_tokens * CHARS_PER_TOKEN - len(prefix_text) - len(suffix)
+        )
+        return prefix_text + suffix + 'x' * max(0, padding_chars)
+
+    def _handle_events(self, name: str, events: list[object], now_ms: float) -> None:
         for event in events:
             if isinstance(event, StreamTokens | StreamEnded):
                 distance_ms = self._started[event.attempt_id][2]
                 self.at(
                     now_ms + distance_ms,
-                    lambda at_ms, event=event: self._reach(event, at_ms),
+                    lambda at_ms, event=event: self._receive_event(event, at_ms),
                 )
         due_ms = self.engines[name].next_event_ms()
-        if due_ms is not None and due_ms != self._wakes[name]:
-            self._wakes[name] = due_ms
+        if due_ms is not None and due_ms != self._wake_times_ms[name]:
+            self._wake_times_ms[name] = due_ms
             self.at(due_ms, lambda at_ms: self._wake(name, at_ms))
 
     def _wake(self, name: str, now_ms: float) -> None:
-        if self._wakes[name] == now_ms:
-            self._wakes[name] = -1.0
-            self._take(name, self.engines[name].advance(now_ms), now_ms)
+        if self._wake_times_ms[name] == now_ms:
+            self._wake_times_ms[name] = -1.0
+            self._handle_events(name, self.engines[name].advance(now_ms), now_ms)
 
-    def _reach(self, event: StreamTokens | StreamEnded, now_ms: float) -> None:
+    def _receive_event(self, event: StreamTokens | StreamEnded, now_ms: float) -> None:
         attempt_id = event.attempt_id
-        started_ms, book, _ = self._started[attempt_id]
+        started_ms, table, _ = self._started[attempt_id]
         if isinstance(event, StreamEnded):
-            book.record_finish(attempt_id, True, int(now_ms))
+            table.record_finish(attempt_id, True, int(now_ms))
             return
-        book.record_progress(attempt_id, event.token_count, int(now_ms))
+        table.record_progress(attempt_id, event.token_count, int(now_ms))
         if attempt_id not in self._first_ms:
             self._first_ms[attempt_id] = now_ms - started_ms
         else:
@@ -247,22 +257,22 @@
             self._gaps.append(gap_ms)
         self._last_ms[attempt_id] = now_ms
 
-    def _figures(self) -> RigFigures:
-        firsts = sorted(self._first_ms.values())
-        firsts += [60_000.0] * (self._arrivals - len(firsts))
-        gaps = sorted(self._gaps)
-        in_time = sum(first <= self.target_ms for first in firsts)
-        return RigFigures(
-            len(firsts),
-            pick(firsts, 0.5),
-            pick(firsts, 0.95),
-            pick(firsts, 0.99),
-            sum(firsts) / len(firsts),
-            in_time / len(firsts),
-            pick(gaps, 0.95),
+    def _summarise(self) -> RoutingFigures:
+        first_times_ms = sorted(self._first_ms.values())
+        first_times_ms += [60_000.0] * (self._arrivals - len(first_times_ms))
+        gap_times_ms = sorted(self._gaps)
+        in_time = sum(first <= self.target_ms for first in first_times_ms)
+        return RoutingFigures(
+            len(first_times_ms),
+            quantile(first_times_ms, 0.5),
+            quantile(first_times_ms, 0.95),
+            quantile(first_times_ms, 0.99),
+            sum(first_times_ms) / len(first_times_ms),
+            in_time / len(first_times_ms),
+            quantile(gap_times_ms, 0.95),
         )
 
 
-def pick(ordered: list[float], share: float) -> float:
+def quantile(ordered: list[float], share: float) -> float:
     """Return a quantile of a sorted list."""
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/benches/soak.py
+++ b/benches/soak.py
@@ -1,7 +1,7 @@
-"""A bounded soak: real daemons as processes, killed, stopped and replaced.
+"""A soak test of daemon processes that are killed, stopped and replaced.
 
-``make soak`` runs it for a minute; ``python -m benches.soak --seconds 600`` for
-longer.  The last line is one JSON object with the counts.
+``make soak`` runs it for 1 minute, ``python -m benches.soak --seconds 600`` for
+longer.  The last line of the output is a JSON object with the counts.
 """
 
 from __future__ import annotations
@@ -42,20 +42,20 @@
 INSTANCES = 4
 RATE_PER_S = 8.0
 MEAN_TOKENS = 30
-TROUBLE_GAP_S = 4.0
+FAULT_INTERVAL_S = 4.0
 PAUSE_S = 4.0
 OUTAGE_S = 3.0
 READY_TIMEOUT_S = 40.0
-ORDER_AGAIN_S = 0.5
-END_TIMEOUT_S = 200.0
+COMMAND_RETRY_S = 0.5
+CALLS_TIMEOUT_S = 200.0
 
 
 class Soak:
-    """The load, the troubles and the counts.
+    """Generates the load, injects faults and counts the results.
 
-    :param site: what is disturbed.
-    :param seconds: how long there is load.
-    :param rng: decides lengths, times and what is hit.
+    :param site: the site to disturb.
+    :param seconds: duration of the load.
+    :param rng: chooses lengths, times and the targets of faults.
     """
 
     def __init__(self, site: ProcessSite, seconds: float, rng: random.Random) -> None:
@@ -64,13 +64,13 @@
         self._rng = rng
         self._classes = list_classes(RATE_PER_S)
         self._tally = Tally(self._classes)
-        self._troubles: Counter[str] = Counter()
+        self._fault_counts: Counter[str] = Counter()
         self._calls: list[asyncio.Task[None]] = []
-        self._numbered = 0
-        self._started = INSTANCES
+        self._call_count = 0
+        self._instance_count = INSTANCES
 
     async def run(self) -> dict[str, Any]:
-        """Configure the site, disturb it under load, and return the counts."""
+        """Configure the site, inject faults under load, and return the counts."""
         for number in range(INSTANCES):
             domain = DOMAINS[number % len(DOMAINS)]
             await self._site.start_instance(f'entry-{number + 1}', domain)
@@ -86,16 +86,18 @@
             }
             async with asyncio.TaskGroup() as group:
                 for each in self._classes:
-                    group.create_task(self._load(clients[each.organisation], each))
-                group.create_task(self._disturb())
-            async with asyncio.timeout(END_TIMEOUT_S):
+                    group.create_task(
+                        self._generate_load(clients[each.organisation], each)
+                    )
+                group.create_task(self._inject_faults())
+            async with asyncio.timeout(CALLS_TIMEOUT_S):
                 await asyncio.gather(*self._calls)
-        return self._sum_up()
+        return self._summarise()
 
     async def _configure(self) -> None:
         classes = self._classes
         for organisation in ORGANISATIONS:
-            await self._order(
+            await self._send_until_accepted(
                 'contract-amend',
                 organisation=organisation,
                 base_version=0,
@@ -105,41 +107,43 @@
         for name, engine in self._site.engines.items():
             domain = self._site.domains[name]
             entry = make_engine_entry(name, domain, engine.port, 16)
-            await self._order(
+            await self._send_until_accepted(
                 'endpoint-add', document=entry, base_version=0, why='soak'
             )
         entry = make_service_entry(f'{SERVICE}-1', DOMAINS[0], self._site.service_port)
-        await self._order('endpoint-add', document=entry, base_version=0, why='soak')
+        await self._send_until_accepted(
+            'endpoint-add', document=entry, base_version=0, why='soak'
+        )
         await asyncio.sleep(3)
 
-    async def _order(self, verb: str, **arguments: object) -> None:
+    async def _send_until_accepted(self, verb: str, **arguments: object) -> None:
         async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 code = await self._send(verb, arguments)
                 if code is ResultCode.OK:
                     return
-                self._troubles[f'operator heard {code.name}'] += 1
-                await asyncio.sleep(ORDER_AGAIN_S)
+                self._fault_counts[f'operator heard {code.name}'] += 1
+                await asyncio.sleep(COMMAND_RETRY_S)
 
     async def _send(self, verb: str, arguments: object) -> ResultCode:
         try:
-            answer = await self._site.operator.send(verb, arguments)
+            response = await self._site.operator.send(verb, arguments)
         except SavorychuteError as error:
             return error.code
-        return answer.code
+        return response.code
 
-    async def _load(self, client: Client, demo_class: DemoClass) -> None:
+    async def _generate_load(self, client: Client, demo_class: DemoClass) -> None:
         loop = asyncio.get_running_loop()
         end_s = loop.time() + self._seconds
         while loop.time() < end_s:
             await asyncio.sleep(self._rng.expovariate(demo_class.rate_per_s))
-            self._numbered += 1
+            self._call_count += 1
             tokens = max(1, int(self._rng.expovariate(1 / MEAN_TOKENS)))
-            caller = Caller(client, demo_class, f'soak-{self._numbered}', tokens)
+            caller = Caller(client, demo_class, f'soak-{self._call_count}', tokens)
             self._calls.append(asyncio.create_task(caller.run(self._tally)))
 
-    async def _disturb(self) -> None:
-        troubles: list[Callable[[], Awaitable[None]]] = [
+    async def _inject_faults(self) -> None:
+        faults: list[Callable[[], Awaitable[None]]] = [
             self._kill,
             self._pause,
             self._crash_engine,
@@ -147,33 +151,33 @@
             self._log_outage,
         ]
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + self._seconds - TROUBLE_GAP_S
+        end_s = loop.time() + self._seconds - FAULT_INTERVAL_S
         number = 0
         while loop.time() < end_s:
-            await asyncio.sleep(TROUBLE_GAP_S)
-            trouble = troubles[number % len(troubles)]
-            self._troubles[trouble.__name__.strip('_')] += 1
-            print(f'{loop_ms():.0f} ms: {trouble.__name__.strip("_")}', flush=True)
-            await trouble()
+            await asyncio.sleep(FAULT_INTERVAL_S)
+            fault = faults[number % len(faults)]
+            self._fault_counts[fault.__name__.strip('_')] += 1
+            print(f'{loop_ms():.0f} ms: {fault.__name__.strip("_")}', flush=True)
+            await fault()
             number += 1
 
-    def _pick(self) -> str:
+    def _choose_instance(self) -> str:
         return self._rng.choice(sorted(self._site.daemons))
 
     async def _start_another(self) -> None:
-        self._started += 1
-        domain = DOMAINS[self._started % len(DOMAINS)]
-        await self._site.start_instance(f'entry-{self._started}', domain)
+        self._instance_count += 1
+        domain = DOMAINS[self._instance_count % len(DOMAINS)]
+        await self._site.start_instance(f'entry-{self._instance_count}', domain)
 
     async def _kill(self) -> None:
-        await self._site.kill_instance(self._pick())
+        await self._site.kill_instance(self._choose_instance())
         await self._start_another()
 
     async def _pause(self) -> None:
-        await self._site.pause_instance(self._pick(), PAUSE_S)
+        await self._site.pause_instance(self._choose_instance(), PAUSE_S)
 
     async def _replace(self) -> None:
-        name = self._pick()
+        name = self._choose_instance()
         await self._start_another()
         await self._site.stop_instance(name)
 
@@ -188,7 +192,7 @@
         await asyncio.sleep(OUTAGE_S)
         self._site.log.is_up = True
 
-    def _sum_up(self) -> dict[str, Any]:
+    def _summarise(self) -> dict[str, Any]:
         ran_twice = [
             count for count in self._site.service.bodies_executed.values() if count > 1
         ]
@@ -200,7 +204,7 @@
             )
         )
         result['calls'] = self._tally.calls
-        result['troubles'] = dict(self._troubles)
+        result['troubles'] = dict(self._fault_counts)
         result['exit_codes_after_term'] = self._site.exit_codes
         return result
 
@@ -222,8 +226,8 @@
 async def run_soak(seconds: float, seed: int) -> dict[str, Any]:
     """Run a soak and return its counts.
 
-    :param seconds: how long there is load.
-    :param seed: of load, troubles and stand-ins; sockets make no two runs alike.
+    :param seconds: duration of the load.
+    :param seed: seed of load, faults and stand-ins; sockets still make runs differ.
     """
     with make_directory() as directory:
         site = ProcessSite(seed, Path(directory))
@@ -236,16 +240,16 @@
 
 
 def main() -> int:
-    """Run the soak from the command line; fail if a promise broke."""
+    """Run the soak from the command line; return 1 if a guarantee was violated."""
     parser = argparse.ArgumentParser(prog='python -m benches.soak')
     parser.add_argument('--seconds', type=float, default=60.0)
     parser.add_argument('--seed', type=int, default=1)
     arguments = parser.parse_args()
     result = asyncio.run(run_soak(arguments.seconds, arguments.seed))
     print(json.dumps(result))
-    broken = result['lost'] + result['duplicated'] + result['truncated']
-    left_badly = any(code != 0 for code in result['exit_codes_after_term'])
-    return 1 if broken or left_badly else 0
+    violations = result['lost'] + result['duplicated'] + result['truncated']
+    failed_exit = any(code != 0 for code in result['exit_codes_after_term'])
+    return 1 if violations or failed_exit else 0
 
 
 if __name__ == '__main__':
--- a/benches/soak_site.py
+++ b/benches/soak_site.py
@@ -1,4 +1,4 @@
-"""A site whose daemons are processes of their own."""
+"""A demo site that runs each daemon in a separate process."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 120.0
-SHORT_LIFETIME_MS = 1_000
-LONG_LIFETIME_MS = 2_000
+MIN_DISCOVERY_LIFETIME_MS = 1_000
+MAX_DISCOVERY_LIFETIME_MS = 2_000
 
 
 class DaemonProcess:
-    """A daemon's process and where it listens.
+    """The process and the address of a daemon.
 
-    :param process: started by the site, signalled by its own id only.
-    :param address: read from its log.
+    :param process: started by the site; signals are sent to its id only.
+    :param address: the address that the daemon logged.
     """
 
     def __init__(self, process: Process, address: MemberAddress) -> None:
@@ -39,16 +39,16 @@
         self.reader: asyncio.Task[None] | None = None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal if the process still runs."""
+        """Send a signal if the process is still running."""
         if self.process.returncode is None:
             self.process.send_signal(number)
 
 
 class ProcessSite(Site):
-    """Starts each daemon by ``savorychute serve``.
+    """Starts each daemon with ``savorychute serve``.
 
-    :param seed: of the stand-ins.
-    :param directory: where settings files go.
+    :param seed: seed of the stand-ins.
+    :param directory: the directory for settings files.
     """
 
     def __init__(self, seed: int, directory: Path) -> None:
@@ -58,7 +58,7 @@
         self._directory = directory
 
     async def start_instance(self, name: str, failure_domain: str) -> None:
-        """Start a daemon and enter it in the platform's list."""
+        """Start a daemon and add it to the listing of the platform."""
         settings = self._write_settings(name, failure_domain)
         path = self._directory / f'{name}.jsonc'
         path.write_text(json.dumps(settings))
@@ -83,13 +83,13 @@
             peer_port=settings['peer_port'],
         )
         daemon = DaemonProcess(process, address)
-        daemon.reader = asyncio.create_task(_discard(process))
+        daemon.reader = asyncio.create_task(_discard_output(process))
         self.daemons[name] = daemon
         self.hosts[name] = daemon  # type: ignore[assignment]
         self.listing.put(address, loop_ms())
 
     async def stop_instance(self, name: str) -> None:
-        """Let a daemon leave gracefully and note its exit code."""
+        """Stop a daemon gracefully and record its exit code."""
         daemon = self.daemons.pop(name)
         self.hosts.pop(name)
         self.listing.mark_leaving(name, loop_ms())
@@ -99,7 +99,7 @@
         self.listing.delete(name, loop_ms())
 
     async def kill_instance(self, name: str) -> None:
-        """End a daemon without a warning."""
+        """Kill a daemon."""
         daemon = self.daemons.pop(name)
         self.hosts.pop(name)
         daemon.signal(signal.SIGKILL)
@@ -107,14 +107,14 @@
         self.listing.delete(name, loop_ms())
 
     async def pause_instance(self, name: str, pause_s: float) -> None:
-        """Stop a daemon's process and let it go on later."""
+        """Suspend the process of a daemon and resume it after the pause."""
         daemon = self.daemons[name]
         daemon.signal(signal.SIGSTOP)
         await asyncio.sleep(pause_s)
         daemon.signal(signal.SIGCONT)
 
     async def close(self) -> None:
-        """End every daemon that this site started."""
+        """Kill every daemon that this site started."""
         for name in list(self.daemons):
             await self.kill_instance(name)
 
@@ -137,18 +137,18 @@
             'list_address': f'{LOOPBACK}:{self._list_port}',
             'operator_token_hashes': {OPERATOR: self.operator_hash()},
             'peer_keys': [{'key_id': 1, 'secret': self._peer_secret}],
-            'leave_grace_ms': LONG_LIFETIME_MS,
-            'discovery_min_lifetime_ms': SHORT_LIFETIME_MS,
-            'discovery_max_lifetime_ms': LONG_LIFETIME_MS,
+            'leave_grace_ms': MAX_DISCOVERY_LIFETIME_MS,
+            'discovery_min_lifetime_ms': MIN_DISCOVERY_LIFETIME_MS,
+            'discovery_max_lifetime_ms': MAX_DISCOVERY_LIFETIME_MS,
         }
 
     def operator_hash(self) -> str:
-        """Return the digest of the operator's token."""
+        """Return the SHA-256 digest of the operator token."""
         return hashlib.sha256(self._operator_token.encode()).hexdigest()
 
 
 def make_directory() -> tempfile.TemporaryDirectory[str]:
-    """Return a directory for settings files that goes away by itself."""
+    """Return a temporary directory for settings files."""
     return tempfile.TemporaryDirectory(prefix='savorychute-soak-')
 
 
@@ -161,15 +161,15 @@
     raise RuntimeError(f'the daemon ended with {await process.wait()}')
 
 
-async def _discard(process: Process) -> None:
-    """Read the log to its end, so that the pipe never blocks the daemon."""
+async def _discard_output(process: Process) -> None:
+    """Read the log until it ends, so that the pipe never blocks the daemon."""
     assert process.stdout is not None
     async for _ in process.stdout:
         pass
 
 
 def _find_free_ports() -> list[int]:
-    """Return ports that are free now; the system gives them out in turn."""
+    """Return two free ports; the system assigns ephemeral ports in turn."""
     sockets = [socket.socket() for _ in range(2)]
     try:
         for each in sockets:
--- a/benches/stated_limits.py
+++ b/benches/stated_limits.py
@@ -1,7 +1,7 @@
-"""How much of a stated limit a fleet uses, by its size and the limit, and what that costs.
+"""Share of a stated limit that a fleet uses, by its size and the limit, and its cost.
 
-One endpoint states a limit and callers ask for twice as much, on virtual time, by the
-decision parts of all instances.
+One endpoint states a limit and callers send twice as many requests, on virtual time.
+Only the decision logic of the instances runs.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 SIZES = (8, 65, 195, 530)
 LIMITS_PER_S = (1, 10, 100)
-DEMAND = 2.0
+DEMAND_RATIO = 2.0
 SETTLE_MS = 5_000
-LASTS_MS = 40_000
+MEASURED_MS = 40_000
 MS_PER_S = 1_000
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:  # noqa: ARG001
-    """Play each size and limit once.
+    """Measure each size and limit once.
 
     :param repeats: not used.
     :param rng: not used.
@@ -37,13 +37,13 @@
     for instances in SIZES:
         for limit_per_s in LIMITS_PER_S:
             label = f'{instances} instances, {limit_per_s} a second'
-            fleet = PermitFleet(instances, DEMAND * limit_per_s, limit_per_s)
+            fleet = PermitFleet(instances, DEMAND_RATIO * limit_per_s, limit_per_s)
             fleet.run(SETTLE_MS)
             before = fleet.questions
-            fleet.run(LASTS_MS)
+            fleet.run(MEASURED_MS)
             used = fleet.use_share(START_MS + SETTLE_MS)
             rows.append(make_row(f'{label}, used', used, 'share', 1.0))
-            questions_per_s = (fleet.questions - before) * MS_PER_S / LASTS_MS
+            questions_per_s = (fleet.questions - before) * MS_PER_S / MEASURED_MS
             rows.append(
                 make_row(f'{label}, questions', questions_per_s, 'a second', 0.0)
             )
--- a/benches/telemetry.py
+++ b/benches/telemetry.py
@@ -1,4 +1,4 @@
-"""Cost of a log line and of an observation."""
+"""Cost of a log line and of a metric observation."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:
-    """Measure both, against the plainest ways to do the same.
+    """Measure both and compare them with the simplest equivalents.
 
-    :param repeats: how often each measurement is taken; the median counts.
-    :param rng: makes the values.
+    :param repeats: number of measurements, of which the median is returned.
+    :param rng: generates the values.
     """
     values = [rng.uniform(1, 100) for _ in range(CALLS)]
     return [_measure_histogram(values, repeats), *_measure_log(repeats)]
@@ -49,15 +49,15 @@
         for value in values:
             library.observe(labels, value)
 
-    own_us = _time(observe, repeats)
-    library_us = _time(observe_by_library, repeats)
-    return make_row('metrics observe', own_us, 'us', library_us)
+    observe_us = _median_us(observe, repeats)
+    library_us = _median_us(observe_by_library, repeats)
+    return make_row('metrics observe', observe_us, 'us', library_us)
 
 
 def _measure_log(repeats: int) -> list[BenchRow]:
     file = io.BytesIO()
     log = InstanceLog('a-1', LogLevel.INFO)
-    plain = {
+    entry = {
         'level': 'info',
         'organisation': 'malanadu',
         'tier': TIER,
@@ -75,21 +75,23 @@
 
     def encode() -> None:
         for _ in range(CALLS):
-            msgspec.json.encode(plain)
+            msgspec.json.encode(entry)
 
     with open_log(file):
-        baseline_us = _time(encode, repeats)
+        baseline_us = _median_us(encode, repeats)
         return [
-            make_row('log line', _time(write, repeats), 'us', baseline_us),
-            make_row('log line below level', _time(skip, repeats), 'us', baseline_us),
+            make_row('log line', _median_us(write, repeats), 'us', baseline_us),
+            make_row(
+                'log line below level', _median_us(skip, repeats), 'us', baseline_us
+            ),
         ]
 
 
-def _time(call: Callable[[], None], repeats: int) -> float:
-    """Return the median time in microseconds for one of :data:`CALLS`."""
+def _median_us(call: Callable[[], None], repeats: int) -> float:
+    """Return the median time of one of :data:`CALLS` calls, in microseconds."""
     times = []
     for _ in range(repeats):
-        begin_ns = time.perf_counter_ns()
+        start_ns = time.perf_counter_ns()
         call()
-        times.append((time.perf_counter_ns() - begin_ns) / CALLS / NS_PER_US)
+        times.append((time.perf_counter_ns() - start_ns) / CALLS / NS_PER_US)
     return statistics.median(times)
--- a/benches/wire.py
+++ b/benches/wire.py
@@ -1,4 +1,4 @@
-"""Time to encode and decode a peer message, against JSON of the same."""
+"""Time to encode and decode a peer message, compared with JSON."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 ENTRIES = 16
 CALLS = 400
-STRANGER_BYTES = 200
+FOREIGN_FRAME_BYTES = 200
 NS_PER_US = 1_000
 KEYS = PeerKeys(PeerKey(1, b'0123456789abcdef0123456789abcdef'))
 
 
 class BenchEntry(NamedTuple):
-    """What an instance tells of one endpoint."""
+    """What an instance reports on one endpoint."""
 
     endpoint: str
     tier: int
@@ -41,14 +41,14 @@
 
 
 class BenchReport(NamedTuple):
-    """A report on sixteen endpoints."""
+    """A report on 16 endpoints."""
 
     pool: str
     entries: tuple[BenchEntry, ...]
 
 
 class BenchPing(NamedTuple):
-    """A message with no list."""
+    """A message without a list."""
 
     sequence: int
     target: str
@@ -56,10 +56,10 @@
 
 
 def run(repeats: int, rng: random.Random) -> list[BenchRow]:
-    """Measure both ways.
+    """Measure encoding, decoding and the refusal of foreign frames.
 
-    :param repeats: how often each measurement is taken; the median counts.
-    :param rng: makes the values.
+    :param repeats: number of measurements, of which the median is returned.
+    :param rng: generates the values.
     """
     messages: dict[int, type] = {900: BenchReport, 901: BenchPing}
     with tempfile.TemporaryDirectory() as directory:
@@ -69,23 +69,25 @@
     rows: list[BenchRow] = []
     for name, message in (('ping', _make_ping(rng)), ('report', _make_report(rng))):
         rows += _measure(name, message, codec, repeats)
-    return [*rows, _measure_stranger(repeats)]
+    return [*rows, _measure_refusal(repeats)]
 
 
-def _measure_stranger(repeats: int) -> BenchRow:
-    """Measure the refusal of a frame that another key signed."""
-    frame = sign_envelope(bytes(STRANGER_BYTES), 'a-2', PeerKey(1, b'another' * 4))
+def _measure_refusal(repeats: int) -> BenchRow:
+    """Measure the refusal of a frame that was signed with another key."""
+    frame = sign_envelope(bytes(FOREIGN_FRAME_BYTES), 'a-2', PeerKey(1, b'another' * 4))
 
     def refuse() -> None:
         with suppress(SignatureError):
             open_frame(frame, 'a-2', KEYS)
 
     def accept() -> None:
-        open_frame(own, 'a-2', KEYS)
+        open_frame(accepted_frame, 'a-2', KEYS)
 
-    own = sign_envelope(bytes(STRANGER_BYTES), 'a-2', KEYS.signing)
-    refuse_us = _time(refuse, repeats)
-    return make_row('wire refuse stranger', refuse_us, 'us', _time(accept, repeats))
+    accepted_frame = sign_envelope(bytes(FOREIGN_FRAME_BYTES), 'a-2', KEYS.signing)
+    refuse_us = _median_us(refuse, repeats)
+    return make_row(
+        'wire refuse stranger', refuse_us, 'us', _median_us(accept, repeats)
+    )
 
 
 def _measure(
@@ -102,10 +104,10 @@
         return codec.decode(open_frame(frame, 'a-2', KEYS))
 
     assert decode().message == message
-    encode_us = _time(encode, repeats)
-    decode_us = _time(decode, repeats)
-    json_encode_us = _time(lambda: msgspec.json.encode(message), repeats)
-    json_decode_us = _time(lambda: decoder.decode(text), repeats)
+    encode_us = _median_us(encode, repeats)
+    decode_us = _median_us(decode, repeats)
+    json_encode_us = _median_us(lambda: msgspec.json.encode(message), repeats)
+    json_decode_us = _median_us(lambda: decoder.decode(text), repeats)
     return [
         make_row(f'wire encode {name}', encode_us, 'us', json_encode_us),
         make_row(f'wire decode {name}', decode_us, 'us', json_decode_us),
@@ -113,14 +115,14 @@
     ]
 
 
-def _time(call: Callable[[], object], repeats: int) -> float:
+def _median_us(call: Callable[[], object], repeats: int) -> float:
     """Return the median time of one call in microseconds."""
     medians = []
     for _ in range(repeats):
-        begin_ns = time.perf_counter_ns()
+        start_ns = time.perf_counter_ns()
         for _ in range(CALLS):
             call()
-        medians.append((time.perf_counter_ns() - begin_ns) / CALLS / NS_PER_US)
+        medians.append((time.perf_counter_ns() - start_ns) / CALLS / NS_PER_US)
     return statistics.median(medians)
 
 
--- a/tests/test_configuration/conftest.py
+++ b/tests/test_configuration/conftest.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from benches.configuration_rig import Rig
+from benches.configuration_rig import ConfigurationSimulation
 from savorychute.configuration.amendment_record import AMENDMENT_KIND, AmendmentRecord
 from savorychute.configuration.fold import ConfigurationFold
 from savorychute.inputs.log_record import LogRecord
@@ -21,7 +21,7 @@
 @pytest.fixture
 def rig():
     """Three instances that are ready, on an empty log."""
-    rig = Rig(seed=3)
+    rig = ConfigurationSimulation(seed=3)
     for name in ('a', 'b', 'c'):
         rig.add(name)
     rig.wait(7_000)
--- a/tests/test_configuration/test_configuration_machine.py
+++ b/tests/test_configuration/test_configuration_machine.py
@@ -9,7 +9,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from benches.configuration_rig import Rig, make_contract, make_endpoint
+from benches.configuration_rig import (
+    ConfigurationSimulation,
+    make_contract,
+    make_endpoint,
+)
 from savorychute.actions.append_record import AppendRecord
 from savorychute.configuration.fold import ConfigurationFold
 from savorychute.configuration.settings import ConfigurationSettings
@@ -32,7 +36,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.rig = Rig(seed=11, settings=SETTINGS)
+        self.rig = ConfigurationSimulation(seed=11, settings=SETTINGS)
         for number, name in enumerate(NAMES):
             self.rig.add(name, 'north', f'north-{number % 2}')
         self.rig.wait(7_000)
@@ -53,7 +57,7 @@
         name = NAMES[number]
         if name in self.down:
             return
-        base = self.rig.keepers[name].state.versions.get(item, 0)
+        base = self.rig.managers[name].state.versions.get(item, 0)
         if is_old:
             base = max(0, base - 1)
         target = item.partition(':')[2]
@@ -82,7 +86,7 @@
     @rule(cut=st.sets(st.sampled_from(NAMES)))
     def cut_from_log(self, cut):
         """Some instances cannot read."""
-        self.rig.log_is_cut_from = cut
+        self.rig.cut_from_log = cut
 
     @rule()
     def append_garbage(self):
@@ -110,7 +114,7 @@
         """The retention passes, which the newest snapshot outlasts."""
         offsets = [
             keeper.status(self.rig.now_ms).snapshot_offset
-            for keeper in self.rig.keepers.values()
+            for keeper in self.rig.managers.values()
         ]
         if max(offsets) >= 0 and STREAM in self.rig.log.streams:
             first = self.rig.log.first_offsets.get(STREAM, 0)
@@ -119,7 +123,7 @@
     @invariant()
     def nothing_goes_back(self):
         """No run of an instance ever has an older configuration than before."""
-        for keeper in self.rig.keepers.values():
+        for keeper in self.rig.managers.values():
             before, versions = self.seen.get(keeper, (-1, {}))
             state = keeper.state
             assert state.offset >= before
@@ -131,7 +135,7 @@
     def equal_offsets_have_equal_states(self):
         """Two instances at one offset agree."""
         digests: dict[int, int] = {}
-        for keeper in self.rig.keepers.values():
+        for keeper in self.rig.managers.values():
             state = keeper.state
             assert digests.setdefault(state.offset, state.digest) == state.digest
             assert keeper.status(self.rig.now_ms).divergences == 0
@@ -142,7 +146,7 @@
         self.rig.log.lose_replies = False
         self.rig.late_append_ms = 0
         self.rig.loss_share = 0.0
-        self.rig.log_is_cut_from = set()
+        self.rig.cut_from_log = set()
         self.start_again()
         self.rig.wait(20_000)
         end = len(self.rig.log.streams.get(STREAM, []))
@@ -150,7 +154,7 @@
         whole = ConfigurationFold()
         for offset, payload in enumerate(self.rig.log.streams.get(STREAM, [])):
             whole.apply(LogRecord(offset, payload))
-        for name, keeper in self.rig.keepers.items():
+        for name, keeper in self.rig.managers.items():
             assert keeper.ready, name
             assert keeper.state.offset >= end - 1, name
             assert keeper.state.digest == whole.state.digest
--- a/tests/test_configuration/test_join.py
+++ b/tests/test_configuration/test_join.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benches.configuration_rig import Rig, make_contract
+from benches.configuration_rig import ConfigurationSimulation, make_contract
 from savorychute.configuration.configuration_store import ConfigurationStore
 from savorychute.configuration.fold import ConfigurationFold
 from savorychute.configuration.keeper import ConfigurationKeeper
@@ -221,7 +221,7 @@
 
 
 def test_join_during_a_log_outage_works_from_peers():
-    rig = Rig(seed=4)
+    rig = ConfigurationSimulation(seed=4)
     for number in range(4):
         rig.add(f'i{number}')
     rig.wait(7_000)
@@ -230,17 +230,17 @@
     rig.log.is_up = False
     rig.add('n0')
     rig.wait(3_000)
-    assert rig.keepers['n0'].ready
-    assert rig.keepers['n0'].state.digest == rig.keepers['i0'].state.digest
+    assert rig.managers['n0'].ready
+    assert rig.managers['n0'].state.digest == rig.managers['i0'].state.digest
 
 
 def test_nothing_is_served_with_neither_log_nor_peer():
-    rig = Rig(seed=4)
+    rig = ConfigurationSimulation(seed=4)
     rig.log.is_up = False
     rig.add('n0')
     rig.add('n1')
     rig.wait(60_000)
-    assert not any(keeper.ready for keeper in rig.keepers.values())
+    assert not any(keeper.ready for keeper in rig.managers.values())
     rig.log.is_up = True
     rig.wait(10_000)
-    assert all(keeper.ready for keeper in rig.keepers.values())
+    assert all(keeper.ready for keeper in rig.managers.values())
--- a/tests/test_configuration/test_keeper.py
+++ b/tests/test_configuration/test_keeper.py
@@ -15,7 +15,7 @@
     assert reply.code is ResultCode.OK
     assert msgspec.json.decode(reply.document)['version'] == 1
     assert {each.instance for each in rig.applied} == {'a', 'b', 'c'}
-    digests = {keeper.state.digest for keeper in rig.keepers.values()}
+    digests = {keeper.state.digest for keeper in rig.managers.values()}
     assert len(digests) == 1
 
 
@@ -25,7 +25,7 @@
     An answer 'accepted' from the append alone would be a guess about the fold:
     another operator's record may come first.
     """
-    rig.log_is_cut_from = {'a', 'b', 'c'}
+    rig.cut_from_log = {'a', 'b', 'c'}
     command = rig.propose('a', 'contract:m', 0, make_contract('m'))
     rig.wait(2_000)
     assert command not in rig.replies
@@ -78,15 +78,15 @@
     rig.propose('a', 'contract:m', 0, make_contract('m'))
     rig.wait(3_000)
     rig.add('d')
-    assert not rig.keepers['d'].ready
+    assert not rig.managers['d'].ready
     rig.wait(7_000)
-    assert rig.keepers['d'].ready
-    assert rig.keepers['d'].state.digest == rig.keepers['a'].state.digest
+    assert rig.managers['d'].ready
+    assert rig.managers['d'].state.digest == rig.managers['a'].state.digest
 
 
 def propose_again(rig, name, record_id, item='contract:m'):
     command_id = f'again-{name}-{rig.now_ms}'
-    actions = rig.keepers[name].propose(
+    actions = rig.managers[name].propose(
         command_id, 'asha', item, 0, make_contract('m'), 'x', rig.now_ms, record_id
     )
     rig.perform(name, actions)
@@ -112,7 +112,7 @@
     third = propose_again(rig, 'c', answer['record_id'])
     assert rig.replies[third].code is ResultCode.OK
     assert rig.log.appends == 2
-    keeper = rig.keepers['a']
+    keeper = rig.managers['a']
     assert [each.version for each in keeper.history('contract:m')] == [1]
     assert keeper.status(rig.now_ms).repeated_records == 1
 
@@ -140,7 +140,7 @@
     rig.wait(3_000)
     rig.propose('b', 'contract:n', 0, make_contract('n', 0.7))
     rig.wait(3_000)
-    for keeper in rig.keepers.values():
+    for keeper in rig.managers.values():
         (verdict,) = keeper.rejected()
         assert verdict.item == 'contract:n'
         assert 'above 1' in verdict.message
--- a/tests/test_configuration/test_snapshots.py
+++ b/tests/test_configuration/test_snapshots.py
@@ -9,7 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benches.configuration_rig import Rig, make_contract, make_endpoint
+from benches.configuration_rig import (
+    ConfigurationSimulation,
+    make_contract,
+    make_endpoint,
+)
 from savorychute.configuration.fold import ConfigurationFold
 from savorychute.configuration.record_codec import decode_record
 from savorychute.configuration.record_ring import RecordRing
@@ -185,7 +189,7 @@
 
 @pytest.fixture
 def short_rig():
-    rig = Rig(seed=5, settings=SHORT)
+    rig = ConfigurationSimulation(seed=5, settings=SHORT)
     for number in range(6):
         rig.add(f'i{number}', 'north', f'north-{number % 3}')
     rig.wait(7_000)
@@ -206,15 +210,15 @@
 
     What is left of the contract is the snapshot that was written meanwhile.
     """
-    before = short_rig.keepers['i0'].state.digest
+    before = short_rig.managers['i0'].state.digest
     short_rig.wait(120_000)
     short_rig.log.expire('configuration', 1)
-    for name in list(short_rig.keepers):
+    for name in list(short_rig.managers):
         short_rig.stop(name)
     for number in range(6):
         short_rig.add(f'n{number}', 'north', f'north-{number % 3}')
     short_rig.wait(10_000)
-    keepers = short_rig.keepers.values()
+    keepers = short_rig.managers.values()
     assert [keeper.ready for keeper in keepers] == [True] * 6
     assert {keeper.state.digest for keeper in keepers} == {before}
 
@@ -225,7 +229,7 @@
     The instances that run are all that is left of the configuration; unless
     one of them writes it down, the next restart of everything loses it.
     """
-    before = short_rig.keepers['i0'].state.digest
+    before = short_rig.managers['i0'].state.digest
     short_rig.log.is_up = False
     short_rig.wait(3_600_000)
     end = len(short_rig.log.streams['configuration'])
@@ -233,12 +237,12 @@
     short_rig.log.is_up = True
     short_rig.wait(30_000)
     assert count_snapshots(short_rig.log)[0] >= 1
-    for name in list(short_rig.keepers):
+    for name in list(short_rig.managers):
         short_rig.stop(name)
     short_rig.add('n0')
     short_rig.wait(20_000)
-    assert short_rig.keepers['n0'].ready
-    assert short_rig.keepers['n0'].state.digest == before
+    assert short_rig.managers['n0'].ready
+    assert short_rig.managers['n0'].state.digest == before
 
 
 def test_log_without_a_usable_snapshot_keeps_a_new_instance_out(short_rig):
@@ -247,10 +251,10 @@
     Serving with the few amendments that are left would be worse than nothing.
     """
     short_rig.log.expire('configuration', 1)
-    for name in list(short_rig.keepers):
+    for name in list(short_rig.managers):
         short_rig.stop(name)
     short_rig.add('n0')
     short_rig.wait(30_000)
-    assert not short_rig.keepers['n0'].ready
+    assert not short_rig.managers['n0'].ready
     reply = short_rig.replies[short_rig.propose('n0', 'contract:x', 0, None)]
     assert reply.code is ResultCode.NOT_READY
--- a/tests/test_configuration/test_spread.py
+++ b/tests/test_configuration/test_spread.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benches.configuration_rig import Rig, make_contract
+from benches.configuration_rig import ConfigurationSimulation, make_contract
 from savorychute.result_code import ResultCode
 
 MEMBERS = 110
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def region_rig():
-    rig = Rig(seed=9)
+    rig = ConfigurationSimulation(seed=9)
     for number in range(MEMBERS):
         domain = number % DOMAINS
         rig.add(f'i{number:03}', f'r{domain % REGIONS}', f'd{domain:02}')
@@ -48,7 +48,7 @@
 
 def test_region_without_the_log_gets_changes_from_the_others(region_rig):
     """One region cannot reach the log, but other instances can."""
-    region_rig.log_is_cut_from = {
+    region_rig.cut_from_log = {
         name for name, address in region_rig.addresses.items() if address.region == 'r1'
     }
     delays, _ = spread_change(region_rig, 0)
@@ -63,22 +63,22 @@
     region_rig.propose('i005', 'contract:x', 0, make_contract('x'))
     region_rig.stop('i005')
     region_rig.wait(WORST_MS)
-    offsets = {keeper.state.offset for keeper in region_rig.keepers.values()}
+    offsets = {keeper.state.offset for keeper in region_rig.managers.values()}
     assert offsets == {0}
 
 
 def test_region_that_was_cut_off_catches_up(region_rig):
     """A region is cut from the others and the log for half a minute."""
     region_rig.cut_regions = {'r2'}
-    region_rig.log_is_cut_from = {
+    region_rig.cut_from_log = {
         name for name, address in region_rig.addresses.items() if address.region == 'r2'
     }
     for number in range(3):
         spread_change(region_rig, number)
-    behind = {region_rig.keepers[each].state.offset for each in ('i002', 'i010')}
+    behind = {region_rig.managers[each].state.offset for each in ('i002', 'i010')}
     assert behind == {-1}
     region_rig.cut_regions = set()
-    region_rig.log_is_cut_from = set()
+    region_rig.cut_from_log = set()
     region_rig.wait(WORST_MS)
-    offsets = {keeper.state.offset for keeper in region_rig.keepers.values()}
+    offsets = {keeper.state.offset for keeper in region_rig.managers.values()}
     assert offsets == {2}
--- a/tests/test_credits/test_ledger.py
+++ b/tests/test_credits/test_ledger.py
@@ -11,14 +11,14 @@
 
 
 def assert_never_overcommitted(cluster):
-    assert all(total <= 8 for total in cluster.promised().values())
+    assert all(total <= 8 for total in cluster.committed_by_endpoint().values())
 
 
 def test_only_instance_may_use_everything_at_once(make_cluster):
     cluster = make_cluster('a')
 
     assert cluster.available('a') == CAPACITY
-    assert len(cluster.fill('a', 0)) == CAPACITY
+    assert len(cluster.start_requests('a', 0)) == CAPACITY
     assert cluster.available('a') == 0
 
 
@@ -29,7 +29,7 @@
         cluster.demand[name] = {1: 50}
     cluster.run(300, lambda: assert_never_overcommitted(cluster))
 
-    levels = [cluster.level(name) for name in cluster.ledgers]
+    levels = [cluster.entitlement(name) for name in cluster.ledgers]
     assert min(levels) >= 7
     assert max(levels) <= 11
 
@@ -50,7 +50,7 @@
 
     cluster.run(250, lambda: assert_never_overcommitted(cluster))
 
-    assert cluster.level(requester) >= 50
+    assert cluster.entitlement(requester) >= 50
 
 
 def test_work_in_progress_counts_until_it_ends(make_cluster):
@@ -63,7 +63,7 @@
     for name in cluster.ledgers:
         cluster.demand[name] = {2: 50}
     cluster.run(1_000)
-    attempts = {name: cluster.fill(name, 2) for name in cluster.ledgers}
+    attempts = {name: cluster.start_requests(name, 2) for name in cluster.ledgers}
     requester = next(name for name in cluster.ledgers if name != cluster.home())
     cluster.demand[requester] = {0: 60, 2: 50}
     cluster.run(5_000, lambda: assert_never_overcommitted(cluster))
@@ -71,7 +71,7 @@
 
     for name in cluster.ledgers:
         if name != requester:
-            cluster.end(name, attempts[name])
+            cluster.release_all(name, attempts[name])
     cluster.run(1_200, lambda: assert_never_overcommitted(cluster))
 
     assert cluster.available(requester) >= 35
@@ -92,8 +92,8 @@
 
     cluster.run(3_000)
 
-    assert cluster.level(patient) >= 1
-    assert cluster.level(busy) >= 60
+    assert cluster.entitlement(patient) >= 1
+    assert cluster.entitlement(busy) >= 60
 
 
 def test_credits_of_a_dead_home_last_until_the_next_home_takes_over(make_cluster):
@@ -112,12 +112,12 @@
     cluster.run(1_000)
     assert all(cluster.available(name) > 0 for name in cluster.ledgers)
 
-    cluster.see_all()
+    cluster.set_all_alive()
     cluster.run(100, lambda: assert_never_overcommitted(cluster))
     assert cluster.home() != home
     cluster.run(6_000, lambda: assert_never_overcommitted(cluster))
 
-    assert sum(cluster.level(name) for name in cluster.ledgers) >= 70
+    assert sum(cluster.entitlement(name) for name in cluster.ledgers) >= 70
 
 
 def test_views_that_disagree_overcommit_at_most_by_the_capacity(make_cluster):
@@ -134,20 +134,20 @@
     home = cluster.home()
     misled = [name for name in cluster.ledgers if name != home][:4]
     for name in misled:
-        cluster.see(name, [other for other in cluster.ledgers if other != home])
+        cluster.set_alive(name, [other for other in cluster.ledgers if other != home])
 
     worst = 0.0
 
     def measure():
         nonlocal worst
-        worst = max(worst, cluster.overcommit())
+        worst = max(worst, cluster.overcommit_share())
 
     cluster.run(10_000, measure)
     assert worst <= 1.0
 
-    cluster.see_all()
+    cluster.set_all_alive()
     cluster.run(6_000)
-    assert cluster.overcommit() == 0
+    assert cluster.overcommit_share() == 0
 
 
 def test_isolated_instances_share_the_capacity(make_cluster):
@@ -161,12 +161,12 @@
         cluster.demand[name] = {1: 50}
     cluster.run(1_000)
     for name in cluster.ledgers:
-        cluster.see(name, name)
+        cluster.set_alive(name, name)
 
     cluster.run(10_000)
 
-    assert all(cluster.level(name) > 0 for name in cluster.ledgers)
-    assert cluster.overcommit() <= 0.2
+    assert all(cluster.entitlement(name) > 0 for name in cluster.ledgers)
+    assert cluster.overcommit_share() <= 0.2
 
 
 def test_unreachable_home_leaves_a_small_allowance(make_cluster):
@@ -196,17 +196,17 @@
         cluster.demand[name] = {1: 9}
     cluster.run(1_000)
     leaving = next(name for name in cluster.ledgers if name != cluster.home())
-    running = cluster.fill(leaving, 1, limit=3)
-    cluster.see(leaving, [name for name in cluster.ledgers if name != leaving])
+    running = cluster.start_requests(leaving, 1, limit=3)
+    cluster.set_alive(leaving, [name for name in cluster.ledgers if name != leaving])
     ledger = cluster.ledgers[leaving]
 
-    cluster._post(leaving, ledger.leave(cluster.views[leaving], cluster.now_ms))
+    cluster._send(leaving, ledger.leave(cluster.views[leaving], cluster.now_ms))
     cluster.demand[leaving] = {}
     cluster.run(2_500)
 
     assert len(running) == 3
     assert cluster.available(leaving) == 0
-    assert sum(cluster.level(n) for n in cluster.ledgers if n != leaving) >= 60
+    assert sum(cluster.entitlement(n) for n in cluster.ledgers if n != leaving) >= 60
 
 
 def test_outstanding_tokens_are_limited(make_cluster):
@@ -224,7 +224,7 @@
 
 def test_draining_endpoint_gets_no_new_work_and_stays_counted(make_cluster):
     cluster = make_cluster('a', endpoints=2)
-    attempts = cluster.fill('a', 0, limit=3)
+    attempts = cluster.start_requests('a', 0, limit=3)
     cluster.endpoints['engine-0']['state'] = 'draining'
     ledger = cluster.ledgers['a']
 
@@ -232,7 +232,7 @@
 
     assert ledger.candidates('diagnosis') == ('engine-1',)
     assert ledger.available('engine-0', 0) == 0
-    cluster.end('a', attempts)
+    cluster.release_all('a', attempts)
     assert ledger.available('engine-1', 0) == 8
 
 
@@ -300,9 +300,9 @@
         if step == 'demand':
             cluster.demand[name] = {tier: amount}
         elif step == 'start':
-            running[name] += cluster.fill(name, tier, limit=amount)
+            running[name] += cluster.start_requests(name, tier, limit=amount)
         elif step == 'end':
-            cluster.end(name, running[name][:amount])
+            cluster.release_all(name, running[name][:amount])
             del running[name][:amount]
         elif step == 'lose':
             cluster.cut.add(
@@ -334,4 +334,4 @@
 
     cluster.run(1_500, lambda: assert_never_overcommitted(cluster))
 
-    assert cluster.level(users[0]) >= 45
+    assert cluster.entitlement(users[0]) >= 45
--- a/tests/test_credits/test_lost_holder.py
+++ b/tests/test_credits/test_lost_holder.py
@@ -19,7 +19,7 @@
     cluster.stop(holder)
     cluster.run(4_500)
     cluster.demand[home] = {1: 5}
-    cluster.see_all()
+    cluster.set_all_alive()
 
     cluster.run(3_000)
 
@@ -39,11 +39,11 @@
     cluster.run(1_500)
     cluster.stop(cluster.home())
     cluster.run(2_500)
-    cluster.see_all()
+    cluster.set_all_alive()
 
     cluster.run(1_500)
 
-    assert sum(cluster.level(name) for name in cluster.ledgers) >= 18
+    assert sum(cluster.entitlement(name) for name in cluster.ledgers) >= 18
 
 
 def test_new_member_does_not_stop_grants(make_cluster):
@@ -62,4 +62,4 @@
 
     cluster.run(1_500)
 
-    assert cluster.level(busy) >= 12
+    assert cluster.entitlement(busy) >= 12
--- a/tests/test_limits/conftest.py
+++ b/tests/test_limits/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benches.limiter_rig import LimiterRig, build_limits
+from benches.limiter_rig import LimiterSimulation, build_limits
 from savorychute.limits import LimitSettings
 
 
@@ -13,10 +13,10 @@
     """Return a function that builds a cluster of instances that know each other."""
 
     def make(names='abcdefgh', *, greed=0, settle_ms=20_000, limits=None):
-        cluster = LimiterRig(LimitSettings(), limits or build_limits())
-        cluster.hold_ms = 400
+        cluster = LimiterSimulation(LimitSettings(), limits or build_limits())
+        cluster.max_running_ms = 400
         for name in names:
-            cluster.start(name, greed=greed)
+            cluster.start(name, demand=greed)
         cluster.run(settle_ms)
         return cluster
 
--- a/tests/test_limits/test_limiter.py
+++ b/tests/test_limits/test_limiter.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benches.limiter_rig import FAST, ORGANISATION, LimiterRig, build_limits
+from benches.limiter_rig import FAST, ORGANISATION, LimiterSimulation, build_limits
 
 UNLIMITED = 10**6
 CONCURRENT = 40
@@ -34,7 +34,7 @@
     cluster = make_cluster()
     users = [name for name in cluster.limiters if name != cluster.home()][:3]
     for name in users:
-        cluster.greed[name] = UNLIMITED
+        cluster.demand[name] = UNLIMITED
 
     cluster.run(600, lambda: assert_within_contract(cluster))
 
@@ -47,7 +47,7 @@
     home = cluster.home()
     users = [home, *(name for name in cluster.limiters if name != home)][:3]
     for name in users:
-        cluster.greed[name] = UNLIMITED
+        cluster.demand[name] = UNLIMITED
 
     cluster.run(600, lambda: assert_within_contract(cluster))
 
@@ -63,11 +63,11 @@
     """
     cluster = make_cluster()
     for name in 'abc':
-        cluster.greed[name] = UNLIMITED
+        cluster.demand[name] = UNLIMITED
     cluster.run(2_000)
     for name in 'abc':
-        cluster.greed[name] = 0
-    cluster.greed['d'] = UNLIMITED
+        cluster.demand[name] = 0
+    cluster.demand['d'] = UNLIMITED
 
     cluster.run(1_000, lambda: assert_within_contract(cluster))
 
@@ -82,7 +82,7 @@
     """
     cluster = make_cluster('abcd', limits=build_limits(concurrent=2))
     for name in 'abcd':
-        cluster.greed[name] = UNLIMITED
+        cluster.demand[name] = UNLIMITED
     started = set()
 
     def record():
@@ -103,7 +103,7 @@
     cluster = make_cluster()
     home = cluster.home()
     for name in cluster.limiters:
-        cluster.greed[name] = UNLIMITED if name != home else 0
+        cluster.demand[name] = UNLIMITED if name != home else 0
     cluster.run(3_000)
     cluster.stop(home)
     least = CONCURRENT
@@ -127,7 +127,7 @@
     """
     cluster = make_cluster('abcd')
     for name in 'abcd':
-        cluster.greed[name] = UNLIMITED
+        cluster.demand[name] = UNLIMITED
     cluster.run(3_000)
     home = cluster.home()
     cut_off = [name for name in 'abcd' if name != home][:1]
@@ -148,7 +148,7 @@
     """
     cluster = make_cluster('abcde')
     for name in 'abcde':
-        cluster.greed[name] = UNLIMITED
+        cluster.demand[name] = UNLIMITED
     cluster.run(3_000)
     home = cluster.home()
     other = next(name for name in 'abcde' if name != home)
@@ -166,7 +166,7 @@
 def test_leaving_instance_returns_its_share(make_cluster):
     cluster = make_cluster('abcd')
     for name in 'abcd':
-        cluster.greed[name] = UNLIMITED
+        cluster.demand[name] = UNLIMITED
     cluster.run(3_000)
     leaving = next(name for name in 'abcd' if name != cluster.home())
     cluster.leave(leaving)
@@ -190,8 +190,8 @@
 
 
 def test_tokens_used_beyond_the_expectation_are_paid_back():
-    cluster = LimiterRig(FAST, build_limits(tokens_per_s=1_000))
-    cluster.start('a', greed=0)
+    cluster = LimiterSimulation(FAST, build_limits(tokens_per_s=1_000))
+    cluster.start('a', demand=0)
     cluster.run(100)
     limiter = cluster.limiters['a']
     assert limiter.check(ORGANISATION, 100, cluster.now_ms) == 0
@@ -203,8 +203,8 @@
 
 
 def test_amended_contract_applies_at_once():
-    cluster = LimiterRig(FAST, build_limits(concurrent=40))
-    cluster.start('a', greed=UNLIMITED)
+    cluster = LimiterSimulation(FAST, build_limits(concurrent=40))
+    cluster.start('a', demand=UNLIMITED)
     cluster.run(1_000)
 
     cluster.limiters['a'].set_limits(build_limits(concurrent=4))
@@ -233,7 +233,7 @@
     its own delay, and the organisation's callers reach all of them.  The limit is
     exceeded if two homes both consider themselves the only one.
     """
-    cluster = LimiterRig(FAST, seed=seed)
+    cluster = LimiterSimulation(FAST, seed=seed)
     for number in range(count):
         cluster.start(f'i{number:02d}')
     cluster.run(1_000, lambda: assert_within_contract(cluster))
@@ -263,7 +263,7 @@
     One instance of five is cut off, and three new ones start on its side.  They know of
     no lost members; if they counted as voters, they would outnumber them.
     """
-    cluster = LimiterRig(FAST, seed=3)
+    cluster = LimiterSimulation(FAST, seed=3)
     for name in 'abcde':
         cluster.start(name)
     cluster.run(2_000)
@@ -284,8 +284,8 @@
     organisation and refuse work that it could still do.
     """
     cluster = make_cluster('a', settle_ms=100)
-    cluster.see_nobody('a')
-    cluster.greed['a'] = 20
+    cluster.set_empty_view('a')
+    cluster.demand['a'] = 20
 
     cluster.run(100)
 
@@ -299,7 +299,7 @@
     starts on its side.  The two never learned that the old one is the only voter in its
     own view.
     """
-    cluster = LimiterRig(FAST, seed=1)
+    cluster = LimiterSimulation(FAST, seed=1)
     cluster.start('a')
     cluster.run(3_000)
     cluster.start('b')
