--- a/benches/configuration_rig.py
+++ b/benches/configuration_rig.py
@@ -10,7 +10,7 @@
 from savorychute.actions.operator_reply import OperatorReply
 from savorychute.actions.read_records import ReadRecords
 from savorychute.actions.send_peer import SendPeer
-from savorychute.configuration.keeper import ConfigurationKeeper
+from savorychute.configuration.manager import ConfigurationManager
 from savorychute.configuration.settings import ConfigurationSettings
 from savorychute.inputs.append_finished import AppendFinished
 from savorychute.inputs.log_record import LogRecord
@@ -145,7 +145,7 @@
         self.log = FakeLog()
         self.now_ms = 0
         self.addresses: dict[str, MemberAddress] = {}
-        self.managers: dict[str, ConfigurationKeeper] = {}
+        self.managers: dict[str, ConfigurationManager] = {}
         self.views: dict[str, MemberView] = {}
         self.applied: list[ChangeInForce] = []
         self.replies: dict[str, OperatorReply] = {}
@@ -166,7 +166,7 @@
         address = MemberAddress(name, incarnation, region, domain, name, 1, 2)
         self.addresses[name] = address
         rng = random.Random(self.rng.random())
-        manager = ConfigurationKeeper(self.settings, address, rng)
+        manager = ConfigurationManager(self.settings, address, rng)
         self.managers[name] = manager
         self._update_views()
         self.after(rng.randrange(self.tick_ms), lambda: self._tick(name, manager))
@@ -227,7 +227,7 @@
             for name, address in self.addresses.items()
         }
 
-    def _tick(self, name: str, manager: ConfigurationKeeper) -> None:
+    def _tick(self, name: str, manager: ConfigurationManager) -> None:
         if self.managers.get(name) is not manager:
             return
         self.perform(name, manager.tick(self.views[name], {}, self.now_ms))
@@ -258,7 +258,7 @@
         self.perform(action.instance, actions)
 
     def _read(
-        self, name: str, manager: ConfigurationKeeper, action: ReadRecords
+        self, name: str, manager: ConfigurationManager, action: ReadRecords
     ) -> None:
         self.reads += 1
         if name in self.cut_from_log:
@@ -274,7 +274,7 @@
         self.after(self.log_latency_ms, respond)
 
     def _append(
-        self, name: str, manager: ConfigurationKeeper, action: AppendRecord
+        self, name: str, manager: ConfigurationManager, action: AppendRecord
     ) -> None:
         finished = AppendFinished(action.append_id, action.stream, 'unknown')
         if self.late_append_ms:
--- a/benches/leases.py
+++ b/benches/leases.py
@@ -10,7 +10,7 @@
 from benches.configuration_rig import FakeLog
 from savorychute.actions.append_record import AppendRecord
 from savorychute.actions.read_records import ReadRecords
-from savorychute.leases.lease_keeper import LeaseKeeper
+from savorychute.leases.lease_manager import LeaseManager
 from savorychute.leases.lease_settings import LeaseSettings
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
         self.log = FakeLog()
         self.now_ms = 0
         self.candidates = [
-            LeaseKeeper(
+            LeaseManager(
                 LeaseSettings(), f'i{number}', random.Random(seed * 10 + number)
             )
             for number in range(CANDIDATES)
@@ -43,7 +43,7 @@
         for candidate in self.candidates:
             candidate.want(LEASE)
 
-    def holder(self) -> LeaseKeeper | None:
+    def holder(self) -> LeaseManager | None:
         """Return the candidate that holds the lease, or None."""
         for candidate in self.candidates:
             if candidate.holds(LEASE, self.now_ms) is not None:
@@ -61,7 +61,7 @@
         for _ in range(0, duration_ms, STEP_MS):
             self.step()
 
-    def perform(self, candidate: LeaseKeeper, actions: list[Action]) -> None:
+    def perform(self, candidate: LeaseManager, actions: list[Action]) -> None:
         """Execute the actions of a candidate."""
         while actions:
             action = actions.pop(0)
--- a/benches/wire.py
+++ b/benches/wire.py
@@ -17,7 +17,7 @@
 from savorychute.wire.peer_key import PeerKey
 from savorychute.wire.peer_keys import PeerKeys
 from savorychute.wire.schema_writer import write_schema
-from savorychute.wire.signature import open_frame, sign_envelope
+from savorychute.wire.signature import sign_envelope, verify_frame
 
 if TYPE_CHECKING:
     import random
@@ -78,10 +78,10 @@
 
     def refuse() -> None:
         with suppress(SignatureError):
-            open_frame(frame, 'a-2', KEYS)
+            verify_frame(frame, 'a-2', KEYS)
 
     def accept() -> None:
-        open_frame(accepted_frame, 'a-2', KEYS)
+        verify_frame(accepted_frame, 'a-2', KEYS)
 
     accepted_frame = sign_envelope(bytes(FOREIGN_FRAME_BYTES), 'a-2', KEYS.signing)
     refuse_us = _median_us(refuse, repeats)
@@ -101,7 +101,7 @@
     text = msgspec.json.encode(message)
 
     def decode() -> Any:
-        return codec.decode(open_frame(frame, 'a-2', KEYS))
+        return codec.decode(verify_frame(frame, 'a-2', KEYS))
 
     assert decode().message == message
     encode_us = _median_us(encode, repeats)
--- a/savorychute/gateway/daemon/peer_message_router.py
+++ b/savorychute/gateway/daemon/peer_message_router.py
@@ -16,7 +16,7 @@
 from savorychute.gateway.store.store_answer import StoreAnswer
 from savorychute.gateway.store.store_question import StoreQuestion
 from savorychute.membership.ack import Ack
-from savorychute.membership.member_news import MemberNews
+from savorychute.membership.member_status import MemberStatus
 from savorychute.membership.ping import Ping
 
 if TYPE_CHECKING:
@@ -70,13 +70,13 @@
         self._crash_broadcaster = CrashBroadcaster(parts.crashes)
         self._crash_inquiry = CrashHistoryFetcher(rng)
 
-    def make_update(self, now_ms: int) -> MemberNews:
+    def make_update(self, now_ms: int) -> MemberStatus:
         """Return the update that each probe carries to other instances.
 
         :param now_ms: the current time.
         """
         parts = self.parts
-        return MemberNews(
+        return MemberStatus(
             parts.demand.advertised(now_ms),
             parts.shortages.advertised(now_ms),
             parts.time.own_offset_ms() if parts.usage is not None else None,
--- a/savorychute/instance/lease_handler.py
+++ b/savorychute/instance/lease_handler.py
@@ -69,7 +69,9 @@
 
     def handle_load_report(self, report: LoadReported, now_ms: int) -> list[Action]:
         """Compare an engine's report with the orders that were sent to it."""
-        return self._handle_outcomes(self._parts.orders.report(report, now_ms), now_ms)
+        return self._handle_outcomes(
+            self._parts.orders.handle_report(report, now_ms), now_ms
+        )
 
     def _is_preferred_holder(self) -> bool:
         parts = self._parts
--- a/savorychute/instance/parts.py
+++ b/savorychute/instance/parts.py
@@ -7,14 +7,14 @@
 
 from savorychute.admission import ADMISSIONS, Admission
 from savorychute.audit.audit_trail import AuditTrail
-from savorychute.configuration.keeper import ConfigurationKeeper
 from savorychute.configuration.log_budget import LogBudget
+from savorychute.configuration.manager import ConfigurationManager
 from savorychute.credits import CreditLedger
 from savorychute.events import EventManager
 from savorychute.instance.directory import Directory
 from savorychute.instance.request_table import RequestTable
-from savorychute.leases.lease_keeper import LeaseKeeper
-from savorychute.leases.order_desk import OrderDesk
+from savorychute.leases.lease_manager import LeaseManager
+from savorychute.leases.order_handler import OrderHandler
 from savorychute.limits import OrganisationLimiter
 from savorychute.membership import Membership
 from savorychute.recovery import Ejector, LeavingBroadcaster, Quarantine, RetryBudget
@@ -35,7 +35,7 @@
     directory: Directory
     request_table: RequestTable
     membership: Membership
-    configuration: ConfigurationKeeper
+    configuration: ConfigurationManager
     audit: AuditTrail
     admission: Admission
     credits: CreditLedger
@@ -48,8 +48,8 @@
     leaving: LeavingBroadcaster
     quarantine: Quarantine
     keys: KeyManager
-    leases: LeaseKeeper
-    orders: OrderDesk
+    leases: LeaseManager
+    orders: OrderHandler
 
 
 def assemble_parts(
@@ -73,7 +73,7 @@
     audit = settings.audit._replace(epoch_offset_ms=epoch_offset_ms)
     keys = KeyManager(settings.keys, address, make_rng())
     keys.set_wall_clock(epoch_offset_ms, 0)
-    leases = LeaseKeeper(settings.leases, name, make_rng(), log_budget)
+    leases = LeaseManager(settings.leases, name, make_rng(), log_budget)
     endpoint_table = EndpointTable(
         settings.routing, make_rng(), address.failure_domain, address.region
     )
@@ -84,7 +84,7 @@
         directory=Directory(),
         request_table=RequestTable(),
         membership=Membership(settings.membership, address, make_rng()),
-        configuration=ConfigurationKeeper(
+        configuration=ConfigurationManager(
             configuration, address, make_rng(), log_budget
         ),
         audit=AuditTrail(audit, f'{name}.{address.incarnation}', log_budget),
@@ -104,5 +104,5 @@
         quarantine=Quarantine(settings.quarantine, name, make_rng()),
         keys=keys,
         leases=leases,
-        orders=OrderDesk(settings.leases, leases),
+        orders=OrderHandler(settings.leases, leases),
     )
--- a/savorychute/instance/periodic_tasks.py
+++ b/savorychute/instance/periodic_tasks.py
@@ -8,7 +8,7 @@
 from savorychute.audit.audit_kind import AuditKind
 from savorychute.instance.lease_handler import LeaseHandler
 from savorychute.instance.placement_handler import PlacementHandler
-from savorychute.membership.member_news import MemberNews
+from savorychute.membership.member_status import MemberStatus
 from savorychute.recovery import EndpointHealth
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
         parts = self._parts
         parts.membership.advertise(
             parts.configuration.advertised_offset,
-            MemberNews(load=len(parts.request_table)),
+            MemberStatus(load=len(parts.request_table)),
         )
         actions = parts.membership.tick(now_ms)
         view = parts.membership.view()
--- a/savorychute/leases/lease_record.py
+++ b/savorychute/leases/lease_record.py
@@ -16,9 +16,9 @@
 class LeaseRecord(TypedDict):
     """A claim to a lease, or its release by the holder.
 
-    ``holder`` names one run of an instance.  ``seen_offset`` is the last offset
-    that it had read; a claim stands only if no other was accepted since.
-    ``fencing`` is the offset of the holder's first claim in a renewal, and -1
+    ``holder`` identifies one run of an instance.  ``seen_offset`` is the last offset
+    that it had read; a claim is accepted only if no other claim was accepted after
+    it.  ``fencing`` is the offset of the holder's first claim in a renewal, and -1
     in a first claim.
     """
 
@@ -42,17 +42,18 @@
 def decode_lease_record(payload: bytes) -> LeaseRecord | None:
     """Return the record in the payload, or None if it is not a valid one.
 
-    :param payload: the bytes at an offset of the stream; anybody may have
-        written them.
+    :param payload: the bytes at an offset of the stream, from an untrusted writer.
     """
     try:
         record = _DECODER.decode(payload)
     except (msgspec.MsgspecError, RecursionError):
         return None
-    is_known = record['kind'] in (CLAIM_KIND, RELEASE_KIND)
-    is_named = 0 < len(record['name']) <= MAX_NAME_CHARACTERS
-    is_held = 0 < len(record['holder']) <= MAX_NAME_CHARACTERS
-    is_bounded = 0 < record['duration_ms'] <= MAX_DURATION_MS
-    if not (is_known and is_named and is_held and is_bounded):
+    is_valid_kind = record['kind'] in (CLAIM_KIND, RELEASE_KIND)
+    has_valid_name = 0 < len(record['name']) <= MAX_NAME_CHARACTERS
+    has_valid_holder = 0 < len(record['holder']) <= MAX_NAME_CHARACTERS
+    has_valid_duration = 0 < record['duration_ms'] <= MAX_DURATION_MS
+    if not (
+        is_valid_kind and has_valid_name and has_valid_holder and has_valid_duration
+    ):
         return None
     return record
