--- a/tests/test_configuration/test_broadcast.py
+++ b/tests/test_configuration/test_broadcast.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benches.configuration_rig import Rig, make_contract
+from benches.configuration_rig import ConfigurationSimulation, make_contract
 from savorychute.result_code import ResultCode
 
 MEMBERS = 110
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def region_cluster():
-    cluster = Rig(seed=9)
+    cluster = ConfigurationSimulation(seed=9)
     for number in range(MEMBERS):
         domain = number % DOMAINS
         cluster.add(f'i{number:03}', f'r{domain % REGIONS}', f'd{domain:02}')
@@ -48,7 +48,7 @@
 
 def test_region_without_the_log_receives_changes_from_other_regions(region_cluster):
     """One region cannot reach the log, but instances of other regions can."""
-    region_cluster.log_is_cut_from = {
+    region_cluster.cut_from_log = {
         name
         for name, address in region_cluster.addresses.items()
         if address.region == 'r1'
@@ -65,24 +65,24 @@
     region_cluster.propose('i005', 'contract:x', 0, make_contract('x'))
     region_cluster.stop('i005')
     region_cluster.wait(WORST_MS)
-    offsets = {manager.state.offset for manager in region_cluster.keepers.values()}
+    offsets = {manager.state.offset for manager in region_cluster.managers.values()}
     assert offsets == {0}
 
 
 def test_partitioned_region_catches_up(region_cluster):
     """A region is partitioned from the others and from the log for half a minute."""
     region_cluster.cut_regions = {'r2'}
-    region_cluster.log_is_cut_from = {
+    region_cluster.cut_from_log = {
         name
         for name, address in region_cluster.addresses.items()
         if address.region == 'r2'
     }
     for number in range(3):
         propose_and_measure(region_cluster, number)
-    behind = {region_cluster.keepers[each].state.offset for each in ('i002', 'i010')}
+    behind = {region_cluster.managers[each].state.offset for each in ('i002', 'i010')}
     assert behind == {-1}
     region_cluster.cut_regions = set()
-    region_cluster.log_is_cut_from = set()
+    region_cluster.cut_from_log = set()
     region_cluster.wait(WORST_MS)
-    offsets = {manager.state.offset for manager in region_cluster.keepers.values()}
+    offsets = {manager.state.offset for manager in region_cluster.managers.values()}
     assert offsets == {2}
--- a/tests/test_configuration/test_configuration_machine.py
+++ b/tests/test_configuration/test_configuration_machine.py
@@ -9,7 +9,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from benches.configuration_rig import Rig, make_contract, make_endpoint
+from benches.configuration_rig import (
+    ConfigurationSimulation,
+    make_contract,
+    make_endpoint,
+)
 from savorychute.actions.append_record import AppendRecord
 from savorychute.configuration.fold import ConfigurationFold
 from savorychute.configuration.settings import ConfigurationSettings
@@ -32,7 +36,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.cluster = Rig(seed=11, settings=SETTINGS)
+        self.cluster = ConfigurationSimulation(seed=11, settings=SETTINGS)
         for number, name in enumerate(NAMES):
             self.cluster.add(name, 'north', f'north-{number % 2}')
         self.cluster.wait(7_000)
@@ -53,7 +57,7 @@
         name = NAMES[number]
         if name in self.down:
             return
-        base = self.cluster.keepers[name].state.versions.get(item, 0)
+        base = self.cluster.managers[name].state.versions.get(item, 0)
         if is_old:
             base = max(0, base - 1)
         target = item.partition(':')[2]
@@ -82,7 +86,7 @@
     @rule(cut=st.sets(st.sampled_from(NAMES)))
     def cut_from_log(self, cut):
         """Some instances cannot read the log."""
-        self.cluster.log_is_cut_from = cut
+        self.cluster.cut_from_log = cut
 
     @rule()
     def append_garbage(self):
@@ -110,7 +114,7 @@
         """The log expires all records that the newest snapshot covers."""
         offsets = [
             manager.status(self.cluster.now_ms).snapshot_offset
-            for manager in self.cluster.keepers.values()
+            for manager in self.cluster.managers.values()
         ]
         if max(offsets) >= 0 and STREAM in self.cluster.log.streams:
             first = self.cluster.log.first_offsets.get(STREAM, 0)
@@ -119,7 +123,7 @@
     @invariant()
     def offsets_and_versions_never_decrease(self):
         """The configuration of an instance never becomes older during a run."""
-        for manager in self.cluster.keepers.values():
+        for manager in self.cluster.managers.values():
             before, versions = self.last_seen.get(manager, (-1, {}))
             state = manager.state
             assert state.offset >= before
@@ -131,7 +135,7 @@
     def equal_offsets_have_equal_states(self):
         """Two instances at the same offset have the same state."""
         digests: dict[int, int] = {}
-        for manager in self.cluster.keepers.values():
+        for manager in self.cluster.managers.values():
             state = manager.state
             assert digests.setdefault(state.offset, state.digest) == state.digest
             assert manager.status(self.cluster.now_ms).divergences == 0
@@ -142,7 +146,7 @@
         self.cluster.log.lose_replies = False
         self.cluster.late_append_ms = 0
         self.cluster.loss_share = 0.0
-        self.cluster.log_is_cut_from = set()
+        self.cluster.cut_from_log = set()
         self.start_again()
         self.cluster.wait(20_000)
         end = len(self.cluster.log.streams.get(STREAM, []))
@@ -150,7 +154,7 @@
         whole = ConfigurationFold()
         for offset, payload in enumerate(self.cluster.log.streams.get(STREAM, [])):
             whole.apply(LogRecord(offset, payload))
-        for name, manager in self.cluster.keepers.items():
+        for name, manager in self.cluster.managers.items():
             assert manager.ready, name
             assert manager.state.offset >= end - 1, name
             assert manager.state.digest == whole.state.digest
--- a/tests/test_configuration/test_join.py
+++ b/tests/test_configuration/test_join.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benches.configuration_rig import Rig, make_contract
+from benches.configuration_rig import ConfigurationSimulation, make_contract
 from savorychute.configuration.configuration_store import ConfigurationStore
 from savorychute.configuration.fold import ConfigurationFold
 from savorychute.configuration.log_follower import LogFollower
@@ -223,7 +223,7 @@
 
 
 def test_join_during_a_log_outage_uses_peers():
-    cluster = Rig(seed=4)
+    cluster = ConfigurationSimulation(seed=4)
     for number in range(4):
         cluster.add(f'i{number}')
     cluster.wait(7_000)
@@ -232,17 +232,17 @@
     cluster.log.is_up = False
     cluster.add('n0')
     cluster.wait(3_000)
-    assert cluster.keepers['n0'].ready
-    assert cluster.keepers['n0'].state.digest == cluster.keepers['i0'].state.digest
+    assert cluster.managers['n0'].ready
+    assert cluster.managers['n0'].state.digest == cluster.managers['i0'].state.digest
 
 
 def test_instance_is_not_ready_without_log_and_peers():
-    cluster = Rig(seed=4)
+    cluster = ConfigurationSimulation(seed=4)
     cluster.log.is_up = False
     cluster.add('n0')
     cluster.add('n1')
     cluster.wait(60_000)
-    assert not any(manager.ready for manager in cluster.keepers.values())
+    assert not any(manager.ready for manager in cluster.managers.values())
     cluster.log.is_up = True
     cluster.wait(10_000)
-    assert all(manager.ready for manager in cluster.keepers.values())
+    assert all(manager.ready for manager in cluster.managers.values())
--- a/tests/test_configuration/test_manager.py
+++ b/tests/test_configuration/test_manager.py
@@ -15,7 +15,7 @@
     assert reply.code is ResultCode.OK
     assert msgspec.json.decode(reply.document)['version'] == 1
     assert {each.instance for each in cluster.applied} == {'a', 'b', 'c'}
-    digests = {manager.state.digest for manager in cluster.keepers.values()}
+    digests = {manager.state.digest for manager in cluster.managers.values()}
     assert len(digests) == 1
 
 
@@ -25,7 +25,7 @@
     A reply 'accepted' that relies on the append alone could be wrong, because the
     record of another operator may precede this one in the log.
     """
-    cluster.log_is_cut_from = {'a', 'b', 'c'}
+    cluster.cut_from_log = {'a', 'b', 'c'}
     command = cluster.propose('a', 'contract:m', 0, make_contract('m'))
     cluster.wait(2_000)
     assert command not in cluster.replies
@@ -78,15 +78,15 @@
     cluster.propose('a', 'contract:m', 0, make_contract('m'))
     cluster.wait(3_000)
     cluster.add('d')
-    assert not cluster.keepers['d'].ready
+    assert not cluster.managers['d'].ready
     cluster.wait(7_000)
-    assert cluster.keepers['d'].ready
-    assert cluster.keepers['d'].state.digest == cluster.keepers['a'].state.digest
+    assert cluster.managers['d'].ready
+    assert cluster.managers['d'].state.digest == cluster.managers['a'].state.digest
 
 
 def propose_again(cluster, name, record_id, item='contract:m'):
     command_id = f'again-{name}-{cluster.now_ms}'
-    actions = cluster.keepers[name].propose(
+    actions = cluster.managers[name].propose(
         command_id, 'asha', item, 0, make_contract('m'), 'x', cluster.now_ms, record_id
     )
     cluster.perform(name, actions)
@@ -112,7 +112,7 @@
     third = propose_again(cluster, 'c', answer['record_id'])
     assert cluster.replies[third].code is ResultCode.OK
     assert cluster.log.appends == 2
-    manager = cluster.keepers['a']
+    manager = cluster.managers['a']
     assert [each.version for each in manager.history('contract:m')] == [1]
     assert manager.status(cluster.now_ms).repeated_records == 1
 
@@ -140,7 +140,7 @@
     cluster.wait(3_000)
     cluster.propose('b', 'contract:n', 0, make_contract('n', 0.7))
     cluster.wait(3_000)
-    for manager in cluster.keepers.values():
+    for manager in cluster.managers.values():
         (verdict,) = manager.rejected()
         assert verdict.item == 'contract:n'
         assert 'above 1' in verdict.message
--- a/tests/test_configuration/test_snapshots.py
+++ b/tests/test_configuration/test_snapshots.py
@@ -9,7 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from benches.configuration_rig import Rig, make_contract, make_endpoint
+from benches.configuration_rig import (
+    ConfigurationSimulation,
+    make_contract,
+    make_endpoint,
+)
 from savorychute.configuration.fold import ConfigurationFold
 from savorychute.configuration.record_codec import decode_record
 from savorychute.configuration.record_ring import RecordRing
@@ -185,7 +189,7 @@
 
 @pytest.fixture
 def short_interval_cluster():
-    cluster = Rig(seed=5, settings=SHORT)
+    cluster = ConfigurationSimulation(seed=5, settings=SHORT)
     for number in range(6):
         cluster.add(f'i{number}', 'north', f'north-{number % 3}')
     cluster.wait(7_000)
@@ -206,15 +210,15 @@
 
     Only the snapshot that was written meanwhile still contains the contract.
     """
-    before = short_interval_cluster.keepers['i0'].state.digest
+    before = short_interval_cluster.managers['i0'].state.digest
     short_interval_cluster.wait(120_000)
     short_interval_cluster.log.expire('configuration', 1)
-    for name in list(short_interval_cluster.keepers):
+    for name in list(short_interval_cluster.managers):
         short_interval_cluster.stop(name)
     for number in range(6):
         short_interval_cluster.add(f'n{number}', 'north', f'north-{number % 3}')
     short_interval_cluster.wait(10_000)
-    managers = short_interval_cluster.keepers.values()
+    managers = short_interval_cluster.managers.values()
     assert [manager.ready for manager in managers] == [True] * 6
     assert {manager.state.digest for manager in managers} == {before}
 
@@ -227,7 +231,7 @@
     Only the running instances still hold the configuration.  Unless one of them
     writes a snapshot, the next restart of all instances loses it.
     """
-    before = short_interval_cluster.keepers['i0'].state.digest
+    before = short_interval_cluster.managers['i0'].state.digest
     short_interval_cluster.log.is_up = False
     short_interval_cluster.wait(3_600_000)
     end = len(short_interval_cluster.log.streams['configuration'])
@@ -235,12 +239,12 @@
     short_interval_cluster.log.is_up = True
     short_interval_cluster.wait(30_000)
     assert count_snapshots(short_interval_cluster.log)[0] >= 1
-    for name in list(short_interval_cluster.keepers):
+    for name in list(short_interval_cluster.managers):
         short_interval_cluster.stop(name)
     short_interval_cluster.add('n0')
     short_interval_cluster.wait(20_000)
-    assert short_interval_cluster.keepers['n0'].ready
-    assert short_interval_cluster.keepers['n0'].state.digest == before
+    assert short_interval_cluster.managers['n0'].ready
+    assert short_interval_cluster.managers['n0'].state.digest == before
 
 
 def test_new_instance_is_not_ready_without_a_usable_snapshot(short_interval_cluster):
@@ -249,11 +253,11 @@
     Serving with only the remaining amendments would be worse than not serving.
     """
     short_interval_cluster.log.expire('configuration', 1)
-    for name in list(short_interval_cluster.keepers):
+    for name in list(short_interval_cluster.managers):
         short_interval_cluster.stop(name)
     short_interval_cluster.add('n0')
     short_interval_cluster.wait(30_000)
-    assert not short_interval_cluster.keepers['n0'].ready
+    assert not short_interval_cluster.managers['n0'].ready
     reply = short_interval_cluster.replies[
         short_interval_cluster.propose('n0', 'contract:x', 0, None)
     ]
