--- a/benches/capacity_roles/client_role.py
+++ b/benches/capacity_roles/client_role.py
@@ -12,8 +12,7 @@
 from benches.capacity_roles.roles import role
 from benches.capacity_roles.site import make_members, make_view
 from benches.capacity_roles.target import SIZES
-from savorychute.client.address_table import AddressTable
-from savorychute.client.address_table import DiscoveryDocument
+from savorychute.client.address_table import AddressTable, DiscoveryDocument
 from savorychute.client.client_settings import ClientSettings
 from savorychute.clock import ManualClock
 from savorychute.http.client_pool import ClientPool, ServerAddress
--- a/benches/soak.py
+++ b/benches/soak.py
@@ -20,9 +20,12 @@
 from savorychute.client import ClientSettings, open_client
 from savorychute.demo.caller import Caller
 from savorychute.demo.demo_class import SERVICE, list_classes
-from savorychute.demo.documents import (make_contract, make_token)
-from savorychute.demo.documents import make_engine_document
-from savorychute.demo.documents import make_service_document
+from savorychute.demo.documents import (
+    make_contract,
+    make_engine_document,
+    make_service_document,
+    make_token,
+)
 from savorychute.demo.site import DOMAINS
 from savorychute.demo.tally import Tally
 from savorychute.errors import SavorychuteError
@@ -107,7 +110,9 @@
             await self._send_until_accepted(
                 'endpoint-add', document=entry, base_version=0, why='soak'
             )
-        entry = make_service_document(f'{SERVICE}-1', DOMAINS[0], self._site.service_port)
+        entry = make_service_document(
+            f'{SERVICE}-1', DOMAINS[0], self._site.service_port
+        )
         await self._send_until_accepted(
             'endpoint-add', document=entry, base_version=0, why='soak'
         )
