--- a/benches/routing_rig.py
+++ b/benches/routing_rig.py
@@ -177,7 +177,7 @@
         )
 
     def _slow_down(self, now_ms: float) -> None:
-        events = self.engines['engine-0'].set_straggle(self.plan.straggler, now_ms)
+        events = self.engines['engine-0'].set_slowdown(self.plan.straggler, now_ms)
         self._take('engine-0', events, now_ms)
 
     def _arrive(self, number: int, now_ms: float) -> None:
--- a/savorychute/cmd/scenario_page.py
+++ b/savorychute/cmd/scenario_page.py
@@ -39,9 +39,9 @@
     """Return the page."""
     # The stand-ins are loaded only here: no other page needs them.
     from savorychute.testing.faults import FAULTS, FaultStep
+    from savorychute.testing.invariants import INVARIANTS
     from savorychute.testing.measures import ClassFigures, RunFigures
     from savorychute.testing.profiles import PROFILES
-    from savorychute.testing.promises import PROMISES
     from savorychute.testing.scenario import Expectation, LoadSpec, Scenario
 
     sections = (
@@ -50,7 +50,7 @@
         _describe_struct('``at``', FaultStep),
         _describe_registry('Faults and commands', FAULTS),
         _describe_struct('``expect``', Expectation),
-        _describe_registry('Promises', PROMISES),
+        _describe_registry('Promises', INVARIANTS),
         _list_names('Measures of a run', RunFigures._fields),
         _list_names('Measures of a class', ClassFigures._fields),
         _list_names('Systems', PROFILES),
--- a/savorychute/testing/__init__.py
+++ b/savorychute/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for endpoints and platform, and what drives whole systems of them."""
+"""Stand-ins for endpoints and the platform, and simulations of whole systems."""
--- a/savorychute/testing/call.py
+++ b/savorychute/testing/call.py
@@ -1,4 +1,4 @@
-"""One logical request of a caller, over all of its tries."""
+"""One logical request of a caller, with all of its attempts."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class CallClass(NamedTuple):
-    """A class of requests as its callers see it.
+    """A class of requests as callers see it.
 
-    Output lengths are log-normal around ``output_tokens`` with ``spread``.
-    With ``service`` the call goes to a plain service.
+    Output lengths are log-normally distributed with the median
+    ``output_tokens`` and the deviation ``spread``.  If ``service`` is set, the
+    call goes to a plain service.
     """
 
     name: str
@@ -34,14 +35,14 @@
 
 
 class Call:
-    """What one caller wants, and what it has got so far.
-
-    :param call_id: also marks the body.
-    :param organisation: whose token it carries.
-    :param call_class: what is asked.
-    :param body: the request's body.
-    :param answer: the whole text that is due.
-    :param answer_tokens: its length, 0 for a plain service.
+    """A request of one caller and what was received so far.
+
+    :param call_id: also part of the body, see :mod:`savorychute.testing.markers`.
+    :param organisation: the organisation whose token the call carries.
+    :param call_class: the class of the request.
+    :param body: the body of the request.
+    :param answer: the expected complete answer.
+    :param answer_tokens: the length of the answer; 0 for a plain service.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
         self.prompt = prompt
         self.answer = answer
         self.answer_tokens = answer_tokens
-        self.begun_ms = 0.0
+        self.started_ms = 0.0
         self.ended_ms: float | None = None
         self.first_token_ms: float | None = None
         self.last_token_ms = 0.0
@@ -71,43 +72,43 @@
         self.handle = ''
         self.chunk_offset = 0
         self.chunk_start = 0
-        self.tries = 0
+        self.attempts = 0
         self.failures = 0
         self.redirects = 0
-        self.waits = 0
+        self.backoff_count = 0
         self.code: ResultCode | None = None
-        self.told = ''
+        self.outcome = ''
 
     @property
-    def is_over(self) -> bool:
-        """Whether the caller knows how it ended."""
+    def is_finished(self) -> bool:
+        """Whether the caller knows the outcome."""
         return self.ended_ms is not None
 
     @property
-    def is_whole(self) -> bool:
-        """Whether the caller has the whole answer."""
-        return self.is_over and self.told == 'answered'
+    def is_complete(self) -> bool:
+        """Whether the caller has the complete answer."""
+        return self.is_finished and self.outcome == 'answered'
 
     @property
     def ending(self) -> str:
-        """How it ended, in words."""
-        return f'{self.told} {self.code.name if self.code else ""}'.strip()
+        """The outcome and result code as text."""
+        return f'{self.outcome} {self.code.name if self.code else ""}'.strip()
 
     @property
     def deadline_ms(self) -> float:
-        """When the caller no longer waits."""
-        return self.begun_ms + self.call_class.timeout_ms
+        """The time at which the caller stops waiting."""
+        return self.started_ms + self.call_class.timeout_ms
 
     @property
     def has_attained(self) -> bool:
-        """Whether the answer is whole and met its class's targets.
+        """Whether the answer is complete and met the targets of its class.
 
-        The first token counts from the caller's first try to its arrival, the
-        gap is the mean over the answer.
+        The time to the first token is measured from the caller's first attempt
+        to the arrival of the token; the token gap is the mean over the answer.
         """
-        if not self.is_whole or self.first_token_ms is None or self.ended_ms is None:
+        if not self.is_complete or self.first_token_ms is None or self.ended_ms is None:
             return False
-        wait_ms = self.first_token_ms - self.begun_ms
+        wait_ms = self.first_token_ms - self.started_ms
         if wait_ms > self.call_class.first_token_target_ms:
             return False
         return self.mean_gap_ms <= self.call_class.token_gap_target_ms
--- a/savorychute/testing/call_try.py
+++ b/savorychute/testing/call_attempt.py
@@ -1,4 +1,4 @@
-"""One try of a call at one instance, as the client library makes it."""
+"""One attempt of a call at one instance, as the client library makes it."""
 
 from __future__ import annotations
 
@@ -19,54 +19,54 @@
         StartResponse,
     )
     from savorychute.testing.call import Call
+    from savorychute.testing.environment import Environment
     from savorychute.testing.instance_host import InstanceHost
-    from savorychute.testing.surroundings import Surroundings
 
 
-class TryOwner(Protocol):
-    """Who decides what follows a try."""
+class CallAttemptOwner(Protocol):
+    """The object that decides what follows an attempt."""
 
     @property
-    def world(self) -> Surroundings:
-        """What all parts of the run share."""
+    def simulation(self) -> Environment:
+        """The environment that all parts of the run share."""
         ...
 
-    def answered(self, call: Call, call_try: CallTry) -> None:
-        """Take a whole answer."""
+    def answered(self, call: Call, call_attempt: CallAttempt) -> None:
+        """Handle a complete answer."""
         ...
 
-    def failed(self, call: Call, refusal: Refusal, call_try: CallTry) -> None:
-        """Take a refusal or a cut answer."""
+    def failed(self, call: Call, refusal: Refusal, call_attempt: CallAttempt) -> None:
+        """Handle a refusal or an interrupted answer."""
         ...
 
-    def try_broke(self, call: Call, call_try: CallTry) -> None:
-        """Note that the connection broke."""
+    def attempt_broke(self, call: Call, call_attempt: CallAttempt) -> None:
+        """Handle a broken connection."""
         ...
 
 
-class CallTry:
-    """Takes what one instance answers and tells its owner how it ended.
+class CallAttempt:
+    """Receives the response of one instance and reports the outcome to its owner.
 
-    :param callers: decides what follows.
+    :param owner: decides what follows the attempt.
     :param call: the call.
-    :param host: the instance that is asked.
-    :param request_id: the request's id at that instance.
+    :param host: the instance that receives the request.
+    :param request_id: the id of the request at that instance.
     """
 
     def __init__(
-        self, callers: TryOwner, call: Call, host: InstanceHost, request_id: str
+        self, owner: CallAttemptOwner, call: Call, host: InstanceHost, request_id: str
     ) -> None:
         self.call = call
         self.host = host
         self.request_id = request_id
-        self.sent_ms = callers.world.heap.now_ms
+        self.sent_ms = owner.simulation.heap.now_ms
         self.is_open = True
-        self._callers = callers
-        self._begun = False
+        self._owner = owner
+        self._has_started = False
         self._streamed = call.call_class.stream and not call.call_class.service
 
     def started(self, response: StartResponse) -> None:
-        """Take the head of an answer."""
+        """Handle the head of an answer."""
         if not self.is_open:
             return
         if response.handle:
@@ -75,37 +75,37 @@
             self.call.text = b''
 
     def received(self, chunk: SendChunk) -> None:
-        """Take a part of an answer."""
+        """Handle a part of an answer."""
         if not self.is_open:
             return
         call = self.call
-        now_ms = self._callers.world.heap.now_ms
-        self._callers.world.reached(steps.STREAMING, call.call_id, self.host.name)
+        now_ms = self._owner.simulation.heap.now_ms
+        self._owner.simulation.reached(steps.STREAMING, call.call_id, self.host.name)
         if call.first_token_ms is None:
             call.first_token_ms = now_ms
         else:
             call.worst_gap_ms = max(call.worst_gap_ms, now_ms - call.last_token_ms)
         call.last_token_ms = now_ms
         if self._streamed:
-            self._splice(chunk)
+            self._truncate_text(chunk)
         call.text += chunk.data
-        self._begun = True
+        self._has_started = True
 
     def finished(self, finish: FinishResponse) -> None:
-        """Take the end of an answer that was begun."""
+        """Handle the end of a started answer."""
         if not self.is_open:
             return
         self.is_open = False
         if finish.code is ResultCode.OK:
-            self._callers.answered(self.call, self)
+            self._owner.answered(self.call, self)
             return
         if finish.handle:
             self.call.handle = finish.handle
-        cut = Refusal(finish.code, finish.ran, is_cut=True)
-        self._callers.failed(self.call, cut, self)
+        interruption = Refusal(finish.code, finish.ran, is_interrupted=True)
+        self._owner.failed(self.call, interruption, self)
 
     def refused(self, refuse: RefuseRequest) -> None:
-        """Take a refusal."""
+        """Handle a refusal."""
         if not self.is_open:
             return
         self.is_open = False
@@ -114,43 +114,45 @@
         refusal = Refusal(
             refuse.code, refuse.ran, refuse.retry_after_ms, refuse.location
         )
-        self._callers.failed(self.call, refusal, self)
+        self._owner.failed(self.call, refusal, self)
 
     def broken(self) -> None:
-        """Note that the connection broke."""
+        """Handle a broken connection."""
         if self.is_open:
             self.is_open = False
-            self._callers.try_broke(self.call, self)
+            self._owner.attempt_broke(self.call, self)
 
     def leave(self) -> None:
         """Close the connection from the caller's side."""
         if self.is_open:
             self.is_open = False
-            world = self._callers.world
-            world.heap.call_later(
-                world.network.settings.client_ms, self.host.caller_left, self.request_id
+            simulation = self._owner.simulation
+            simulation.heap.call_later(
+                simulation.network.settings.client_ms,
+                self.host.caller_left,
+                self.request_id,
             )
 
-    def _splice(self, chunk: SendChunk) -> None:
-        """Put a chunk where its offset says; the caller keeps no token twice.
+    def _truncate_text(self, chunk: SendChunk) -> None:
+        """Cut the received text at the chunk's offset, so that no token is kept twice.
 
-        A caller knows where each event begins.  After a resume it goes on from
-        the beginning of the last event that it had.
+        A caller knows the offset of each event.  After a resume it continues at
+        the start of the last event that it received.
         """
         call = self.call
         tokens = call.text.count(b' ')
-        if chunk.offset < tokens and not self._begun:
+        if chunk.offset < tokens and not self._has_started:
             kept = call.text.split(b' ')[1 : chunk.offset + 1]
             call.text = b''.join(b' ' + token for token in kept)
         elif chunk.offset != tokens:
-            self._callers.world.note_breach(
+            self._owner.simulation.record_violation(
                 f'call {call.call_id}: chunk at {chunk.offset} after {tokens} tokens'
             )
         call.chunk_offset = chunk.offset
 
 
-def continue_body(call: Call) -> bytes:
-    """Return the body with the text that the caller has, as the library does."""
+def build_continuation_body(call: Call) -> bytes:
+    """Return the body with the text received so far, as the client library does."""
     if not call.handle or not call.chunk_offset:
         return call.body
     tokens = call.text.split(b' ')[1 : call.chunk_offset + 1]
@@ -160,8 +162,8 @@
     return msgspec.json.encode(document)
 
 
-def continue_handle(call: Call) -> str:
-    """Return the handle that asks for what the caller lacks."""
+def build_continuation_handle(call: Call) -> str:
+    """Return the handle that requests the rest of the answer."""
     if not call.handle:
         return ''
     handle = decode_handle(call.handle)
--- a/savorychute/testing/caller_port.py
+++ b/savorychute/testing/caller_connection.py
@@ -1,4 +1,4 @@
-"""The caller's end of a request, as an instance sees it."""
+"""The caller's side of a request, as an instance sees it."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
     from savorychute.testing.call import Call
 
 
-class CallerPort(Protocol):
-    """Takes what an instance answers."""
+class CallerConnection(Protocol):
+    """Receives the response of an instance."""
 
     call: Call
 
     def started(self, response: StartResponse) -> None:
-        """Take the head of an answer."""
+        """Handle the head of an answer."""
         ...
 
     def received(self, chunk: SendChunk) -> None:
-        """Take a part of an answer."""
+        """Handle a part of an answer."""
         ...
 
     def finished(self, finish: FinishResponse) -> None:
-        """Take the end of an answer that was begun."""
+        """Handle the end of a started answer."""
         ...
 
     def refused(self, refuse: RefuseRequest) -> None:
-        """Take a refusal."""
+        """Handle a refusal."""
         ...
 
     def broken(self) -> None:
-        """Note that the connection broke."""
+        """Handle a broken connection."""
         ...
--- a/savorychute/testing/callers.py
+++ b/savorychute/testing/callers.py
@@ -1,4 +1,4 @@
-"""All callers of a virtual run: what their client library does for them."""
+"""All callers of a simulation, with the behaviour of their client library."""
 
 from __future__ import annotations
 
@@ -9,9 +9,13 @@
 from savorychute.inputs import CallerRequest
 from savorychute.ran import Ran
 from savorychute.result_code import ResultCode
-from savorychute.testing.call_try import CallTry, continue_body, continue_handle
+from savorychute.testing.call_attempt import (
+    CallAttempt,
+    build_continuation_body,
+    build_continuation_handle,
+)
 from savorychute.testing.matrix import steps
-from savorychute.testing.refusal import BROKEN, UNREADY, Refusal
+from savorychute.testing.refusal import BROKEN, NOT_READY, Refusal
 
 if TYPE_CHECKING:
     from random import Random
@@ -25,246 +29,254 @@
 MAX_REDIRECTS = 5
 MIN_BACK_OFF_MS = 20.0
 MAX_BACK_OFF_MS = 2_000.0
-PATIENCE_MS = 3_000.0
-PAUSE_NOTICED_MS = 3_000.0
+CALLER_GRACE_MS = 3_000.0
+PAUSE_DETECTION_MS = 3_000.0
 
 
-ELSEWHERE_CODES = frozenset((ResultCode.SHUTTING_DOWN, ResultCode.NOT_READY))
-SPENT_KEY_CODES = frozenset((ResultCode.KEY_REVOKED, ResultCode.KEY_TOO_OLD))
+OTHER_INSTANCE_CODES = frozenset((ResultCode.SHUTTING_DOWN, ResultCode.NOT_READY))
+EXPIRED_KEY_CODES = frozenset((ResultCode.KEY_REVOKED, ResultCode.KEY_TOO_OLD))
 
 
 class KnownInstances(NamedTuple):
-    """A discovery answer and when it runs out."""
+    """The instances of a discovery answer and the time at which it expires."""
 
     names: tuple[str, ...]
     until_ms: float
 
 
 class Callers:
-    """Sends calls, and goes on when an instance fails.
+    """Sends calls and retries them when an instance fails.
 
-    :param world: the run.
-    :param rng: picks instances.
+    :param simulation: the simulation.
+    :param rng: chooses instances and delays.
     """
 
-    def __init__(self, world: Fleet, rng: Random) -> None:
-        self.world = world
+    def __init__(self, simulation: Fleet, rng: Random) -> None:
+        self.simulation = simulation
         self.calls: list[Call] = []
         self.refusals = 0
         self.failovers = 0
         self._rng = rng
-        self._known: dict[str, KnownInstances] = {}
-        self._numbered = 0
-        self._open: dict[str, CallTry] = {}
+        self._known_instances: dict[str, KnownInstances] = {}
+        self._last_number = 0
+        self._open_attempts: dict[str, CallAttempt] = {}
 
-    def begin(self, call: Call) -> None:
-        """Make a call now."""
-        call.begun_ms = self.world.heap.now_ms
+    def start(self, call: Call) -> None:
+        """Start a call now."""
+        call.started_ms = self.simulation.heap.now_ms
         self.calls.append(call)
-        timeout_ms = call.call_class.timeout_ms + PATIENCE_MS
-        self.world.heap.call_later(timeout_ms, self._give_up, call)
-        self._try(call, '')
+        timeout_ms = call.call_class.timeout_ms + CALLER_GRACE_MS
+        self.simulation.heap.call_later(timeout_ms, self._give_up, call)
+        self._attempt(call, '')
 
-    def answered(self, call: Call, call_try: CallTry) -> None:
-        """Take a whole answer and compare it with what is due."""
-        self.world.reached(steps.ANSWERED, call.call_id, call_try.host.name)
+    def answered(self, call: Call, call_attempt: CallAttempt) -> None:
+        """Handle a complete answer and compare it with the expected one."""
+        self.simulation.reached(steps.ANSWERED, call.call_id, call_attempt.host.name)
         if call.text != call.answer:
-            self.world.note_breach(
-                f'call {call.call_id}: {len(call.text)} bytes passed off as the'
-                f' whole answer of {len(call.answer)}'
+            self.simulation.record_violation(
+                f'call {call.call_id}: {len(call.text)} bytes reported as the'
+                f' complete answer of {len(call.answer)}'
             )
         self._end(call, 'answered', ResultCode.OK)
 
-    def failed(self, call: Call, refusal: Refusal, call_try: CallTry) -> None:
-        """Go on after a refusal or a cut answer, or take it as the end.
+    def failed(self, call: Call, refusal: Refusal, call_attempt: CallAttempt) -> None:
+        """Retry after a refusal or an interrupted answer, or end the call.
 
         The rules are those of :class:`savorychute.client.call_run.CallRun`.
         """
-        self._open.pop(call.call_id, None)
+        self._open_attempts.pop(call.call_id, None)
         if refusal.location and call.redirects < MAX_REDIRECTS:
             call.redirects += 1
-            self._again(call, refusal, 0.0, refusal.location)
-        elif refusal.code in ELSEWHERE_CODES:
-            self._forget_instance(call.organisation, call_try.host.name)
-            self._again(call, refusal, self._back_off_ms(call))
-        elif refusal.code in SPENT_KEY_CODES and refusal.ran is Ran.NOT_RUN:
+            self._retry_later(call, refusal, 0.0, refusal.location)
+        elif refusal.code in OTHER_INSTANCE_CODES:
+            self._remove_instance(call.organisation, call_attempt.host.name)
+            self._retry_later(call, refusal, self._back_off_ms(call))
+        elif refusal.code in EXPIRED_KEY_CODES and refusal.ran is Ran.NOT_RUN:
             call.key = ''
-            self._again(call, refusal, 0.0)
-        elif refusal.is_cut:
-            self._repeat(call, refusal, self._back_off_ms(call))
+            self._retry_later(call, refusal, 0.0)
+        elif refusal.is_interrupted:
+            self._retry_possibly_run(call, refusal, self._back_off_ms(call))
         elif refusal.ran is Ran.NOT_RUN and refusal.retry_after_ms > 0:
-            self._again(call, refusal, refusal.retry_after_ms)
+            self._retry_later(call, refusal, refusal.retry_after_ms)
         elif call.call_class.idempotent and refusal.retry_after_ms > 0:
-            self._repeat(call, refusal, refusal.retry_after_ms)
+            self._retry_possibly_run(call, refusal, refusal.retry_after_ms)
         else:
             self._end(call, str(refusal.ran), refusal.code)
 
-    def try_broke(self, call: Call, call_try: CallTry) -> None:
-        """Go on at another instance after a connection broke."""
-        self._open.pop(call.call_id, None)
+    def attempt_broke(self, call: Call, call_attempt: CallAttempt) -> None:
+        """Retry at another instance after a connection broke."""
+        self._open_attempts.pop(call.call_id, None)
         self.failovers += 1
-        self._forget_instance(call.organisation, call_try.host.name)
-        self._repeat(call, BROKEN, self._back_off_ms(call))
+        self._remove_instance(call.organisation, call_attempt.host.name)
+        self._retry_possibly_run(call, BROKEN, self._back_off_ms(call))
 
-    def notice_pause(self, host: InstanceHost) -> None:
-        """Let callers leave an instance that has been silent for too long."""
+    def handle_pause(self, host: InstanceHost) -> None:
+        """Let callers disconnect from an instance that is unresponsive for too long."""
         if not host.is_paused:
             return
-        for call_try in list(self._open.values()):
-            if call_try.host is host and call_try.is_open:
-                call_try.leave()
-                self.try_broke(call_try.call, call_try)
+        for call_attempt in list(self._open_attempts.values()):
+            if call_attempt.host is host and call_attempt.is_open:
+                call_attempt.leave()
+                self.attempt_broke(call_attempt.call, call_attempt)
 
-    def _repeat(self, call: Call, refusal: Refusal, wait_ms: float) -> None:
-        """Try again although the request may have run."""
+    def _retry_possibly_run(self, call: Call, refusal: Refusal, wait_ms: float) -> None:
+        """Retry a request that may have run, up to the limit of failures."""
         call.failures += 1
         if call.failures > MAX_FAILURES:
             self._end(call, str(refusal.ran), refusal.code)
             return
-        self._again(call, refusal, wait_ms)
+        self._retry_later(call, refusal, wait_ms)
 
-    def _again(
+    def _retry_later(
         self, call: Call, refusal: Refusal, wait_ms: float, location: str = ''
     ) -> None:
-        if call.is_over:
+        if call.is_finished:
             return
-        heap = self.world.heap
+        heap = self.simulation.heap
         if heap.now_ms + wait_ms >= call.deadline_ms:
             self._end(call, str(refusal.ran), refusal.code)
             return
-        heap.call_later(wait_ms, self._try, call, location)
+        heap.call_later(wait_ms, self._attempt, call, location)
 
     def _back_off_ms(self, call: Call) -> float:
-        call.waits += 1
-        longest_ms = min(MAX_BACK_OFF_MS, MIN_BACK_OFF_MS * 2 ** min(call.waits, 16))
-        return self._rng.uniform(0.0, longest_ms)
+        call.backoff_count += 1
+        max_wait_ms = min(
+            MAX_BACK_OFF_MS, MIN_BACK_OFF_MS * 2 ** min(call.backoff_count, 16)
+        )
+        return self._rng.uniform(0.0, max_wait_ms)
 
-    def _try(self, call: Call, location: str) -> None:
-        if call.is_over:
+    def _attempt(self, call: Call, location: str) -> None:
+        if call.is_finished:
             return
-        call.tries += 1
+        call.attempts += 1
         host = self._pick(call, location)
         if host is None:
-            self._again(call, UNREADY, self._back_off_ms(call))
+            self._retry_later(call, NOT_READY, self._back_off_ms(call))
             return
-        delay_ms = self.world.network.settings.client_ms
+        delay_ms = self.simulation.network.settings.client_ms
         needs_key = not call.call_class.idempotent and not call.key
         if needs_key:
-            self.world.heap.call_later(delay_ms, self._ask_key, call, host)
+            self.simulation.heap.call_later(delay_ms, self._request_key, call, host)
             return
         self._send(call, host)
 
-    def _ask_key(self, call: Call, host: InstanceHost) -> None:
-        """Let the instance that will get the call issue its key."""
-        delay_ms = self.world.network.settings.client_ms
-        self.world.reached(steps.KEYED, call.call_id, host.name)
+    def _request_key(self, call: Call, host: InstanceHost) -> None:
+        """Request a key from the instance that will receive the call."""
+        delay_ms = self.simulation.network.settings.client_ms
+        self.simulation.reached(steps.KEYED, call.call_id, host.name)
         key = ''
         if host.is_up and not host.is_paused:
-            key = self.world.issue_key(host, call.organisation)
+            key = self.simulation.issue_key(host, call.organisation)
         if not key:
-            self._forget_instance(call.organisation, host.name)
-            self._again(call, UNREADY, self._back_off_ms(call))
+            self._remove_instance(call.organisation, host.name)
+            self._retry_later(call, NOT_READY, self._back_off_ms(call))
             return
         call.key = key
-        self.world.heap.call_later(delay_ms, self._send, call, host)
+        self.simulation.heap.call_later(delay_ms, self._send, call, host)
 
     def _send(self, call: Call, host: InstanceHost) -> None:
-        if call.is_over:
+        if call.is_finished:
             return
-        self._numbered += 1
-        request_id = f'{host.name}-{host.address.incarnation:x}-{self._numbered:x}'
-        call_try = CallTry(self, call, host, request_id)
-        self._open[call.call_id] = call_try
+        self._last_number += 1
+        request_id = f'{host.name}-{host.address.incarnation:x}-{self._last_number:x}'
+        call_attempt = CallAttempt(self, call, host, request_id)
+        self._open_attempts[call.call_id] = call_attempt
         request = self._write_request(call, request_id)
-        self.world.note_request(request_id, call)
-        delay_ms = self.world.network.settings.client_ms
-        self.world.heap.call_later(delay_ms, self._arrive, call_try, request)
+        self.simulation.record_request(request_id, call)
+        delay_ms = self.simulation.network.settings.client_ms
+        self.simulation.heap.call_later(delay_ms, self._arrive, call_attempt, request)
 
-    def _arrive(self, call_try: CallTry, request: CallerRequest) -> None:
-        if not call_try.is_open:
+    def _arrive(self, call_attempt: CallAttempt, request: CallerRequest) -> None:
+        if not call_attempt.is_open:
             return
-        if call_try.host.is_up:
-            call_try.host.take_request(request, call_try)
-            if call_try.host.is_paused:
-                self.world.heap.call_later(
-                    PAUSE_NOTICED_MS, self.notice_pause, call_try.host
+        if call_attempt.host.is_up:
+            call_attempt.host.receive_request(request, call_attempt)
+            if call_attempt.host.is_paused:
+                self.simulation.heap.call_later(
+                    PAUSE_DETECTION_MS, self.handle_pause, call_attempt.host
                 )
             return
-        delay_ms = self.world.network.settings.client_ms
-        self.world.heap.call_later(delay_ms, call_try.broken)
+        delay_ms = self.simulation.network.settings.client_ms
+        self.simulation.heap.call_later(delay_ms, call_attempt.broken)
 
     def _write_request(self, call: Call, request_id: str) -> CallerRequest:
-        wanted = call.call_class
-        is_chat = not wanted.service
+        call_class = call.call_class
+        is_chat = not call_class.service
         return CallerRequest(
             request_id=request_id,
             token=f'token-{call.organisation}',
-            class_name=wanted.name,
-            model=self.world.model if is_chat else '',
-            service=wanted.service,
+            class_name=call_class.name,
+            model=self.simulation.model if is_chat else '',
+            service=call_class.service,
             method='POST',
-            path=CHAT_PATH if is_chat else f'/{wanted.name}',
-            body=continue_body(call) if wanted.idempotent else call.body,
-            stream=wanted.stream and is_chat,
+            path=CHAT_PATH if is_chat else f'/{call_class.name}',
+            body=build_continuation_body(call) if call_class.idempotent else call.body,
+            stream=call_class.stream and is_chat,
             prompt_tokens=estimate_tokens(call.prompt) if is_chat else 0,
-            max_tokens=self.world.max_tokens if is_chat else 0,
+            max_tokens=self.simulation.max_tokens if is_chat else 0,
             prefix_hashes=hash_prefixes(call.prompt) if is_chat else (),
             key=call.key,
-            handle=continue_handle(call) if wanted.idempotent else '',
+            handle=build_continuation_handle(call) if call_class.idempotent else '',
         )
 
     def _pick(self, call: Call, location: str) -> InstanceHost | None:
         if location:
             host, _, port = location.rpartition(':')
-            return self.world.find_caller_port(host, int(port))
-        known = self._known.get(call.organisation)
-        now_ms = self.world.heap.now_ms
-        if known is None or known.until_ms <= now_ms or not known.names:
-            known = self._discover(call.organisation)
-        if known is None:
+            return self.simulation.find_by_caller_port(host, int(port))
+        known_instances = self._known_instances.get(call.organisation)
+        now_ms = self.simulation.heap.now_ms
+        if (
+            known_instances is None
+            or known_instances.until_ms <= now_ms
+            or not known_instances.names
+        ):
+            known_instances = self._discover(call.organisation)
+        if known_instances is None:
             return None
-        return self.world.instances[self._rng.choice(known.names)]
+        return self.simulation.instances[self._rng.choice(known_instances.names)]
 
     def _discover(self, organisation: str) -> KnownInstances | None:
-        """Ask any instance that answers; a caller knows a few of old."""
+        """Query any available instance; callers know some addresses in advance."""
         hosts = [
             host
-            for host in self.world.instances.values()
+            for host in self.simulation.instances.values()
             if host.is_up and not host.is_paused and not host.is_leaving
         ]
         self._rng.shuffle(hosts)
         for host in hosts:
             try:
-                answer = self.world.discover(host, organisation)
+                answer = self.simulation.discover(host, organisation)
             except SavorychuteError:
                 continue
             names = tuple(member.instance for member in answer.addresses)
-            known = KnownInstances(names, self.world.heap.now_ms + answer.lifetime_ms)
+            known_instances = KnownInstances(
+                names, self.simulation.heap.now_ms + answer.lifetime_ms
+            )
             if names:
-                self._known[organisation] = known
-                return known
+                self._known_instances[organisation] = known_instances
+                return known_instances
         return None
 
-    def _forget_instance(self, organisation: str, name: str) -> None:
-        known = self._known.get(organisation)
-        if known is not None and name in known.names:
-            names = tuple(each for each in known.names if each != name)
-            self._known[organisation] = known._replace(names=names)
+    def _remove_instance(self, organisation: str, name: str) -> None:
+        known_instances = self._known_instances.get(organisation)
+        if known_instances is not None and name in known_instances.names:
+            names = tuple(each for each in known_instances.names if each != name)
+            self._known_instances[organisation] = known_instances._replace(names=names)
 
     def _give_up(self, call: Call) -> None:
-        if call.is_over:
+        if call.is_finished:
             return
-        call_try = self._open.pop(call.call_id, None)
-        if call_try is not None:
-            call_try.leave()
+        call_attempt = self._open_attempts.pop(call.call_id, None)
+        if call_attempt is not None:
+            call_attempt.leave()
         self._end(call, 'nothing', ResultCode.CALLER_LEFT)
 
-    def _end(self, call: Call, told: str, code: ResultCode) -> None:
-        if call.is_over:
+    def _end(self, call: Call, outcome: str, code: ResultCode) -> None:
+        if call.is_finished:
             return
-        self._open.pop(call.call_id, None)
-        call.ended_ms = self.world.heap.now_ms
-        call.told = told
+        self._open_attempts.pop(call.call_id, None)
+        call.ended_ms = self.simulation.heap.now_ms
+        call.outcome = outcome
         call.code = code
-        if told != 'answered':
+        if outcome != 'answered':
             self.refusals += 1
--- a/savorychute/testing/capacity.py
+++ b/savorychute/testing/capacity.py
@@ -1,4 +1,4 @@
-"""About how much a system can carry, to state loads as shares of it."""
+"""Estimates of the capacity of a system, for loads that are stated as a share of it."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def estimate_requests_per_s(topology: Topology) -> float:
-    """Return the rate of all classes at which the engines are just busy.
+    """Return the total request rate of all classes that saturates the engines.
 
-    An engine with a full batch makes ``max_running`` tokens a step; the mean
-    answer of the mix says how many requests that is.  Plain services are taken
-    to have room.
+    An engine with a full batch generates ``max_running`` tokens per step; the
+    mean answer length of the class mix converts this to requests.  Plain
+    services are assumed to have free capacity.
     """
     tokens_per_s = sum(
         spec.settings.max_running
@@ -36,5 +36,5 @@
 
 
 def mean_output_tokens(call_class: CallClass) -> float:
-    """Return the mean of the class's log-normal output lengths."""
+    """Return the mean of the log-normal output lengths of a class."""
     return call_class.output_tokens * math.exp(call_class.spread**2 / 2)
--- a/savorychute/testing/connection.py
+++ b/savorychute/testing/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a virtual run, from an instance to an endpoint."""
+"""A simulated connection from an instance to an endpoint."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class Pipe:
-    """One direction of a connection: in order, held back by a cut.
+    """One direction of a connection, which delivers in order.
 
-    Nothing is lost, as with TCP: bytes that a cut holds back arrive when it
-    ends.  After ``BROKEN_AFTER_MS`` the connection counts as broken.
+    As with TCP, nothing is lost: bytes that are held back by a partition arrive
+    when it ends.  After ``BROKEN_AFTER_MS`` the connection counts as broken.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._queue: deque[tuple[float, Callable[..., None], tuple[Any, ...]]] = deque()
 
     def send(self, function: Callable[..., None], *args: Any) -> None:
-        """Call *function* where the pipe ends, when this arrives."""
+        """Call *function* at the other end when the data arrives."""
         due_ms = self._heap.now_ms + self._network.delay_ms(self._source, self._target)
         self._queue.append((due_ms, function, args))
         self._heap.call_at(due_ms, self._arrive)
@@ -53,16 +53,16 @@
 
 
 class Connection:
-    """An attempt's connection: the request goes out, the answer comes back.
+    """The connection of an attempt, for its request and its answer.
 
-    While the network's ``cancel_delay_ms`` is set, a cancel takes that long to
-    be carried out, and what the endpoint sends meanwhile still reaches the
-    instance: an answer that it has given up.
+    While the ``cancel_delay_ms`` of the network is set, a cancellation is
+    delayed by this time, and the instance still receives what the endpoint
+    sends in the meantime, although it has abandoned the attempt.
 
     :param start: the attempt.
-    :param endpoint: where it goes.
-    :param domain: the instance's failure domain.
-    :param receive: gets the attempt's inputs at the instance's side.
+    :param endpoint: the endpoint that receives the request.
+    :param domain: the failure domain of the instance.
+    :param receive: receives the inputs of the attempt at the instance.
     """
 
     def __init__(
@@ -85,27 +85,27 @@
         self._back = Pipe(heap, network, endpoint.failure_domain, domain)
 
     def send_request(self) -> None:
-        """Write the request."""
+        """Send the request."""
         self.is_sent = True
         self._out.send(self._arrive)
         self._heap.call_later(self.start.timeout_ms, self._time_out)
 
     def close(self) -> None:
-        """Close without a further word; the endpoint learns of it later."""
+        """Close the connection; the endpoint is notified later."""
         if self.is_open:
             self.is_open = False
             if self.is_sent:
                 self._send_late(self.endpoint.close, self.start.attempt_id)
 
     def cancel(self, keep: bool) -> None:
-        """Close, and tell the endpoint what to do with the stream."""
+        """Close the connection and ask the endpoint to keep or drop the stream."""
         if self.is_open:
             self.is_open = False
             if self.is_sent:
                 self._send_late(self.endpoint.cancel, self.start, keep)
 
     def fail(self, sent: bool, crashed: bool, reason: str) -> None:
-        """Report at the instance's side that the attempt failed."""
+        """Report to the instance that the attempt failed."""
         attempt_id = self.start.attempt_id
         failed = AttemptFailed(attempt_id, sent, False, False, crashed, reason)
         self._deliver(failed)
@@ -120,12 +120,12 @@
         else:
             self._back.send(self.fail, True, True, 'reset')
 
-    def _answer(self, told: Input) -> None:
-        self._back.send(self._deliver, told)
+    def _answer(self, message: Input) -> None:
+        self._back.send(self._deliver, message)
 
-    def _deliver(self, told: Input) -> None:
+    def _deliver(self, message: Input) -> None:
         if self.is_open or self._network.cancel_delay_ms:
-            self._receive(self, told)
+            self._receive(self, message)
 
     def _time_out(self) -> None:
         if self.is_open:
--- a/savorychute/testing/pump.py
+++ b/savorychute/testing/due_timer.py
@@ -1,4 +1,4 @@
-"""A timer that brings a stand-in up to the present when it has work."""
+"""A timer that advances a stand-in when its next event is due."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     from collections.abc import Callable
 
 
-class Pump:
-    """Calls back when the next event is due.
+class DueTimer:
+    """Calls a function when the next event is due.
 
-    :param next_event_ms: returns that time on the loop's clock, or nothing.
-    :param on_due: called then.
+    :param next_event_ms: returns the time of the event on the loop's clock, or None.
+    :param on_due: called when the event is due.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def rearm(self) -> None:
-        """Set the timer anew, after anything changed."""
+        """Reset the timer after a change."""
         self.stop()
         due_ms = self._next_event_ms()
         if due_ms is not None:
@@ -34,7 +34,7 @@
             self._timer = loop.call_at(due_ms / MS_PER_S, self._on_due)
 
     def stop(self) -> None:
-        """Clear the timer."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/savorychute/testing/endpoint_down.py
+++ b/savorychute/testing/endpoint_down.py
@@ -1,4 +1,4 @@
-"""The error of a stand-in that is not there."""
+"""The error of a stand-in that is down."""
 
 from __future__ import annotations
 
@@ -7,6 +7,6 @@
 
 
 class EndpointDownError(SavorychuteError):
-    """The stand-in is down: a connection to it is refused."""
+    """The stand-in is down and refuses connections."""
 
     code = ResultCode.ENDPOINT_FAILED
--- a/savorychute/testing/endpoint_host.py
+++ b/savorychute/testing/endpoint_host.py
@@ -1,4 +1,4 @@
-"""An endpoint of a virtual run: a core, its place and its connections."""
+"""A simulated endpoint: a stand-in, its failure domain and its connections."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
     from savorychute.testing.event_heap import EventHeap
     from savorychute.testing.ledger import Ledger
 
-    Listener = Callable[[Input], None]
+    InputListener = Callable[[Input], None]
 
 
 class EndpointCore(Protocol):
-    """What an engine and a plain service have in common."""
+    """The common interface of engines and plain services."""
 
     is_up: bool
     leaving: bool
     refusing: bool
-    silent: bool
+    unresponsive: bool
 
     def next_event_ms(self) -> float | None:
-        """Return when the core has something to do next."""
+        """Return the time of the next event, or None."""
         ...
 
     def restart(self, now_ms: float) -> None:
-        """Come up again."""
+        """Restart after a crash."""
         ...
 
 
 class EndpointHost:
-    """Base of the two kinds of endpoints.
+    """Base class of simulated engines and plain services.
 
-    :param heap: the run's heap.
-    :param ledger: gets what is executed.
-    :param document: name, place and address, as operators enter it.
+    :param heap: the event heap of the simulation.
+    :param ledger: records arrivals and executions.
+    :param document: name, failure domain and address, as operators configure them.
     :param core: the stand-in.
     """
 
@@ -58,13 +58,13 @@
         self.failure_domain = document['failure_domain']
         self.core = core
         self.starts: dict[str, StartAttempt] = {}
-        self.listeners: dict[str, Listener] = {}
+        self.listeners: dict[str, InputListener] = {}
         self._wake_ms: float | None = None
 
-    def submit(self, start: StartAttempt, listener: Listener) -> None:
-        """Take an attempt whose bytes have arrived.
+    def submit(self, start: StartAttempt, listener: InputListener) -> None:
+        """Accept an attempt whose request has arrived.
 
-        :param listener: gets the answer's inputs.
+        :param listener: receives the inputs of the answer.
         """
         now_ms = self.heap.now_ms
         resumed = start.resume_offset >= 0
@@ -73,47 +73,47 @@
         )
         self.starts[start.attempt_id] = start
         self.listeners[start.attempt_id] = listener
-        self.take(start)
-        self.arm()
+        self.start_attempt(start)
+        self.schedule_wake()
 
-    def take(self, start: StartAttempt) -> None:
-        """Give an attempt to the core."""
+    def start_attempt(self, start: StartAttempt) -> None:
+        """Pass an attempt to the core."""
         raise NotImplementedError
 
     def close(self, attempt_id: str) -> None:
-        """Note that the other side closed an attempt's connection."""
+        """Handle that the instance closed the connection of an attempt."""
         raise NotImplementedError
 
     def cancel(self, start: StartAttempt, keep: bool) -> None:
-        """Carry out an explicit cancel."""
+        """Execute an explicit cancellation."""
         raise NotImplementedError
 
     def poll(self, cursor: int) -> LoadReported | None:
-        """Return a load report, or nothing if there is no answer."""
+        """Return a load report, or None if there is no answer."""
         raise NotImplementedError
 
     def crash(self) -> None:
         """Crash the core and break its connections."""
         raise NotImplementedError
 
-    def set_silent(self, silent: bool) -> None:
-        """Hang the core, or let it go on."""
+    def set_unresponsive(self, unresponsive: bool) -> None:
+        """Make the core unresponsive, or let it continue."""
         raise NotImplementedError
 
     def advance(self) -> None:
-        """Bring the core up to the present and pass on what it emits."""
+        """Advance the core to the current time and forward its events."""
         raise NotImplementedError
 
     def restart(self) -> None:
-        """Let the core come up again."""
+        """Restart the core."""
         self.core.restart(self.heap.now_ms)
 
     def leave(self) -> None:
-        """Refuse new work from now on, because the endpoint goes away."""
+        """Refuse new work from now on, because the endpoint is leaving."""
         self.core.leaving = True
 
-    def arm(self) -> None:
-        """See to it that the core is advanced when it has something to do."""
+    def schedule_wake(self) -> None:
+        """Schedule a call of :meth:`advance` for the next event of the core."""
         due_ms = self.core.next_event_ms()
         if due_ms is None:
             return
@@ -121,8 +121,8 @@
             self._wake_ms = due_ms
             self.heap.call_at(due_ms, self._wake, due_ms)
 
-    def note_execution(self, attempt_id: str, marker: str) -> None:
-        """Note that the core runs an attempt."""
+    def record_execution(self, attempt_id: str, marker: str) -> None:
+        """Record that the core runs an attempt."""
         start = self.starts[attempt_id]
         execution = Execution(
             self.heap.now_ms, self.name, attempt_id, start.request_id, marker
@@ -131,20 +131,20 @@
         if self.ledger.on_execution is not None:
             self.ledger.on_execution(execution)
 
-    def note_leaving(self) -> None:
-        """Note that an instance was told that the endpoint is leaving."""
+    def record_leaving(self) -> None:
+        """Record that an instance learned that the endpoint is leaving."""
         self.ledger.leaving_ms.setdefault(self.name, self.heap.now_ms)
 
-    def tell(self, attempt_id: str, *inputs: Input) -> None:
-        """Send inputs to whoever made an attempt."""
+    def notify(self, attempt_id: str, *inputs: Input) -> None:
+        """Send inputs to the listener of an attempt."""
         listener = self.listeners.get(attempt_id)
         if listener is None:
             return
-        for told in inputs:
-            listener(told)
+        for message in inputs:
+            listener(message)
 
-    def forget(self, attempt_id: str) -> None:
-        """Forget an attempt that is over."""
+    def discard_attempt(self, attempt_id: str) -> None:
+        """Remove the listener of a finished attempt."""
         self.listeners.pop(attempt_id, None)
 
     def _wake(self, due_ms: float) -> None:
@@ -152,4 +152,4 @@
             return
         self._wake_ms = None
         self.advance()
-        self.arm()
+        self.schedule_wake()
--- a/savorychute/testing/engine_answer.py
+++ b/savorychute/testing/engine_answer.py
@@ -1,4 +1,4 @@
-"""How a stand-in engine's events go out over HTTP."""
+"""Conversion of the events of a stand-in engine to HTTP responses."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 
 
 class EngineAnswer:
-    """One attempt's answer, streamed or whole.
+    """The response to one attempt, streamed or sent at once.
 
-    :param exchange: the attempt's HTTP exchange.
+    :param exchange: the HTTP exchange of the attempt.
     :param streamed: whether to send server-sent events.
     """
 
@@ -35,8 +35,8 @@
         self._stream_id = ''
         self._texts: list[str] = []
 
-    def take(self, event: EngineEvent) -> None:
-        """Send what the event calls for."""
+    def handle(self, event: EngineEvent) -> None:
+        """Send the part of the response that belongs to an event."""
         if isinstance(event, StreamAccepted):
             self._accept(event)
         elif isinstance(event, StreamTokens):
--- a/savorychute/testing/engine_batch.py
+++ b/savorychute/testing/engine_batch.py
@@ -1,4 +1,4 @@
-"""The batch of a stand-in engine: what waits, what is prefilled, what runs."""
+"""The batch of a stand-in engine: waiting, prefilling and running streams."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class EngineBatch:
-    """Streams of one engine and the steps they share.
+    """The streams of one engine and the steps that they share.
 
-    One prompt is prefilled at a time while the running streams go on.  Which
-    prompt comes next is decided by priority, then by arrival.
+    One prompt is prefilled at a time while the running streams continue.  The
+    next prompt is chosen by priority, then by arrival.
 
-    :param settings: size and habits.
-    :param rng: decides gaps of the cache events and crashes by poison.
+    :param settings: size and behaviour.
+    :param rng: decides on gaps in the cache events and on crashes by poison.
     """
 
     def __init__(self, settings: EngineSettings, rng: Random) -> None:
         self.settings = settings
         self.cache = PrefixCache(settings, rng)
         self.streams: dict[str, EngineStream] = {}
-        self.straggle = 1.0
+        self.slowdown = 1.0
         self.generated_tokens = 0
         self.prefilled_tokens = 0
         self.waiting_count = 0
@@ -46,16 +46,16 @@
 
     @property
     def running_count(self) -> int:
-        """Return the number of streams that are prefilled or running."""
+        """Return the number of streams that are being prefilled or running."""
         return len(self._running) + (1 if self._prefill else 0)
 
     @property
     def step_ms(self) -> float:
-        """Return how long a step takes now."""
+        """Return the current duration of a step."""
         return self._steps.step_ms
 
     def enqueue(self, stream: EngineStream, now_ms: float) -> None:
-        """Let a stream wait for its turn."""
+        """Add a stream to the queue."""
         stream.phase = StreamPhase.WAITING
         stream.version += 1
         self.streams[stream.stream_id] = stream
@@ -63,12 +63,12 @@
         heapq.heappush(self._waiting, (stream.priority, stream.arrival, stream))
         self.start_prefill(now_ms)
 
-    def tokens_of(self, stream: EngineStream, now_ms: float) -> int:
-        """Return how many tokens of a stream exist."""
+    def count_tokens(self, stream: EngineStream, now_ms: float) -> int:
+        """Return the number of generated tokens of a stream."""
         return stream.tokens_at(self._steps.step_at(now_ms))
 
     def used_tokens(self, now_ms: float) -> int:
-        """Return the KV memory in use, in tokens."""
+        """Return the used KV memory in tokens."""
         step = self._steps.step_at(now_ms)
         return sum(
             stream.prompt_tokens + stream.tokens_at(step)
@@ -77,7 +77,7 @@
         )
 
     def next_due_ms(self) -> float | None:
-        """Return when something happens next, if at all."""
+        """Return the time of the next event, or None."""
         self._drop_stale_due()
         times = []
         if self._due:
@@ -89,20 +89,20 @@
         return min(times) if times else None
 
     def run_due(self, due_ms: float) -> EngineStream | None:
-        """Do what is due; return the stream that has tokens to emit, if any."""
+        """Process the next event; return the stream that has tokens to emit, if any."""
         if self._prefill and self._prefill[0] <= due_ms:
             self._finish_prefill(due_ms)
             return None
         return heapq.heappop(self._due)[3]
 
     def settle(self, stream: EngineStream, now_ms: float) -> None:
-        """Plan a running stream's next emission and keep the memory's bound."""
+        """Schedule a running stream's next emission and enforce the memory limit."""
         if stream.phase is StreamPhase.RUNNING:
             self._schedule(stream)
-            self._shrink(now_ms)
+            self._preempt_if_full(now_ms)
 
     def start_prefill(self, now_ms: float) -> None:
-        """Begin the next prompt if there is one and it fits."""
+        """Start the prefill of the next prompt if there is one and it fits."""
         if self._prefill or len(self._running) >= self.settings.max_running:
             return
         while self._waiting:
@@ -110,7 +110,7 @@
             if stream.phase is not StreamPhase.WAITING:
                 heapq.heappop(self._waiting)
                 continue
-            if not self._make_room(stream, now_ms):
+            if not self._free_memory(stream, now_ms):
                 return
             heapq.heappop(self._waiting)
             self.waiting_count -= 1
@@ -118,9 +118,9 @@
             return
 
     def halt(self, stream: EngineStream, now_ms: float) -> None:
-        """Take a stream out of the batch and count what it made."""
+        """Remove a stream from the batch and count its generated tokens."""
         if stream.phase is StreamPhase.RUNNING:
-            tokens = self.tokens_of(stream, now_ms)
+            tokens = self.count_tokens(stream, now_ms)
             self.generated_tokens += tokens - stream.base_tokens
             stream.base_tokens = tokens
             self._running.discard(stream.stream_id)
@@ -132,40 +132,40 @@
         stream.version += 1
         stream.phase = StreamPhase.KEPT
 
-    def keep(self, stream: EngineStream, phase: StreamPhase, now_ms: float) -> None:
-        """Keep a halted stream for a later resume."""
+    def retain(self, stream: EngineStream, phase: StreamPhase, now_ms: float) -> None:
+        """Retain a halted stream for a later resume."""
         stream.phase = phase
         stream.kept_until_ms = now_ms + self.settings.keep_ms
 
-    def forget(self, stream: EngineStream) -> None:
-        """Drop a halted stream."""
+    def discard(self, stream: EngineStream) -> None:
+        """Remove a halted stream."""
         stream.version += 1
         stream.phase = StreamPhase.DONE
         self.streams.pop(stream.stream_id, None)
 
-    def forget_expired(self, now_ms: float) -> None:
-        """Drop the kept streams whose time is over."""
+    def discard_expired(self, now_ms: float) -> None:
+        """Remove the retained streams that have expired."""
         for stream in list(self.streams.values()):
             if stream.is_kept and stream.kept_until_ms <= now_ms:
-                self.forget(stream)
+                self.discard(stream)
 
-    def set_straggle(self, factor: float, now_ms: float) -> None:
-        """Make every step and every prefill *factor* times as long."""
-        self.straggle = factor
+    def set_slowdown(self, factor: float, now_ms: float) -> None:
+        """Multiply the duration of every step and prefill by *factor*."""
+        self.slowdown = factor
         self._adjust_steps(now_ms)
 
     def freeze(self, now_ms: float) -> None:
-        """Remember how far the steps are, because time will be skipped."""
+        """Store the current step position before a period of time is skipped."""
         self._steps.freeze(now_ms)
 
     def thaw(self, now_ms: float) -> None:
-        """Go on as if no time had passed since :meth:`freeze`."""
+        """Continue as if no time had passed since :meth:`freeze`."""
         self._steps.skip_to(now_ms)
         if self._prefill:
             self._prefill = (max(self._prefill[0], now_ms), self._prefill[1])
 
     def clear(self, now_ms: float) -> None:
-        """Lose everything, as a crash does."""
+        """Remove all streams and the cache, as a crash does."""
         for stream in list(self.streams.values()):
             self.halt(stream, now_ms)
         self.streams.clear()
@@ -181,11 +181,11 @@
         cached_tokens = self.cache.match(stream.blocks) * BLOCK_TOKENS
         work_tokens = max(1, stream.prompt_tokens - cached_tokens + stream.base_tokens)
         self.prefilled_tokens += work_tokens
-        rate = self.settings.prefill_tokens_per_s / self.straggle
+        rate = self.settings.prefill_tokens_per_s / self.slowdown
         self._prefill = (now_ms + work_tokens * MS_PER_S / rate, stream)
 
-    def _make_room(self, stream: EngineStream, now_ms: float) -> bool:
-        """Return whether a prompt fits, dropping kept streams if need be."""
+    def _free_memory(self, stream: EngineStream, now_ms: float) -> bool:
+        """Return whether a prompt fits, removing retained streams if necessary."""
         need_tokens = stream.prompt_tokens + stream.base_tokens
         free_tokens = self.settings.kv_tokens - self.used_tokens(now_ms)
         for kept in list(self.streams.values()):
@@ -193,7 +193,7 @@
                 break
             if kept.is_kept:
                 free_tokens += kept.prompt_tokens + kept.base_tokens
-                self.forget(kept)
+                self.discard(kept)
         return free_tokens >= need_tokens or not self._running
 
     def _finish_prefill(self, now_ms: float) -> None:
@@ -204,10 +204,10 @@
         self.cache.store(stream.blocks, now_ms)
         if stream.poison and self._rng.random() < self.settings.crash_share:
             self.poison_ms = now_ms + self.settings.poison_delay_ms
-        self._run(stream, now_ms)
+        self._start_running(stream, now_ms)
         self.start_prefill(now_ms)
 
-    def _run(self, stream: EngineStream, now_ms: float) -> None:
+    def _start_running(self, stream: EngineStream, now_ms: float) -> None:
         stream.phase = StreamPhase.RUNNING
         stream.base_step = self._steps.step_at(now_ms)
         self._running.add(stream.stream_id)
@@ -227,8 +227,8 @@
                 return
             heapq.heappop(self._due)
 
-    def _shrink(self, now_ms: float) -> None:
-        """Put the least important stream back if the KV memory overflows."""
+    def _preempt_if_full(self, now_ms: float) -> None:
+        """Return the least important stream to the queue if the KV memory overflows."""
         if len(self._running) < 2:
             return
         if self.used_tokens(now_ms) <= self.settings.kv_tokens:
@@ -241,4 +241,4 @@
     def _adjust_steps(self, now_ms: float) -> None:
         settings = self.settings
         batch_ms = settings.step_ms + settings.step_ms_per_stream * len(self._running)
-        self._steps.change(batch_ms * self.straggle, now_ms)
+        self._steps.change(batch_ms * self.slowdown, now_ms)
--- a/savorychute/testing/engine_events.py
+++ b/savorychute/testing/engine_events.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine emits."""
+"""Events that a stand-in engine emits."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class StreamAccepted(NamedTuple):
-    """The engine took up an attempt."""
+    """The engine accepted an attempt."""
 
     attempt_id: str
     stream_id: str
 
 
 class StreamRefused(NamedTuple):
-    """The engine did nothing with an attempt, and says so."""
+    """The engine refused an attempt and states that it did not run."""
 
     attempt_id: str
     status: int
@@ -32,7 +32,7 @@
 
 
 class StreamEnded(NamedTuple):
-    """The answer is whole."""
+    """The answer is complete."""
 
     attempt_id: str
     stream_id: str
@@ -41,7 +41,7 @@
 
 
 class StreamBroken(NamedTuple):
-    """The connection of an attempt breaks: crash, cancel or take-over."""
+    """The connection of an attempt broke by a crash, a cancellation or a takeover."""
 
     attempt_id: str
     stream_id: str
--- a/savorychute/testing/engine_load.py
+++ b/savorychute/testing/engine_load.py
@@ -1,4 +1,4 @@
-"""A stand-in engine's load report."""
+"""The load report of a stand-in engine."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EngineLoad(NamedTuple):
-    """What the engine says of itself, ``age_ms`` old."""
+    """The load that the engine reports, ``age_ms`` old."""
 
     age_ms: int
     running: int
--- a/savorychute/testing/engine_reports.py
+++ b/savorychute/testing/engine_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that lag behind."""
+"""Delayed load reports."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class LaggingReports:
-    """Remembers figures and gives out those that are old enough.
+    """Stores load figures and returns them after a delay.
 
-    :param lag_ms: how old the figures are that a reader gets.
+    :param lag_ms: the minimum age of the returned figures.
     """
 
     def __init__(self, lag_ms: float) -> None:
         self.lag_ms = lag_ms
-        self._noted: deque[tuple[float, EngineLoad]] = deque()
+        self._recorded: deque[tuple[float, EngineLoad]] = deque()
 
-    def note(self, load: EngineLoad, now_ms: float) -> None:
-        """Remember the figures of this moment."""
-        self._noted.append((now_ms, load))
+    def record(self, load: EngineLoad, now_ms: float) -> None:
+        """Record the current figures."""
+        self._recorded.append((now_ms, load))
 
     def read(self, now_ms: float) -> tuple[EngineLoad, int]:
         """Return the newest figures older than the lag, and their age in ms."""
-        while len(self._noted) > 1 and self._noted[1][0] <= now_ms - self.lag_ms:
-            self._noted.popleft()
-        noted_ms, load = self._noted[0]
-        return load, int(now_ms - noted_ms)
+        while len(self._recorded) > 1 and self._recorded[1][0] <= now_ms - self.lag_ms:
+            self._recorded.popleft()
+        recorded_ms, load = self._recorded[0]
+        return load, int(now_ms - recorded_ms)
--- a/savorychute/testing/engine_request.py
+++ b/savorychute/testing/engine_request.py
@@ -6,9 +6,9 @@
 
 
 class EngineRequest(NamedTuple):
-    """One attempt; a lower ``priority`` number goes first.
+    """One attempt; a lower ``priority`` number runs first.
 
-    With ``continue_text`` the answer goes on after that text, whose token
+    With ``continue_text`` the answer continues after that text, whose token
     count is ``continue_offset``.
     """
 
--- a/savorychute/testing/engine_server.py
+++ b/savorychute/testing/engine_server.py
@@ -1,4 +1,4 @@
-"""A stand-in model engine over HTTP."""
+"""HTTP server of a stand-in model engine."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 import msgspec
 
+from savorychute.testing.due_timer import DueTimer
 from savorychute.testing.engine_answer import EngineAnswer
 from savorychute.testing.engine_request import EngineRequest
-from savorychute.testing.order_gate import EngineOrder
-from savorychute.testing.pump import Pump
+from savorychute.testing.order_handler import EngineOrder
 from savorychute.testing.stand_in_http import LOOPBACK, loop_ms, respond_json, serve
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
 
 
 class ContinueFrom(msgspec.Struct):
-    """Text after which an answer goes on, and its token count."""
+    """The text that an answer continues, and its token count."""
 
     offset: int
     text: str
@@ -56,13 +56,13 @@
 
 
 class ResumeBody(msgspec.Struct):
-    """The body of a resume."""
+    """The body of a resume request."""
 
     offset: int
 
 
 class CancelBody(msgspec.Struct):
-    """The body of a cancel."""
+    """The body of a cancel request."""
 
     keep: bool = False
 
@@ -77,9 +77,9 @@
 
 
 class EngineServer:
-    """Speaks HTTP for a :class:`ModelEngine`.
+    """Serves a :class:`ModelEngine` over HTTP.
 
-    :param engine: the engine's core.
+    :param engine: the engine.
     """
 
     def __init__(self, engine: ModelEngine) -> None:
@@ -87,11 +87,11 @@
         self.port = 0
         self.requests_seen = 0
         self._answers: dict[str, EngineAnswer] = {}
-        self._pump = Pump(engine.next_event_ms, self._advance)
-        self._numbered = 0
+        self._due_timer = DueTimer(engine.next_event_ms, self._advance)
+        self._last_number = 0
 
     def handle(self, exchange: ServerExchange) -> None:
-        """Take one HTTP request."""
+        """Handle one HTTP request."""
         self.requests_seen += 1
         if not self.engine.is_up:
             exchange.abort()
@@ -102,27 +102,27 @@
             respond_json(exchange, STATUS_BAD_REQUEST, {'error': str(error)})
 
     def apply(self, events: Sequence[EngineEvent]) -> None:
-        """Send the engine's events, for instance after a fault was set."""
+        """Send events of the engine, such as those caused by a fault."""
         for event in events:
             answer = self._answers.get(event.attempt_id)
             if answer is not None:
-                answer.take(event)
-        self._pump.rearm()
+                answer.handle(event)
+        self._due_timer.rearm()
 
     def crash(self) -> None:
-        """Crash the engine: every open connection breaks."""
+        """Crash the engine, which breaks every open connection."""
         self.apply(self.engine.crash(loop_ms()))
 
     def stop(self) -> None:
         """Stop the timer."""
-        self._pump.stop()
+        self._due_timer.stop()
 
     def _dispatch(self, exchange: ServerExchange) -> None:
         url = urlsplit(exchange.request.target)
         if url.path == CHAT_PATH:
             self._chat(exchange)
         elif url.path.startswith(STREAMS_PREFIX):
-            self._stream_verb(exchange, url.path.removeprefix(STREAMS_PREFIX))
+            self._control_stream(exchange, url.path.removeprefix(STREAMS_PREFIX))
         elif url.path == '/v1/load':
             self._load(exchange, url.query)
         elif url.path == '/v1/orders':
@@ -132,10 +132,10 @@
 
     def _chat(self, exchange: ServerExchange) -> None:
         body = msgspec.json.decode(exchange.request.body, type=ChatBody)
-        self._numbered += 1
-        attempt_id = exchange.request.header('x-attempt-id') or f'n{self._numbered}'
-        stream_id = exchange.request.header('x-stream-id') or f's{self._numbered}'
-        going_on = body.continue_from or ContinueFrom(0, '')
+        self._last_number += 1
+        attempt_id = exchange.request.header('x-attempt-id') or f'n{self._last_number}'
+        stream_id = exchange.request.header('x-stream-id') or f's{self._last_number}'
+        continuation = body.continue_from or ContinueFrom(0, '')
         request = EngineRequest(
             attempt_id=attempt_id,
             stream_id=stream_id,
@@ -144,13 +144,13 @@
             max_tokens=body.max_tokens,
             priority=body.priority,
             keep_on_close=exchange.request.header('x-keep-on-close') == '1',
-            continue_offset=going_on.offset,
-            continue_text=going_on.text,
+            continue_offset=continuation.offset,
+            continue_text=continuation.text,
         )
         self._attach(exchange, attempt_id, body.stream)
         self.apply(self.engine.submit(request, loop_ms()))
 
-    def _stream_verb(self, exchange: ServerExchange, rest: str) -> None:
+    def _control_stream(self, exchange: ServerExchange, rest: str) -> None:
         stream_id, _, verb = rest.rpartition('/')
         if verb == 'resume':
             self._resume(exchange, stream_id)
@@ -165,14 +165,14 @@
 
     def _resume(self, exchange: ServerExchange, stream_id: str) -> None:
         body = msgspec.json.decode(exchange.request.body, type=ResumeBody)
-        self._numbered += 1
-        attempt_id = exchange.request.header('x-attempt-id') or f'n{self._numbered}'
+        self._last_number += 1
+        attempt_id = exchange.request.header('x-attempt-id') or f'n{self._last_number}'
         self._attach(exchange, attempt_id, True)
         events = self.engine.resume(stream_id, attempt_id, body.offset, loop_ms())
         self.apply(events)
 
     def _load(self, exchange: ServerExchange, query: str) -> None:
-        if self.engine.silent:
+        if self.engine.unresponsive:
             return
         cursor = int(parse_qs(query).get('cursor', ['0'])[0])
         load = self.engine.report(cursor, loop_ms())
@@ -190,9 +190,9 @@
     ) -> None:
         answer = EngineAnswer(exchange, streamed)
         self._answers[attempt_id] = answer
-        exchange.on_left = lambda: self._left(attempt_id, answer)
+        exchange.on_left = lambda: self._handle_disconnect(attempt_id, answer)
 
-    def _left(self, attempt_id: str, answer: EngineAnswer) -> None:
+    def _handle_disconnect(self, attempt_id: str, answer: EngineAnswer) -> None:
         if self._answers.get(attempt_id) is not answer:
             return
         del self._answers[attempt_id]
@@ -208,9 +208,9 @@
 ) -> AsyncIterator[EngineServer]:
     """Serve an engine until the block ends.
 
-    :param engine: the engine's core.
-    :param host: the IP number to listen on.
-    :param port: the port, or 0 for one of the system's choice.
+    :param engine: the engine.
+    :param host: the IP address to listen on.
+    :param port: the port, or 0 to let the system choose one.
     """
     stand_in = EngineServer(engine)
     http: HttpServer
--- a/savorychute/testing/engine_settings.py
+++ b/savorychute/testing/engine_settings.py
@@ -1,4 +1,4 @@
-"""What a stand-in model engine can do."""
+"""Settings of a stand-in model engine."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class EngineSettings(NamedTuple):
-    """Size and habits of one engine.
+    """Size and behaviour of one engine.
 
-    A step makes one token for each running stream and takes
-    ``step_ms + step_ms_per_stream * running``.  ``chunk_steps`` is how many
-    steps one event covers after the first token; a fake's shortcut that keeps
-    a virtual run fast.  ``crash_share`` is the chance that a poison prompt
-    crashes the engine.  ``cache_gap_share`` is the chance that a cache event is
-    lost before it is published.
+    A step generates one token for each running stream and takes
+    ``step_ms + step_ms_per_stream * running``.  ``chunk_steps`` is the number of
+    steps that one event covers after the first token, a simplification that
+    keeps simulations fast.  ``crash_share`` is the probability that a poison
+    prompt crashes the engine.  ``cache_gap_share`` is the probability that a
+    cache event is lost before it is published.
     """
 
     name: str = 'engine'
--- a/savorychute/testing/engine_stream.py
+++ b/savorychute/testing/engine_stream.py
@@ -1,4 +1,4 @@
-"""One stream inside a stand-in engine."""
+"""A stream of a stand-in engine."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from savorychute.testing.answers import (
-    POISON_MARK,
+    POISON_MARKER,
     count_answer_tokens,
     count_prompt_tokens,
     digest_prompt,
@@ -19,7 +19,7 @@
 
 
 class StreamPhase(Enum):
-    """Where a stream is in its life."""
+    """The state of a stream."""
 
     WAITING = 'waiting'
     PREFILL = 'prefill'
@@ -29,10 +29,10 @@
 
 
 class EngineStream:
-    """A stream's request and how far it is.
+    """The request and progress of a stream.
 
-    ``base_tokens`` were made before ``base_step``; a running stream has made
-    one more at each step since.
+    ``base_tokens`` were generated before ``base_step``; a running stream
+    generates one more token at each step after it.
     """
 
     def __init__(self, request: EngineRequest, arrival: int) -> None:
@@ -46,7 +46,7 @@
         self.answer_tokens = count_answer_tokens(request.prompt, request.max_tokens)
         self.digest = _digest(request)
         self.blocks = hash_blocks(request.prompt)
-        self.poison = POISON_MARK in request.prompt
+        self.poison = POISON_MARKER in request.prompt
         self.base_tokens = request.continue_offset
         self.base_step = 0
         self.emitted_tokens = request.continue_offset
@@ -55,11 +55,11 @@
 
     @property
     def is_kept(self) -> bool:
-        """Return whether the stream is out of the batch and can be resumed."""
+        """Return whether the stream is not in the batch and can be resumed."""
         return self.phase in (StreamPhase.KEPT, StreamPhase.DONE)
 
     def tokens_at(self, step: int) -> int:
-        """Return how many tokens exist after *step*."""
+        """Return the number of generated tokens after *step*."""
         if self.phase is not StreamPhase.RUNNING:
             return self.base_tokens
         return min(self.base_tokens + step - self.base_step, self.answer_tokens)
@@ -72,7 +72,10 @@
 
 
 def _digest(request: EngineRequest) -> str:
-    """Return the mark of the answer; another one after text of another answer."""
+    """Return the digest of the answer.
+
+    It differs if the text to continue is not the start of the prompt's answer.
+    """
     own = digest_prompt(request.prompt)
     text = write_tokens(own, 0, request.continue_offset)
     if request.continue_text == text:
--- a/savorychute/testing/surroundings.py
+++ b/savorychute/testing/environment.py
@@ -1,4 +1,4 @@
-"""What all parts of one run share."""
+"""The environment that all parts of a simulation share."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 from savorychute.testing.network import Network
 from savorychute.testing.plain_service import PlainService
 from savorychute.testing.service_host import ServiceHost
-from savorychute.testing.tier_watch import TierWatch
+from savorychute.testing.tier_monitor import TierMonitor
 from savorychute.testing.weight_store import WeightStore
 
 if TYPE_CHECKING:
     from savorychute.actions import StartAttempt
     from savorychute.testing.call import Call
     from savorychute.testing.endpoint_host import EndpointHost
-    from savorychute.testing.ledger import Telling
+    from savorychute.testing.ledger import ReportedOutcome
     from savorychute.testing.matrix.probe import Probe
     from savorychute.testing.topology import Topology
 
 
-class Surroundings:
-    """Time, network, platform and endpoints of a run, and the notes of what happens.
+class Environment:
+    """Time, network, platform, endpoints and recorded events of a simulation.
 
-    :param topology: what there is.
-    :param seed: of every random choice.
+    :param topology: the components of the system.
+    :param seed: the seed of all random choices.
     """
 
     def __init__(self, topology: Topology, seed: int) -> None:
@@ -48,7 +48,7 @@
         self.listing = InstanceList(lag_ms=topology.listing_lag_ms)
         self.store = WeightStore()
         self.endpoints: dict[str, EndpointHost] = {}
-        self.tier_watch = TierWatch()
+        self.tier_monitor = TierMonitor()
         self.calls_by_request: dict[str, Call] = {}
         self.sent_ms_by_request: dict[str, float] = {}
         self.key_by_request: dict[str, str] = {}
@@ -58,7 +58,7 @@
         self._make_endpoints()
 
     def make_rng(self, name: str) -> Random:
-        """Return a random source of its own for one purpose."""
+        """Return a separate random generator for one purpose."""
         return Random(f'{self.seed}:{name}')
 
     def _make_endpoints(self) -> None:
@@ -76,69 +76,69 @@
                 self.heap, self.ledger, service.document, core
             )
 
-    def note_unreachable(self) -> None:
-        """Note that instances may be unable to learn of changes."""
+    def mark_unreachable(self) -> None:
+        """Record that instances may be unable to receive changes."""
         self.reachable_since_ms = math.inf
 
-    def note_reachable(self) -> None:
-        """Note that they can learn of changes again."""
+    def mark_reachable(self) -> None:
+        """Record that instances can receive changes again."""
         self.reachable_since_ms = self.heap.now_ms
 
     def reached(self, step: str, subject: str, instance: str) -> None:
-        """Tell the run's probe, if there is one, that something got so far.
+        """Notify the probe, if there is one, that a subject reached a step.
 
-        :param step: a name of :mod:`savorychute.testing.matrix.steps`.
-        :param subject: the call or command.
-        :param instance: where, or empty.
+        :param step: a constant of :mod:`savorychute.testing.matrix.steps`.
+        :param subject: the id of the call or command.
+        :param instance: the name of the instance, or empty.
         """
         if self.probe is not None:
             self.probe.reached(step, subject, instance)
 
-    def note_request(self, request_id: str, call: Call) -> None:
-        """Note which call a request belongs to."""
+    def record_request(self, request_id: str, call: Call) -> None:
+        """Record the call that a request belongs to."""
         self.calls_by_request[request_id] = call
         self.sent_ms_by_request[request_id] = self.heap.now_ms
         self.key_by_request[request_id] = call.key
 
-    def note_start(self, instance: str, start: StartAttempt) -> None:
-        """Note that an instance began an attempt."""
+    def record_start(self, instance: str, start: StartAttempt) -> None:
+        """Record that an instance started an attempt."""
         self.attempts += 1
         call = self.calls_by_request[start.request_id]
         if self.probe is not None:
-            self.probe.note_endpoint(call.call_id, start.endpoint)
+            self.probe.record_endpoint(call.call_id, start.endpoint)
             self.probe.reached(steps.STARTED, call.call_id, instance)
-        self.tier_watch.started(instance, start, call)
+        self.tier_monitor.started(instance, start, call)
 
-    def note_cancel(self, instance: str, start: StartAttempt, keep: bool) -> None:
-        """Note that an instance gave an attempt up, or paused it."""
+    def record_cancel(self, instance: str, start: StartAttempt, keep: bool) -> None:
+        """Record that an instance cancelled an attempt or paused its stream."""
         if keep:
-            self.tier_watch.paused(self.heap.now_ms, instance, start.request_id)
+            self.tier_monitor.paused(self.heap.now_ms, instance, start.request_id)
 
-    def note_left(self, instance: str, request_id: str) -> None:
-        """Note that a caller left an instance."""
+    def record_caller_left(self, instance: str, request_id: str) -> None:
+        """Record that a caller disconnected from an instance."""
         code = ResultCode.CALLER_LEFT
-        self.tier_watch.ended(self.heap.now_ms, instance, request_id, code)
+        self.tier_monitor.ended(self.heap.now_ms, instance, request_id, code)
 
-    def note_sent(self, instance: str, start: StartAttempt) -> None:
-        """Note that the first byte of an attempt leaves."""
+    def record_sent(self, instance: str, start: StartAttempt) -> None:
+        """Record that the first byte of an attempt is sent."""
         if self.probe is not None:
             call = self.calls_by_request[start.request_id]
             self.probe.reached(steps.SENT, call.call_id, instance)
 
-    def note_answer(self, instance: str, start: StartAttempt, ended: bool) -> None:
-        """Note that something of an answer reached its instance."""
+    def record_answer(self, instance: str, start: StartAttempt, ended: bool) -> None:
+        """Record that a part of an answer reached its instance."""
         if self.probe is not None:
             call = self.calls_by_request[start.request_id]
             step = steps.ENDING if ended else steps.FIRST_TOKEN
             self.probe.reached(step, call.call_id, instance)
 
-    def note_telling(self, telling: Telling) -> None:
-        """Note what an instance told a caller."""
-        self.ledger.tellings.append(telling)
-        self.tier_watch.ended(
-            telling.at_ms, telling.instance, telling.request_id, telling.code
+    def record_reported_outcome(self, reported: ReportedOutcome) -> None:
+        """Record the outcome that an instance reported to a caller."""
+        self.ledger.reported_outcomes.append(reported)
+        self.tier_monitor.ended(
+            reported.at_ms, reported.instance, reported.request_id, reported.code
         )
 
-    def note_breach(self, text: str) -> None:
-        """Note a broken promise."""
-        self.ledger.note_breach(self.heap.now_ms, text)
+    def record_violation(self, text: str) -> None:
+        """Record a violated invariant."""
+        self.ledger.record_violation(self.heap.now_ms, text)
--- a/savorychute/testing/event_heap.py
+++ b/savorychute/testing/event_heap.py
@@ -1,4 +1,4 @@
-"""The heap of timed calls that a virtual run consists of."""
+"""The heap of timed calls that drives a simulation."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class EventHeap:
-    """Calls functions in the order of their times, and of their entry."""
+    """Calls functions in the order of their times, then of their insertion."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
         self.calls = 0
         self._entries: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]]
         self._entries = []
-        self._entered = 0
+        self._last_entry_number = 0
 
     def call_at(
         self, at_ms: float, function: Callable[..., object], *args: Any
     ) -> None:
-        """Call *function* at a time; one that has passed means now."""
-        self._entered += 1
-        entry = (max(at_ms, self.now_ms), self._entered, function, args)
+        """Call *function* at a time; a time in the past means now."""
+        self._last_entry_number += 1
+        entry = (max(at_ms, self.now_ms), self._last_entry_number, function, args)
         heapq.heappush(self._entries, entry)
 
     def call_later(
@@ -34,7 +34,7 @@
         self.call_at(self.now_ms + delay_ms, function, *args)
 
     def run_until(self, end_ms: float) -> None:
-        """Make all calls that are due up to *end_ms*."""
+        """Run all calls that are due up to *end_ms*."""
         entries = self._entries
         while entries and entries[0][0] <= end_ms:
             at_ms, _, function, args = heapq.heappop(entries)
--- a/savorychute/testing/faults/__init__.py
+++ b/savorychute/testing/faults/__init__.py
@@ -1,4 +1,4 @@
-"""Everything that can go wrong in a run, by name."""
+"""Faults and commands of scenarios, by name."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
     platform_faults,
 )
 from savorychute.testing.faults.fault_step import FaultStep
-from savorychute.testing.faults.registry import FAULTS, Stage
+from savorychute.testing.faults.registry import FAULTS, FaultContext
--- a/savorychute/testing/faults/endpoint_faults.py
+++ b/savorychute/testing/faults/endpoint_faults.py
@@ -7,7 +7,7 @@
 from savorychute.testing.engine_host import EngineHost
 from savorychute.testing.faults.registry import (
     FAULTS,
-    Stage,
+    FaultContext,
     find_endpoint,
     find_engine,
     find_service,
@@ -18,61 +18,65 @@
 
 
 @FAULTS.register('engine-straggles')
-def straggle(stage: Stage, step: FaultStep) -> None:
-    """Make an engine's steps *factor* times as long."""
-    engine = find_engine(stage.world, step.target)
-    engine.straggle(step.factor)
+def straggle(context: FaultContext, step: FaultStep) -> None:
+    """Multiply the duration of an engine's steps by *factor*."""
+    engine = find_engine(context.simulation, step.target)
+    engine.set_slowdown(step.factor)
     if step.for_ms:
-        stage.world.heap.call_later(step.for_ms, engine.straggle, 1.0)
+        context.simulation.heap.call_later(step.for_ms, engine.set_slowdown, 1.0)
 
 
 @FAULTS.register('endpoint-crashes')
-def crash_endpoint(stage: Stage, step: FaultStep) -> None:
-    """Crash an endpoint; it comes up again after *for_ms*."""
-    endpoint = find_endpoint(stage.world, step.target)
+def crash_endpoint(context: FaultContext, step: FaultStep) -> None:
+    """Crash an endpoint; it restarts after *for_ms*."""
+    endpoint = find_endpoint(context.simulation, step.target)
     endpoint.crash()
     if step.for_ms:
-        stage.world.heap.call_later(step.for_ms, endpoint.restart)
+        context.simulation.heap.call_later(step.for_ms, endpoint.restart)
 
 
 @FAULTS.register('service-crashes')
-def crash_service(stage: Stage, step: FaultStep) -> None:
-    """Crash a plain service; it comes up again after *for_ms*."""
-    service = find_service(stage.world, step.target)
+def crash_service(context: FaultContext, step: FaultStep) -> None:
+    """Crash a plain service; it restarts after *for_ms*."""
+    service = find_service(context.simulation, step.target)
     service.crash()
     if step.for_ms:
-        stage.world.heap.call_later(step.for_ms, service.restart)
+        context.simulation.heap.call_later(step.for_ms, service.restart)
 
 
 @FAULTS.register('endpoint-silent')
-def silence(stage: Stage, step: FaultStep) -> None:
-    """Let an endpoint accept work without a word."""
-    endpoint = find_endpoint(stage.world, step.target)
-    endpoint.set_silent(True)
+def silence(context: FaultContext, step: FaultStep) -> None:
+    """Make an endpoint unresponsive: it accepts work and sends nothing."""
+    endpoint = find_endpoint(context.simulation, step.target)
+    endpoint.set_unresponsive(True)
     if step.for_ms:
-        stage.world.heap.call_later(step.for_ms, endpoint.set_silent, False)
+        context.simulation.heap.call_later(
+            step.for_ms, endpoint.set_unresponsive, False
+        )
 
 
 @FAULTS.register('endpoint-refuses')
-def refuse(stage: Stage, step: FaultStep) -> None:
-    """Let an endpoint refuse everything, and say that nothing ran."""
-    core = find_endpoint(stage.world, step.target).core
+def refuse(context: FaultContext, step: FaultStep) -> None:
+    """Let an endpoint refuse all work and state that nothing ran."""
+    core = find_endpoint(context.simulation, step.target).core
     core.refusing = True
 
     def accept() -> None:
         core.refusing = False
 
     if step.for_ms:
-        stage.world.heap.call_later(step.for_ms, accept)
+        context.simulation.heap.call_later(step.for_ms, accept)
 
 
 @FAULTS.register('reports-lag')
-def lag_reports(stage: Stage, step: FaultStep) -> None:
-    """Make the load reports of all engines *delay_ms* old."""
+def lag_reports(context: FaultContext, step: FaultStep) -> None:
+    """Delay the load reports of all engines by *delay_ms*."""
     engines = [
-        host for host in stage.world.endpoints.values() if isinstance(host, EngineHost)
+        host
+        for host in context.simulation.endpoints.values()
+        if isinstance(host, EngineHost)
     ]
-    usual_ms = [host.engine.reports.lag_ms for host in engines]
+    previous_lags_ms = [host.engine.reports.lag_ms for host in engines]
 
     def set_lags(lags_ms: list[float]) -> None:
         for host, lag_ms in zip(engines, lags_ms, strict=True):
@@ -80,19 +84,19 @@
 
     set_lags([step.delay_ms] * len(engines))
     if step.for_ms:
-        stage.world.heap.call_later(step.for_ms, set_lags, usual_ms)
+        context.simulation.heap.call_later(step.for_ms, set_lags, previous_lags_ms)
 
 
 @FAULTS.register('endpoint-leaves')
-def leave(stage: Stage, step: FaultStep) -> None:
-    """Let an endpoint go away: it refuses and the platform lists it so."""
-    stage.world.leave(find_endpoint(stage.world, step.target).name)
+def leave(context: FaultContext, step: FaultStep) -> None:
+    """Let an endpoint leave: it refuses work and is listed as leaving."""
+    context.simulation.leave(find_endpoint(context.simulation, step.target).name)
 
 
 @FAULTS.register('restart-crashed')
-def restart_crashed(stage: Stage, step: FaultStep) -> None:
-    """Bring every endpoint up again that is down."""
+def restart_crashed(context: FaultContext, step: FaultStep) -> None:
+    """Restart every endpoint that is down."""
     del step
-    for endpoint in stage.world.endpoints.values():
+    for endpoint in context.simulation.endpoints.values():
         if not endpoint.core.is_up:
             endpoint.restart()
--- a/savorychute/testing/faults/fault_step.py
+++ b/savorychute/testing/faults/fault_step.py
@@ -1,4 +1,4 @@
-"""One line of a scenario's script."""
+"""One step of a scenario."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 class FaultStep(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A fault or command with its arguments.
 
-    ``target`` names an endpoint, instance, organisation or failure domain; what an
-    empty one means is up to the fault.  ``for_ms`` is how long the fault lasts,
-    0 for ever.  What ``factor`` multiplies is up to the fault too.
+    ``target`` names an endpoint, instance, organisation or failure domain; the
+    meaning of an empty one depends on the fault.  ``for_ms`` is the duration of
+    the fault; 0 means that it does not end.  What ``factor`` multiplies depends
+    on the fault.
     """
 
     do: str
--- a/savorychute/testing/faults/instance_faults.py
+++ b/savorychute/testing/faults/instance_faults.py
@@ -1,74 +1,80 @@
-"""Faults and replacements of instances."""
+"""Faults and replacement of instances."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from savorychute.testing.faults.registry import FAULTS, Stage, find_instance
+from savorychute.testing.faults.registry import FAULTS, FaultContext, find_instance
 
 if TYPE_CHECKING:
     from savorychute.testing.faults.fault_step import FaultStep
 
-REPLACEMENT_MS = 1_000.0
+RESTART_DELAY_MS = 1_000.0
 REPLACEMENT_READY_MS = 10_000.0
 
 
 @FAULTS.register('instance-crashes')
-def crash(stage: Stage, step: FaultStep) -> None:
-    """End an instance at once; after *for_ms* a new one takes its place."""
-    world = stage.world
-    host = find_instance(world, step.target)
+def crash(context: FaultContext, step: FaultStep) -> None:
+    """Crash an instance; a new one replaces it after *for_ms*."""
+    simulation = context.simulation
+    host = find_instance(simulation, step.target)
     host.crash()
     if step.for_ms:
         domain = host.failure_domain
-        world.heap.call_later(step.for_ms, world.replace_instance, host, domain)
+        simulation.heap.call_later(
+            step.for_ms, simulation.replace_instance, host, domain
+        )
 
 
 @FAULTS.register('instance-restarts')
-def restart(stage: Stage, step: FaultStep) -> None:
-    """End an instance and start it anew under the same name."""
-    world = stage.world
-    host = find_instance(world, step.target)
+def restart(context: FaultContext, step: FaultStep) -> None:
+    """Crash an instance and restart it under the same name."""
+    simulation = context.simulation
+    host = find_instance(simulation, step.target)
     host.crash()
-    delay_ms = step.for_ms or REPLACEMENT_MS
-    world.heap.call_later(
-        delay_ms, world.start_instance, host.failure_domain, host.name
+    delay_ms = step.for_ms or RESTART_DELAY_MS
+    simulation.heap.call_later(
+        delay_ms, simulation.start_instance, host.failure_domain, host.name
     )
 
 
 @FAULTS.register('instance-pauses')
-def pause(stage: Stage, step: FaultStep) -> None:
-    """Stop an instance; it wakes after *for_ms* without knowing."""
-    host = find_instance(stage.world, step.target)
+def pause(context: FaultContext, step: FaultStep) -> None:
+    """Pause an instance for *for_ms*, without its noticing."""
+    host = find_instance(context.simulation, step.target)
     host.pause()
-    stage.world.heap.call_later(3_000.0, stage.world.callers.notice_pause, host)
+    context.simulation.heap.call_later(
+        3_000.0, context.simulation.callers.handle_pause, host
+    )
     if step.for_ms:
-        stage.world.heap.call_later(step.for_ms, host.wake)
+        context.simulation.heap.call_later(step.for_ms, host.wake)
 
 
 @FAULTS.register('clock-jumps')
-def jump_clock(stage: Stage, step: FaultStep) -> None:
-    """Let an instance's clock jump ahead by *delay_ms*."""
-    find_instance(stage.world, step.target).jump_clock(step.delay_ms)
+def jump_clock(context: FaultContext, step: FaultStep) -> None:
+    """Move an instance's clock forward by *delay_ms*."""
+    find_instance(context.simulation, step.target).jump_clock(step.delay_ms)
 
 
 @FAULTS.register('instance-leaves')
-def shut_down(stage: Stage, step: FaultStep) -> None:
-    """Shut an instance down gracefully; a new one takes its place."""
-    world = stage.world
-    host = find_instance(world, step.target)
-    world.start_instance(host.failure_domain)
-    world.shut_down(host.name)
+def shut_down(context: FaultContext, step: FaultStep) -> None:
+    """Shut an instance down gracefully; a new one replaces it."""
+    simulation = context.simulation
+    host = find_instance(simulation, step.target)
+    simulation.start_instance(host.failure_domain)
+    simulation.shut_down(host.name)
 
 
 @FAULTS.register('instances-replaced')
-def replace(stage: Stage, step: FaultStep) -> None:
+def replace(context: FaultContext, step: FaultStep) -> None:
     """Replace *share* of the instances one by one within *for_ms*."""
-    world = stage.world
-    names = [host.name for host in world.instances.values() if host.is_serving]
+    simulation = context.simulation
+    names = [host.name for host in simulation.instances.values() if host.is_serving]
     chosen = names[: max(1, int(len(names) * step.share))]
     for number, name in enumerate(chosen):
         delay_ms = step.for_ms * number / len(chosen)
-        domain = world.instances[name].failure_domain
-        world.heap.call_later(delay_ms, world.start_instance, domain)
-        world.heap.call_later(delay_ms + REPLACEMENT_READY_MS, world.shut_down, name)
+        domain = simulation.instances[name].failure_domain
+        simulation.heap.call_later(delay_ms, simulation.start_instance, domain)
+        simulation.heap.call_later(
+            delay_ms + REPLACEMENT_READY_MS, simulation.shut_down, name
+        )
--- a/savorychute/testing/faults/operator_commands.py
+++ b/savorychute/testing/faults/operator_commands.py
@@ -1,51 +1,57 @@
-"""What operators do, alone and against one another."""
+"""Commands of operators, including concurrent ones."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
 from savorychute.errors import ScenarioError
-from savorychute.testing.faults.registry import FAULTS, Stage, find_endpoint
+from savorychute.testing.faults.registry import FAULTS, FaultContext, find_endpoint
 
 if TYPE_CHECKING:
     from savorychute.testing.faults.fault_step import FaultStep
-    from savorychute.testing.world import World
+    from savorychute.testing.simulation import Simulation
 
 
 @FAULTS.register('drain')
-def drain(stage: Stage, step: FaultStep) -> None:
+def drain(context: FaultContext, step: FaultStep) -> None:
     """Drain an endpoint."""
-    stage.world.drain(find_endpoint(stage.world, step.target).name)
+    context.simulation.drain(find_endpoint(context.simulation, step.target).name)
 
 
 @FAULTS.register('amend')
-def amend(stage: Stage, step: FaultStep) -> None:
-    """Multiply an organisation's permitted rate by *factor*."""
-    propose_rate(stage.world, step.target, step.factor, '')
+def amend(context: FaultContext, step: FaultStep) -> None:
+    """Multiply the permitted request rate of an organisation by *factor*."""
+    propose_rate(context.simulation, step.target, step.factor, '')
 
 
 @FAULTS.register('operators-race')
-def race(stage: Stage, step: FaultStep) -> None:
-    """Let two operators change one contract at two instances at once."""
-    world = stage.world
-    serving = [host.name for host in world.instances.values() if host.is_serving]
+def race(context: FaultContext, step: FaultStep) -> None:
+    """Let two operators change one contract at two instances concurrently."""
+    simulation = context.simulation
+    serving = [host.name for host in simulation.instances.values() if host.is_serving]
     for number, instance in enumerate((serving[0], serving[-1])):
-        propose_rate(world, step.target, 1.0 + 0.1 * (number + 1), instance)
+        propose_rate(simulation, step.target, 1.0 + 0.1 * (number + 1), instance)
 
 
-def propose_rate(world: World, organisation: str, factor: float, instance: str) -> str:
-    """Propose a contract with another rate, from the version in force there."""
-    organisation = organisation or world.topology.contracts[0]['organisation']
-    if organisation not in world.documents:
+def propose_rate(
+    simulation: Simulation, organisation: str, factor: float, instance: str
+) -> str:
+    """Propose a contract with a changed rate, based on the version in force."""
+    organisation = organisation or simulation.topology.contracts[0]['organisation']
+    if organisation not in simulation.documents:
         raise ScenarioError(f'no organisation {organisation!r}')
-    document: dict[str, Any] = dict(world.documents[organisation])
+    document: dict[str, Any] = dict(simulation.documents[organisation])
     document['requests_per_s'] = round(document['requests_per_s'] * factor, 3)
-    world.documents[organisation] = document
-    host = world.instances[instance] if instance else world.first_serving()
+    simulation.documents[organisation] = document
+    host = (
+        simulation.instances[instance]
+        if instance
+        else simulation.find_serving_instance()
+    )
     arguments = {
         'organisation': organisation,
         'base_version': host.versions().get(f'contract:{organisation}', 0),
         'document': document,
         'why': 'rate',
     }
-    return world.command('contract-amend', arguments, host.name)
+    return simulation.command('contract-amend', arguments, host.name)
--- a/savorychute/testing/faults/registry.py
+++ b/savorychute/testing/faults/registry.py
@@ -16,80 +16,82 @@
     from savorychute.testing.endpoint_host import EndpointHost
     from savorychute.testing.faults.fault_step import FaultStep
     from savorychute.testing.instance_host import InstanceHost
+    from savorychute.testing.simulation import Simulation
     from savorychute.testing.topology import Topology
     from savorychute.testing.workload import Workload
-    from savorychute.testing.world import World
 
 HOME_PREFIX = 'home-of:'
 TIER_PREFIX = 'tier:'
 MOST_DEMANDED = 'most-demanded'
 
 
-class Stage(NamedTuple):
-    """What a fault acts on."""
+class FaultContext(NamedTuple):
+    """The simulation and workload that a fault acts on."""
 
-    world: World
+    simulation: Simulation
     workload: Workload
 
 
-FAULTS: Registry[Callable[[Stage, FaultStep], None]] = Registry('fault or command')
+FAULTS: Registry[Callable[[FaultContext, FaultStep], None]] = Registry(
+    'fault or command'
+)
 
 
-def find_endpoint(world: World, name: str) -> EndpointHost:
+def find_endpoint(simulation: Simulation, name: str) -> EndpointHost:
     """Return an endpoint; the first engine if *name* is empty.
 
-    :raises ScenarioError: if there is none of that name.
+    :raises ScenarioError: if there is no endpoint of that name.
     """
     if not name:
-        return find_engine(world, name)
-    if name not in world.endpoints:
+        return find_engine(simulation, name)
+    if name not in simulation.endpoints:
         raise ScenarioError(f'no endpoint {name!r}')
-    return world.endpoints[name]
+    return simulation.endpoints[name]
 
 
-def find_engine(world: World, name: str) -> EngineHost:
+def find_engine(simulation: Simulation, name: str) -> EngineHost:
     """Return an engine; the first if *name* is empty.
 
-    :raises ScenarioError: if there is none of that name.
+    :raises ScenarioError: if it does not exist.
     """
-    for host in world.endpoints.values():
+    for host in simulation.endpoints.values():
         if isinstance(host, EngineHost) and name in ('', host.name):
             return host
     raise ScenarioError(f'no engine {name!r}')
 
 
-def find_service(world: World, name: str) -> ServiceHost:
+def find_service(simulation: Simulation, name: str) -> ServiceHost:
     """Return a plain service; the first if *name* is empty.
 
-    :raises ScenarioError: if there is none of that name.
+    :raises ScenarioError: if it does not exist.
     """
-    for host in world.endpoints.values():
+    for host in simulation.endpoints.values():
         if isinstance(host, ServiceHost) and name in ('', host.name):
             return host
     raise ScenarioError(f'no service {name!r}')
 
 
-def find_instance(world: World, name: str) -> InstanceHost:
-    """Return an instance; the first that serves if *name* is empty.
+def find_instance(simulation: Simulation, name: str) -> InstanceHost:
+    """Return an instance; the first serving one if *name* is empty.
 
-    ``home-of:<endpoint>`` is the one that grants use of the endpoint.
+    ``home-of:<endpoint>`` is the home instance of the endpoint.
 
-    :raises ScenarioError: if there is none of that name.
+    :raises ScenarioError: if it does not exist.
     """
     if name.startswith(HOME_PREFIX):
-        return find_home(world, name.removeprefix(HOME_PREFIX))
-    for host in world.instances.values():
+        return find_home(simulation, name.removeprefix(HOME_PREFIX))
+    for host in simulation.instances.values():
         if name == host.name or (not name and host.is_serving):
             return host
     raise ScenarioError(f'no instance {name!r}')
 
 
-def find_home(world: World, endpoint: str) -> InstanceHost:
-    """Return the instance that is an endpoint's home.
+def find_home(simulation: Simulation, endpoint: str) -> InstanceHost:
+    """Return the home instance of an endpoint.
 
-    :raises ScenarioError: if no instance takes itself for it.
+    :raises ScenarioError: if no instance considers itself the home.
     """
-    for host in world.instances.values():
+    for host in simulation.instances.values():
         if host.is_serving and host.is_home_of(endpoint):
             return host
     raise ScenarioError(f'no instance is home of {endpoint!r}')
@@ -98,7 +100,7 @@
 def find_class(topology: Topology, name: str) -> CallClass:
     """Return a class by name, ``tier:<number>`` or ``most-demanded``.
 
-    :raises ScenarioError: if there is none.
+    :raises ScenarioError: if there is no such class.
     """
     models = [each for each in topology.classes if not each.service]
     if name in ('', MOST_DEMANDED):
--- a/savorychute/testing/instance_factory.py
+++ b/savorychute/testing/instance_factory.py
@@ -1,4 +1,4 @@
-"""What makes the instances of a virtual run."""
+"""The interface that creates the instances of a simulation."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class InstanceFactory(Protocol):
-    """Makes an instance to be driven."""
+    """Creates an instance."""
 
     def __call__(
         self, address: MemberAddress, rng: Random, epoch_offset_ms: int
     ) -> Instance:
-        """Return an instance that was just started.
+        """Return a new instance.
 
-        :param epoch_offset_ms: what to add to its clock for the time of day.
+        :param epoch_offset_ms: the offset from its clock to the Unix time.
         """
         ...
--- a/savorychute/testing/instance_list.py
+++ b/savorychute/testing/instance_list.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's lagging list of instances."""
+"""A stand-in for the platform's list of instances, which is delayed."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Listing(NamedTuple):
-    """Who was live and who was leaving some time ago."""
+    """The live and the leaving instances at a time in the past."""
 
     live: tuple[MemberAddress, ...] = ()
     leaving: frozenset[str] = frozenset()
 
 
 class InstanceList:
-    """The list as readers see it: late.
+    """The list of instances, which readers receive with a delay.
 
-    :param lag_ms: how old the list is that a reader gets.
+    :param lag_ms: the age of the list that a reader receives.
     """
 
     def __init__(self, lag_ms: float = 1_000.0) -> None:
@@ -29,24 +29,24 @@
         self._history: list[tuple[float, Listing]] = []
 
     def put(self, address: MemberAddress, now_ms: float) -> None:
-        """Enter an instance, or replace its entry."""
+        """Add an instance, or replace its entry."""
         self._live[address.instance] = address
         self._leaving.discard(address.instance)
-        self._remember(now_ms)
+        self._record_listing(now_ms)
 
     def mark_leaving(self, name: str, now_ms: float) -> None:
-        """Say that an instance or an endpoint is leaving."""
+        """Mark an instance or an endpoint as leaving."""
         self._leaving.add(name)
-        self._remember(now_ms)
+        self._record_listing(now_ms)
 
     def delete(self, name: str, now_ms: float) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         self._live.pop(name, None)
         self._leaving.discard(name)
-        self._remember(now_ms)
+        self._record_listing(now_ms)
 
     def fetch(self, now_ms: float) -> Listing | None:
-        """Return the list as it was, or nothing if the service is down."""
+        """Return the delayed list, or None if the service is down."""
         if not self.is_up:
             return None
         history = self._history
@@ -54,6 +54,6 @@
             history.pop(0)
         return history[0][1] if history else Listing()
 
-    def _remember(self, now_ms: float) -> None:
+    def _record_listing(self, now_ms: float) -> None:
         live = tuple(self._live[name] for name in sorted(self._live))
         self._history.append((now_ms, Listing(live, frozenset(self._leaving))))
--- a/savorychute/testing/ledger.py
+++ b/savorychute/testing/ledger.py
@@ -1,4 +1,4 @@
-"""What really happened in a virtual run, to check promises against."""
+"""Record of the actual events of a simulation, for the checks of invariants."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class Execution(NamedTuple):
-    """An endpoint took up a request and ran it.
+    """An endpoint accepted and ran a request.
 
-    ``marker`` is the call that the request belongs to, whoever sent it.
+    ``marker`` is the call that the request belongs to, whichever instance sent it.
     """
 
     at_ms: float
@@ -25,7 +25,7 @@
 
 
 class Arrival(NamedTuple):
-    """Work reached an endpoint, whether or not it was taken up."""
+    """An attempt reached an endpoint, whether or not it was accepted."""
 
     at_ms: float
     endpoint: str
@@ -33,8 +33,8 @@
     resumed: bool
 
 
-class Telling(NamedTuple):
-    """An instance told a caller how a request ended."""
+class ReportedOutcome(NamedTuple):
+    """The outcome of a request that an instance reported to a caller."""
 
     at_ms: float
     instance: str
@@ -45,17 +45,17 @@
 
 
 class Ledger:
-    """Collects the facts of a run; knows nothing of any instance's state."""
+    """Collects the events of a simulation, independently of the instances' state."""
 
     def __init__(self) -> None:
         self.executions: list[Execution] = []
         self.arrivals: list[Arrival] = []
-        self.tellings: list[Telling] = []
+        self.reported_outcomes: list[ReportedOutcome] = []
         self.leaving_ms: dict[str, float] = {}
-        self.breaches: list[str] = []
+        self.violations: list[str] = []
         self.defects: list[str] = []
         self.on_execution: Callable[[Execution], None] | None = None
 
-    def note_breach(self, at_ms: float, text: str) -> None:
-        """Note a promise that was broken, found while the run goes on."""
-        self.breaches.append(f'{at_ms:.0f} ms: {text}')
+    def record_violation(self, at_ms: float, text: str) -> None:
+        """Record a violation that was detected during the simulation."""
+        self.violations.append(f'{at_ms:.0f} ms: {text}')
--- a/savorychute/testing/list_server.py
+++ b/savorychute/testing/list_server.py
@@ -1,4 +1,4 @@
-"""A stand-in list of instances over HTTP."""
+"""HTTP server of a stand-in list of instances."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 
 
 class ListServer:
-    """Speaks HTTP for an :class:`InstanceList`.
+    """Serves an :class:`InstanceList` over HTTP.
 
-    ``PUT /instances/<name>`` enters an instance, ``DELETE`` takes it off, and
-    ``POST /instances/<name>/leaving`` marks an instance or endpoint.
+    ``PUT /instances/<name>`` adds an instance, ``DELETE`` removes it, and
+    ``POST /instances/<name>/leaving`` marks an instance or endpoint as leaving.
 
-    :param instances: the list's core.
+    :param instances: the list.
     """
 
     def __init__(self, instances: InstanceList) -> None:
@@ -37,7 +37,7 @@
         self.port = 0
 
     def handle(self, exchange: ServerExchange) -> None:
-        """Take one HTTP request."""
+        """Handle one HTTP request."""
         path = exchange.request.target
         if not self.instances.is_up:
             respond_json(exchange, STATUS_UNAVAILABLE, {'error': 'down'})
@@ -80,9 +80,9 @@
 ) -> AsyncIterator[ListServer]:
     """Serve a list until the block ends.
 
-    :param instances: the list's core.
-    :param host: the IP number to listen on.
-    :param port: the port, or 0 for one of the system's choice.
+    :param instances: the list.
+    :param host: the IP address to listen on.
+    :param port: the port, or 0 to let the system choose one.
     """
     stand_in = ListServer(instances)
     async with serve(stand_in.handle, host, port) as http:
--- a/savorychute/testing/load_all.py
+++ b/savorychute/testing/load_all.py
@@ -1,4 +1,4 @@
-"""Loads all modules of a package."""
+"""Import of all modules of a package."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 if TYPE_CHECKING:
     from types import ModuleType
 
-PROGRAM = '__main__'
+MAIN_MODULE = '__main__'
 
 
 def load_all(package: ModuleType) -> None:
-    """Import all modules of a package but its programs.
+    """Import all modules of a package except ``__main__`` modules.
 
-    :param package: has been imported.
+    :param package: the imported package.
     """
     for found in pkgutil.walk_packages(package.__path__, f'{package.__name__}.'):
-        if found.name.rpartition('.')[2] != PROGRAM:
+        if found.name.rpartition('.')[2] != MAIN_MODULE:
             importlib.import_module(found.name)
--- a/savorychute/testing/log_server.py
+++ b/savorychute/testing/log_server.py
@@ -1,4 +1,4 @@
-"""A stand-in log service over HTTP."""
+"""HTTP server of a stand-in log service."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 
 class LogServer:
-    """Speaks HTTP for an :class:`AppendLog`.
+    """Serves an :class:`AppendLog` over HTTP.
 
-    :param log: the log's core.
+    :param log: the log.
     """
 
     def __init__(self, log: AppendLog) -> None:
@@ -43,7 +43,7 @@
         self.port = 0
 
     def handle(self, exchange: ServerExchange) -> None:
-        """Take one HTTP request, and answer it after the log's delay."""
+        """Handle one HTTP request and respond after the delay of the log."""
         url = urlsplit(exchange.request.target)
         stream = url.path.removeprefix(STREAMS_PREFIX).removesuffix(RECORDS_SUFFIX)
         if not url.path.startswith(STREAMS_PREFIX) or not stream:
@@ -57,21 +57,21 @@
     def _append(self, exchange: ServerExchange, stream: str) -> None:
         answer = self.log.append(stream, exchange.request.body, loop_ms())
         if answer.outcome == 'lost':
-            self._later(exchange.abort)
+            self._respond_later(exchange.abort)
         elif answer.outcome == 'appended':
-            self._answer(exchange, STATUS_CREATED, {'offset': answer.offset})
+            self._respond(exchange, STATUS_CREATED, {'offset': answer.offset})
         elif answer.outcome == 'limited':
-            self._answer(exchange, STATUS_LIMITED, {'error': 'rate'})
+            self._respond(exchange, STATUS_LIMITED, {'error': 'rate'})
         else:
-            self._answer(exchange, STATUS_UNAVAILABLE, {'error': 'down'})
+            self._respond(exchange, STATUS_UNAVAILABLE, {'error': 'down'})
 
     def _read(self, exchange: ServerExchange, stream: str, query: str) -> None:
-        asked = parse_qs(query)
-        from_offset = int(asked.get('from', ['0'])[0])
-        max_records = int(asked.get('max', [DEFAULT_READ_RECORDS])[0])
+        parameters = parse_qs(query)
+        from_offset = int(parameters.get('from', ['0'])[0])
+        max_records = int(parameters.get('max', [DEFAULT_READ_RECORDS])[0])
         answer = self.log.read(stream, from_offset, max_records, loop_ms())
         if answer is None:
-            self._answer(exchange, STATUS_UNAVAILABLE, {'error': 'down'})
+            self._respond(exchange, STATUS_UNAVAILABLE, {'error': 'down'})
             return
         records = [
             {
@@ -85,12 +85,12 @@
             'end_offset': answer.end_offset,
             'records': records,
         }
-        self._answer(exchange, STATUS_OK, document)
+        self._respond(exchange, STATUS_OK, document)
 
-    def _answer(self, exchange: ServerExchange, status: int, document: object) -> None:
-        self._later(lambda: respond_json(exchange, status, document))
+    def _respond(self, exchange: ServerExchange, status: int, document: object) -> None:
+        self._respond_later(lambda: respond_json(exchange, status, document))
 
-    def _later(self, action: Callable[[], None]) -> None:
+    def _respond_later(self, action: Callable[[], None]) -> None:
         loop = asyncio.get_running_loop()
         loop.call_later(self.log.delay_ms / MS_PER_S, action)
 
@@ -101,9 +101,9 @@
 ) -> AsyncIterator[LogServer]:
     """Serve a log until the block ends.
 
-    :param log: the log's core.
-    :param host: the IP number to listen on.
-    :param port: the port, or 0 for one of the system's choice.
+    :param log: the log.
+    :param host: the IP address to listen on.
+    :param port: the port, or 0 to let the system choose one.
     """
     stand_in = LogServer(log)
     async with serve(stand_in.handle, host, port) as http:
--- a/savorychute/testing/markers.py
+++ b/savorychute/testing/markers.py
@@ -1,4 +1,4 @@
-"""The mark in a request's body by which a run knows whose it is."""
+"""Markers in request bodies that identify the call of a request."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def write_marker(call_id: str) -> str:
-    """Return the mark for a call."""
+    """Return the marker of a call."""
     return f'#call={call_id}'
 
 
 def find_marker(body: bytes) -> str:
-    """Return the call that a body belongs to, or an empty text."""
+    """Return the id of the call that a body belongs to, or an empty string."""
     found = MARKER.search(body)
     return found.group(1).decode() if found else ''
--- a/savorychute/testing/matrix/cell_faults.py
+++ b/savorychute/testing/matrix/cell_faults.py
@@ -1,4 +1,4 @@
-"""The faults of the matrix, aimed at what its probe is about."""
+"""The faults of the matrix, applied to the targets of its probe."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
     from collections.abc import Callable
 
     from savorychute.testing.matrix.probe import Probe
-    from savorychute.testing.world import World
+    from savorychute.testing.simulation import Simulation
 
-CELL_FAULTS: Registry[Callable[[Aim], list[FaultStep]]] = Registry('matrix fault')
+CELL_FAULTS: Registry[Callable[[FaultTargets], list[FaultStep]]] = Registry(
+    'matrix fault'
+)
 
 
-class Aim(NamedTuple):
-    """What a fault is aimed at: the probe's instance and endpoint."""
+class FaultTargets(NamedTuple):
+    """The targets of a fault: the instance and the endpoint of the probe."""
 
     instance: str
     other_instance: str
@@ -25,13 +27,13 @@
     domain: str
 
 
-def take_aim(world: World, probe: Probe) -> Aim:
-    """Return what the probe is at, or the first of its kind."""
-    serving = [host for host in world.instances.values() if host.is_serving]
-    own = world.instances.get(probe.instance) or serving[0]
+def find_targets(simulation: Simulation, probe: Probe) -> FaultTargets:
+    """Return the targets of the probe, or the first ones if it has none yet."""
+    serving = [host for host in simulation.instances.values() if host.is_serving]
+    own = simulation.instances.get(probe.instance) or serving[0]
     others = [host for host in serving if host is not own]
-    endpoint = probe.endpoint or next(iter(world.endpoints))
-    return Aim(
+    endpoint = probe.endpoint or next(iter(simulation.endpoints))
+    return FaultTargets(
         own.name,
         others[0].name if others else own.name,
         endpoint,
@@ -40,90 +42,93 @@
 
 
 @CELL_FAULTS.register('burst')
-def _burst(aim: Aim) -> list[FaultStep]:
-    del aim
+def _burst(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='burst', class_name='tier:0', count=60, for_ms=200)]
 
 
 @CELL_FAULTS.register('straggler')
-def _straggler(aim: Aim) -> list[FaultStep]:
-    target = _engine_of(aim)
+def _straggler(targets: FaultTargets) -> list[FaultStep]:
+    target = _find_engine_name(targets)
     return [FaultStep(do='engine-straggles', target=target, factor=8, for_ms=4_000)]
 
 
 @CELL_FAULTS.register('endpoint-crash')
-def _endpoint_crash(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='endpoint-crashes', target=aim.endpoint, for_ms=2_000)]
+def _endpoint_crash(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='endpoint-crashes', target=targets.endpoint, for_ms=2_000)]
 
 
 @CELL_FAULTS.register('endpoint-silent')
-def _endpoint_silent(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='endpoint-silent', target=aim.endpoint, for_ms=4_000)]
+def _endpoint_silent(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='endpoint-silent', target=targets.endpoint, for_ms=4_000)]
 
 
 @CELL_FAULTS.register('crossed-answers')
-def _crossed_answers(aim: Aim) -> list[FaultStep]:
-    """Hang the endpoint until it is given up; its answer then comes as well."""
+def _crossed_answers(targets: FaultTargets) -> list[FaultStep]:
+    """Let an abandoned answer arrive in addition to that of a later attempt.
+
+    The endpoint is unresponsive until the instance abandons the attempt.
+    """
     return [
         FaultStep(do='cancels-late', delay_ms=5_000, for_ms=12_000),
-        FaultStep(do='endpoint-silent', target=aim.endpoint, for_ms=3_500),
+        FaultStep(do='endpoint-silent', target=targets.endpoint, for_ms=3_500),
     ]
 
 
 @CELL_FAULTS.register('endpoint-refuses')
-def _endpoint_refuses(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='endpoint-refuses', target=aim.endpoint, for_ms=3_000)]
+def _endpoint_refuses(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='endpoint-refuses', target=targets.endpoint, for_ms=3_000)]
 
 
 @CELL_FAULTS.register('endpoint-drained')
-def _endpoint_drained(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='drain', target=aim.endpoint)]
+def _endpoint_drained(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='drain', target=targets.endpoint)]
 
 
 @CELL_FAULTS.register('endpoint-leaves')
-def _endpoint_leaves(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='endpoint-leaves', target=aim.endpoint)]
+def _endpoint_leaves(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='endpoint-leaves', target=targets.endpoint)]
 
 
 @CELL_FAULTS.register('reports-lag')
-def _reports_lag(aim: Aim) -> list[FaultStep]:
-    del aim
+def _reports_lag(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='reports-lag', delay_ms=2_000, for_ms=5_000)]
 
 
 @CELL_FAULTS.register('log-down')
-def _log_down(aim: Aim) -> list[FaultStep]:
-    del aim
+def _log_down(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='log-down', for_ms=4_000)]
 
 
 @CELL_FAULTS.register('log-slow')
-def _log_slow(aim: Aim) -> list[FaultStep]:
-    del aim
+def _log_slow(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='log-slow', delay_ms=1_500, for_ms=5_000)]
 
 
 @CELL_FAULTS.register('append-reply-lost')
-def _append_reply_lost(aim: Aim) -> list[FaultStep]:
-    del aim
+def _append_reply_lost(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='append-reply-lost', count=3)]
 
 
 @CELL_FAULTS.register('lease-lapse-in-pause')
-def _lease_lapse(aim: Aim) -> list[FaultStep]:
-    """Pause an instance for longer than any lease, credit or suspicion."""
-    return [FaultStep(do='instance-pauses', target=aim.instance, for_ms=15_000)]
+def _lease_lapse_in_pause(targets: FaultTargets) -> list[FaultStep]:
+    """Pause an instance for longer than any lease, credit or suspicion lasts."""
+    return [FaultStep(do='instance-pauses', target=targets.instance, for_ms=15_000)]
 
 
 @CELL_FAULTS.register('racing-operators')
-def _racing_operators(aim: Aim) -> list[FaultStep]:
-    del aim
+def _racing_operators(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='operators-race')]
 
 
 @CELL_FAULTS.register('poison')
-def _poison(aim: Aim) -> list[FaultStep]:
-    del aim
+def _poison(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [
         FaultStep(do='poison', class_name='tier:0', count=3, delay_ms=700),
         FaultStep(do='restart-crashed', ms=1_500),
@@ -133,75 +138,77 @@
 
 
 @CELL_FAULTS.register('instance-crash')
-def _instance_crash(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='instance-crashes', target=aim.instance, for_ms=1_000)]
+def _instance_crash(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='instance-crashes', target=targets.instance, for_ms=1_000)]
 
 
 @CELL_FAULTS.register('instance-restart')
-def _instance_restart(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='instance-restarts', target=aim.instance, for_ms=300)]
+def _instance_restart(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='instance-restarts', target=targets.instance, for_ms=300)]
 
 
 @CELL_FAULTS.register('other-instance-crash')
-def _other_instance_crash(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='instance-crashes', target=aim.other_instance, for_ms=1_000)]
+def _other_instance_crash(targets: FaultTargets) -> list[FaultStep]:
+    return [
+        FaultStep(do='instance-crashes', target=targets.other_instance, for_ms=1_000)
+    ]
 
 
 @CELL_FAULTS.register('instance-pause')
-def _instance_pause(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='instance-pauses', target=aim.instance, for_ms=1_500)]
+def _instance_pause(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='instance-pauses', target=targets.instance, for_ms=1_500)]
 
 
 @CELL_FAULTS.register('instance-leaves')
-def _instance_leaves(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='instance-leaves', target=aim.instance)]
+def _instance_leaves(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='instance-leaves', target=targets.instance)]
 
 
 @CELL_FAULTS.register('messages-lost')
-def _messages_lost(aim: Aim) -> list[FaultStep]:
-    del aim
+def _messages_lost(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='messages-lost', share=0.5, for_ms=4_000)]
 
 
 @CELL_FAULTS.register('messages-duplicated')
-def _messages_duplicated(aim: Aim) -> list[FaultStep]:
-    del aim
+def _messages_duplicated(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='messages-duplicated', share=1, delay_ms=50, for_ms=4_000)]
 
 
 @CELL_FAULTS.register('messages-reordered')
-def _messages_reordered(aim: Aim) -> list[FaultStep]:
-    del aim
+def _messages_reordered(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='messages-reordered', delay_ms=300, for_ms=4_000)]
 
 
 @CELL_FAULTS.register('messages-delayed')
-def _messages_delayed(aim: Aim) -> list[FaultStep]:
-    del aim
+def _messages_delayed(targets: FaultTargets) -> list[FaultStep]:
+    del targets
     return [FaultStep(do='messages-delayed', delay_ms=600, for_ms=4_000)]
 
 
 @CELL_FAULTS.register('domains-cut')
-def _domains_cut(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='domains-cut', target=aim.domain, for_ms=4_000)]
+def _domains_cut(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='domains-cut', target=targets.domain, for_ms=4_000)]
 
 
 @CELL_FAULTS.register('domains-cut-one-way')
-def _domains_cut_one_way(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='domains-cut-one-way', target=aim.domain, for_ms=4_000)]
+def _domains_cut_one_way(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='domains-cut-one-way', target=targets.domain, for_ms=4_000)]
 
 
 @CELL_FAULTS.register('clock-jump')
-def _clock_jump(aim: Aim) -> list[FaultStep]:
-    return [FaultStep(do='clock-jumps', target=aim.instance, delay_ms=4_000)]
+def _clock_jump(targets: FaultTargets) -> list[FaultStep]:
+    return [FaultStep(do='clock-jumps', target=targets.instance, delay_ms=4_000)]
 
 
 @CELL_FAULTS.register('clock-jump-past-deadline')
-def _clock_jump_far(aim: Aim) -> list[FaultStep]:
-    """Jump past every deadline: work may end as too late, but truthfully."""
-    return [FaultStep(do='clock-jumps', target=aim.instance, delay_ms=60_000)]
+def _clock_jump_past_deadline(targets: FaultTargets) -> list[FaultStep]:
+    """Move the clock past every deadline; work may expire if reported correctly."""
+    return [FaultStep(do='clock-jumps', target=targets.instance, delay_ms=60_000)]
 
 
-def _engine_of(aim: Aim) -> str:
+def _find_engine_name(targets: FaultTargets) -> str:
     """Return the endpoint if it is an engine, else the first engine."""
-    return aim.endpoint if aim.endpoint.startswith('engine') else ''
+    return targets.endpoint if targets.endpoint.startswith('engine') else ''
--- a/savorychute/testing/matrix/plan.py
+++ b/savorychute/testing/matrix/plan.py
@@ -1,4 +1,4 @@
-"""Which cells the matrix has."""
+"""Selection of the cells of the matrix."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 def sample_pairs(count: int, seed: int = PAIR_SEED) -> list[Cell]:
-    """Return pairs of faults at random steps; every pair once before any twice.
+    """Return pairs of faults at random steps; no pair repeats before all were used.
 
-    :param count: how many cells.
-    :param seed: of the choice, and of the runs.
+    :param count: the number of cells.
+    :param seed: the seed of the selection and of the simulations.
     """
     rng = Random(seed)
     pairs: list[tuple[str, str]] = []
@@ -42,23 +42,23 @@
 
 
 def sample_singles(seed: int = 1) -> list[Cell]:
-    """Return few cells in which every fault and every step of each kind comes.
+    """Return a small sample that covers every fault and every step of each kind.
 
-    Faults and steps are shuffled and dealt to each other; the longer list is used up.
+    Faults and steps are shuffled and paired; the shorter list is repeated.
 
-    :param seed: of the choice, and of the runs.
+    :param seed: the seed of the selection and of the simulations.
     """
     rng = Random(seed)
-    places = [(kind, step) for kind in KINDS for step in list_steps(kind)]
+    positions = [(kind, step) for kind in KINDS for step in list_steps(kind)]
     faults = list(CELL_FAULTS)
-    rng.shuffle(places)
+    rng.shuffle(positions)
     rng.shuffle(faults)
     return [
         Cell(
             (faults[number % len(faults)],),
-            places[number % len(places)][1],
-            places[number % len(places)][0],
+            positions[number % len(positions)][1],
+            positions[number % len(positions)][0],
             seed,
         )
-        for number in range(max(len(places), len(faults)))
+        for number in range(max(len(positions), len(faults)))
     ]
--- a/savorychute/testing/matrix/probe.py
+++ b/savorychute/testing/matrix/probe.py
@@ -1,4 +1,4 @@
-"""Watches one call or command and acts when it reaches a step."""
+"""Monitors one call or command and acts when it reaches a step."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class Probe:
-    """Calls back once, the first time that its subject reaches its step.
+    """Calls a function once, when its subject first reaches its step.
 
-    :param heap: the run's time.
-    :param ledger: tells of runs at endpoints.
-    :param subject: the call's or command's id.
+    :param heap: the event heap of the simulation.
+    :param ledger: reports executions at endpoints.
+    :param subject: the id of the call or command.
     :param step: the step to wait for.
-    :param on_step: called then.
+    :param on_step: called when the step is reached.
     """
 
     def __init__(
@@ -41,20 +41,20 @@
         self.has_fired = False
         self._heap = heap
         self._on_step = on_step
-        self._is_under_way = False
-        ledger.on_execution = self._note_execution
+        self._is_in_progress = False
+        ledger.on_execution = self._record_execution
 
     def reached(self, step: str, subject: str, instance: str) -> None:
-        """Take in that something got so far.
+        """Handle that a subject reached a step.
 
-        A start notice or an append does not say whose it is; it counts if the
-        subject is under way.
+        A start notice or an append does not state its subject; it counts if the
+        subject of the probe is in progress.
         """
         if subject == self.subject:
-            self._is_under_way = True
+            self._is_in_progress = True
             if instance:
                 self.instance = instance
-        elif not subject.startswith('*') or not self._is_under_way:
+        elif not subject.startswith('*') or not self._is_in_progress:
             return
         if step == steps.RECEIVED and self.step == steps.QUEUED:
             self._heap.call_later(QUEUED_AFTER_MS, self._fire)
@@ -63,12 +63,12 @@
         elif step == self.step:
             self._heap.call_later(0, self._fire)
 
-    def note_endpoint(self, subject: str, endpoint: str) -> None:
-        """Remember where the subject runs."""
+    def record_endpoint(self, subject: str, endpoint: str) -> None:
+        """Record the endpoint that runs the subject."""
         if subject == self.subject:
             self.endpoint = endpoint
 
-    def _note_execution(self, execution: Execution) -> None:
+    def _record_execution(self, execution: Execution) -> None:
         if execution.marker == self.subject:
             self.reached(steps.ACCEPTED, self.subject, '')
 
--- a/savorychute/testing/matrix/steps.py
+++ b/savorychute/testing/matrix/steps.py
@@ -1,4 +1,4 @@
-"""The steps of a request's and of an amendment's life, seen from outside."""
+"""The externally visible steps of requests and amendments."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     ANSWERED,
 )
 
-#: Only a request with a key goes through these.
+#: Only requests with a key have these steps.
 KEY_STEPS = frozenset((KEYED, ANNOUNCED))
 
 COMMANDED = 'commanded'
--- a/savorychute/testing/measures.py
+++ b/savorychute/testing/measures.py
@@ -1,4 +1,4 @@
-"""The figures of a finished run."""
+"""Figures of a finished run."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from savorychute.testing.engine_host import EngineHost
-from savorychute.testing.promises import find_breaches
+from savorychute.testing.invariants import find_violations
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
     from savorychute.testing.call import Call
-    from savorychute.testing.promises import Breach
-    from savorychute.testing.world import World
+    from savorychute.testing.invariants import Violation
+    from savorychute.testing.simulation import Simulation
 
 MS_PER_S = 1_000.0
 
 
 class ClassFigures(NamedTuple):
-    """One class: its calls and how they went; times are seen by callers."""
+    """The figures of one class, with times as measured by callers."""
 
     name: str
     tier: int
@@ -39,11 +39,11 @@
 
 
 class RunFigures(NamedTuple):
-    """One run; ``goodput`` is answered weight per second of load.
+    """The figures of one run; ``goodput`` is answered weight per second of load.
 
-    ``wasted_share`` is the part of the generated tokens that no caller got as
-    part of a whole answer.  ``jain_index`` compares organisations by the share of
-    their calls that was answered.
+    ``wasted_share`` is the share of the generated tokens that no caller received
+    as part of a complete answer.  ``jain_index`` is the fairness between
+    organisations, by the share of their calls that was answered.
     """
 
     scenario: str
@@ -63,60 +63,69 @@
     engine_crashes: int
     peer_messages: int
     classes: tuple[ClassFigures, ...]
-    breaches: tuple[Breach, ...]
+    breaches: tuple[Violation, ...]
 
 
-def measure_run(world: World, scenario: str, policy: str, load_ms: float) -> RunFigures:
+def measure_run(
+    simulation: Simulation, scenario: str, policy: str, load_ms: float
+) -> RunFigures:
     """Return the figures of a run.
 
-    Poison calls count for nothing but the crashes that they cause.
+    Poison calls only count in the number of crashes.
 
-    :param load_ms: for how long there was load.
+    :param load_ms: the duration of the load.
     """
     calls = [
-        call for call in world.callers.calls if call.call_id not in world.poison_calls
+        call
+        for call in simulation.callers.calls
+        if call.call_id not in simulation.poison_calls
     ]
-    whole = [call for call in calls if call.is_whole]
-    weight = sum(call.call_class.weight for call in whole)
+    answered_calls = [call for call in calls if call.is_complete]
+    weight = sum(call.call_class.weight for call in answered_calls)
     engines = [
-        host.engine for host in world.endpoints.values() if isinstance(host, EngineHost)
+        host.engine
+        for host in simulation.endpoints.values()
+        if isinstance(host, EngineHost)
     ]
     generated = sum(engine.generated_tokens for engine in engines)
-    useful = sum(call.answer_tokens for call in whole)
-    top = min(each.tier for each in world.topology.classes)
+    useful = sum(call.answer_tokens for call in answered_calls)
+    top_tier = min(each.tier for each in simulation.topology.classes)
     return RunFigures(
         scenario=scenario,
-        system=world.topology.name,
+        system=simulation.topology.name,
         policy=policy,
-        seed=world.seed,
+        seed=simulation.seed,
         calls=len(calls),
-        answered=len(whole),
+        answered=len(answered_calls),
         attainment=share_attained(calls),
         top_tier_attainment=share_attained(
-            [call for call in calls if call.call_class.tier == top]
+            [call for call in calls if call.call_class.tier == top_tier]
         ),
         goodput=weight / (load_ms / MS_PER_S),
         wasted_share=(generated - useful) / generated if generated else 0.0,
         generated_tokens=generated,
-        attempts_per_call=world.attempts / len(calls) if calls else 0.0,
-        failovers=world.callers.failovers,
+        attempts_per_call=simulation.attempts / len(calls) if calls else 0.0,
+        failovers=simulation.callers.failovers,
         jain_index=_jain_index(calls),
         engine_crashes=sum(each.crashes + each.poison_crashes for each in engines),
-        peer_messages=world.network.peer_messages,
-        classes=tuple(_measure_class(world, name, calls) for name in _names(world)),
-        breaches=tuple(find_breaches(world)),
+        peer_messages=simulation.network.peer_messages,
+        classes=tuple(
+            _measure_class(simulation, name, calls)
+            for name in _list_class_names(simulation)
+        ),
+        breaches=tuple(find_violations(simulation)),
     )
 
 
 def share_attained(calls: Sequence[Call]) -> float:
-    """Return the share of the calls that met their targets; 1 of none."""
+    """Return the share of the calls that met their targets; 1 without calls."""
     if not calls:
         return 1.0
     return sum(call.has_attained for call in calls) / len(calls)
 
 
 def percentile(values: Sequence[float], percent: int) -> float:
-    """Return the nearest-rank percentile; 0 of none."""
+    """Return the nearest-rank percentile; 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -124,29 +133,31 @@
     return round(ordered[max(0, rank - 1)], 2)
 
 
-def _names(world: World) -> list[str]:
-    ordered = sorted(world.topology.classes, key=lambda each: each.tier)
+def _list_class_names(simulation: Simulation) -> list[str]:
+    ordered = sorted(simulation.topology.classes, key=lambda each: each.tier)
     return [each.name for each in ordered]
 
 
-def _measure_class(world: World, name: str, calls: Sequence[Call]) -> ClassFigures:
-    mine = [call for call in calls if call.call_class.name == name]
-    whole = [call for call in mine if call.is_whole]
+def _measure_class(
+    simulation: Simulation, name: str, calls: Sequence[Call]
+) -> ClassFigures:
+    class_calls = [call for call in calls if call.call_class.name == name]
+    answered_calls = [call for call in class_calls if call.is_complete]
     waits = [
-        call.first_token_ms - call.begun_ms
-        for call in mine
+        call.first_token_ms - call.started_ms
+        for call in class_calls
         if call.first_token_ms is not None
     ]
-    gaps = [call.mean_gap_ms for call in whole if call.answer_tokens > 1]
-    endings = Counter(call.code.name if call.code else 'NONE' for call in mine)
-    tier = next(each.tier for each in world.topology.classes if each.name == name)
+    gaps = [call.mean_gap_ms for call in answered_calls if call.answer_tokens > 1]
+    endings = Counter(call.code.name if call.code else 'NONE' for call in class_calls)
+    tier = next(each.tier for each in simulation.topology.classes if each.name == name)
     return ClassFigures(
         name=name,
         tier=tier,
-        calls=len(mine),
-        attainment=share_attained(mine),
-        answered=len(whole),
-        refused=len(mine) - len(whole),
+        calls=len(class_calls),
+        attainment=share_attained(class_calls),
+        answered=len(answered_calls),
+        refused=len(class_calls) - len(answered_calls),
         first_token_p50_ms=percentile(waits, 50),
         first_token_p95_ms=percentile(waits, 95),
         first_token_p99_ms=percentile(waits, 99),
@@ -159,12 +170,14 @@
 
 
 def _jain_index(calls: Sequence[Call]) -> float:
-    """Return Jain's fairness index over the organisations' answered shares.
+    """Return Jain's fairness index of the answered shares of the organisations.
 
     Jain, Chiu and Hawe, A quantitative measure of fairness, 1984.
     """
-    asked: Counter[str] = Counter(call.organisation for call in calls)
-    whole: Counter[str] = Counter(call.organisation for call in calls if call.is_whole)
-    shares = [whole[name] / count for name, count in sorted(asked.items())]
+    requested: Counter[str] = Counter(call.organisation for call in calls)
+    answered_calls: Counter[str] = Counter(
+        call.organisation for call in calls if call.is_complete
+    )
+    shares = [answered_calls[name] / count for name, count in sorted(requested.items())]
     squares = sum(share * share for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 0.0
--- a/savorychute/testing/network.py
+++ b/savorychute/testing/network.py
@@ -1,4 +1,4 @@
-"""Delays, cuts and the unreliable messages of a virtual run."""
+"""Simulated network: delays, partitions and unreliable messages."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class PeerFaults(NamedTuple):
-    """What happens to messages between instances.
+    """Faults of the messages between instances.
 
-    Shares are chances for each message.  ``reorder_ms`` is the most that a
-    message is held back at random, ``delay_ms`` what is added to each.
+    Shares are probabilities for each message.  ``reorder_ms`` is the maximum of
+    a random delay, ``delay_ms`` a constant delay of each message.
     """
 
     loss_share: float = 0.0
@@ -33,10 +33,10 @@
 
 
 class Network:
-    """Says when, and whether, something sent arrives.
+    """Decides whether and when sent data arrives.
 
-    :param settings: delays.
-    :param rng: decides the fate of each message.
+    :param settings: the delays.
+    :param rng: decides on loss, duplication and delay of each message.
     """
 
     def __init__(self, settings: NetworkSettings, rng: Random) -> None:
@@ -44,7 +44,7 @@
         self.peer_faults = NO_PEER_FAULTS
         self.peer_messages = 0
         self.cancel_delay_ms = 0.0
-        self.was_cut = False
+        self.was_partitioned = False
         self._rng = rng
         self._cuts: set[tuple[str, str]] = set()
 
@@ -55,25 +55,25 @@
         return self.settings.domain_ms
 
     def cut(self, source: str, target: str) -> None:
-        """Let nothing pass from one failure domain to another."""
-        self.was_cut = True
+        """Block traffic from one failure domain to another."""
+        self.was_partitioned = True
         self._cuts.add((source, target))
 
     def heal(self) -> None:
-        """End all cuts."""
+        """End all partitions."""
         self._cuts.clear()
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Return whether nothing passes in this direction."""
+        """Return whether traffic in this direction is blocked."""
         return (source, target) in self._cuts
 
     def is_reachable(self, source: str, target: str) -> bool:
-        """Return whether a connection can be made: both directions pass."""
+        """Return whether a connection is possible, which needs both directions."""
         cuts = self._cuts
         return (source, target) not in cuts and (target, source) not in cuts
 
     def peer_delays(self, source: str, target: str) -> list[float]:
-        """Return the delay of each copy of a message that arrives."""
+        """Return the delay of each delivered copy of a message."""
         self.peer_messages += 1
         if self.is_cut(source, target):
             return []
--- a/savorychute/testing/order_gate.py
+++ b/savorychute/testing/order_handler.py
@@ -1,4 +1,4 @@
-"""How a stand-in engine takes orders."""
+"""Handling of orders by a stand-in engine."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     expected_state: str = ''
 
 
-class OrderGate:
-    """The models and the role of an engine, changed by orders.
+class OrderHandler:
+    """The models and the role of an engine, which orders change.
 
-    :param models: loaded at the start.
+    :param models: the models loaded at the start.
     :param checks_fencing: whether an old fencing number is refused.
-    :param store: where models come from; shared by all engines.
+    :param store: the source of models, shared by all engines.
     """
 
     def __init__(
@@ -42,15 +42,15 @@
         )
 
     def state(self, now_ms: float) -> str:
-        """Return what an order's ``expected_state`` is compared with.
+        """Return the state that an order's ``expected_state`` is compared with.
 
-        It is what a report shows, as :class:`savorychute.actions.SendOrder`
-        writes it; reports do not show the role.
+        It contains what a load report shows, in the format of
+        :class:`savorychute.actions.SendOrder`; reports do not include the role.
         """
         return ','.join(sorted(self.models(now_ms)))
 
-    def take(self, order: EngineOrder, now_ms: float) -> str:
-        """Carry out an order and return ``done``, ``fenced`` or ``refused``."""
+    def handle(self, order: EngineOrder, now_ms: float) -> str:
+        """Execute an order and return ``done``, ``fenced`` or ``refused``."""
         if order.fencing < self.highest_fencing:
             self.stale_orders += 1
             if self.checks_fencing:
--- a/savorychute/testing/plain_service.py
+++ b/savorychute/testing/plain_service.py
@@ -13,7 +13,7 @@
 
 
 class ServiceSettings(NamedTuple):
-    """How long a call takes and how many run at once."""
+    """Duration and concurrency of calls."""
 
     name: str = 'service'
     service_ms: float = 20.0
@@ -37,7 +37,7 @@
 
 
 class ServiceRefused(NamedTuple):
-    """The service did nothing with the call, and says so."""
+    """The service refused the call and states that it did not run."""
 
     attempt_id: str
     leaving: bool
@@ -52,7 +52,7 @@
 
 
 class ServiceBroken(NamedTuple):
-    """The call's connection breaks."""
+    """The connection of a call broke."""
 
     attempt_id: str
 
@@ -67,9 +67,9 @@
 
 
 class PlainService:
-    """Executes a call when it takes it up, and answers some time later.
+    """Executes a call when it starts it, and answers after ``service_ms``.
 
-    A call goes on when its caller is gone, as an ordinary service's does.
+    A call continues when its caller disconnects, as in an ordinary service.
     """
 
     def __init__(self, settings: ServiceSettings) -> None:
@@ -77,8 +77,8 @@
         self.is_up = True
         self.leaving = False
         self.refusing = False
-        self.silent = False
-        self.slowness = 1.0
+        self.unresponsive = False
+        self.slowdown = 1.0
         self.executions: dict[str, int] = {}
         self.bodies_executed: dict[bytes, int] = {}
         self._waiting: list[ServiceRequest] = []
@@ -86,26 +86,26 @@
         self._arrivals = 0
 
     def submit(self, request: ServiceRequest, now_ms: float) -> list[ServiceEvent]:
-        """Take up a call, or refuse it and do nothing.
+        """Accept a call, or refuse it without running it.
 
         :raises EndpointDownError: if the service is down.
         """
         if not self.is_up:
             raise EndpointDownError(f'{self.settings.name} is down')
         events = self.advance(now_ms)
-        full = len(self._waiting) >= self.settings.max_waiting
-        if self.leaving or self.refusing or full:
+        is_full = len(self._waiting) >= self.settings.max_waiting
+        if self.leaving or self.refusing or is_full:
             return [*events, ServiceRefused(request.attempt_id, self.leaving)]
         self._waiting.append(request)
-        if not self.silent:
+        if not self.unresponsive:
             events.append(ServiceAccepted(request.attempt_id))
             self._fill(now_ms)
         return events
 
     def advance(self, now_ms: float) -> list[ServiceEvent]:
-        """Bring the service up to *now_ms* and return what it answers."""
+        """Advance the service to *now_ms* and return its answers."""
         events: list[ServiceEvent] = []
-        while not self.silent and self._running and self._running[0][0] <= now_ms:
+        while not self.unresponsive and self._running and self._running[0][0] <= now_ms:
             done_ms, _, request = heapq.heappop(self._running)
             body = write_service_answer(request)
             events.append(ServiceAnswered(request.attempt_id, STATUS_OK, body))
@@ -113,15 +113,15 @@
         return events
 
     def next_event_ms(self) -> float | None:
-        """Return when the service has something to do next, if at all."""
-        if self.silent or not self._running:
+        """Return the time of the next event, or None."""
+        if self.unresponsive or not self._running:
             return None
         return self._running[0][0]
 
-    def set_silent(self, silent: bool, now_ms: float) -> list[ServiceEvent]:
-        """Accept calls without a word, or execute what has piled up."""
-        self.silent = silent
-        if silent:
+    def set_unresponsive(self, unresponsive: bool, now_ms: float) -> list[ServiceEvent]:
+        """Make the service unresponsive, or execute the calls received meanwhile."""
+        self.unresponsive = unresponsive
+        if unresponsive:
             return []
         events: list[ServiceEvent] = [
             ServiceAccepted(request.attempt_id) for request in self._waiting
@@ -130,7 +130,7 @@
         return events
 
     def crash(self, now_ms: float) -> list[ServiceEvent]:
-        """Go down: all connections break; what was executed stays executed."""
+        """Crash: all connections break, but executed calls stay executed."""
         events = self.advance(now_ms)
         requests = [*self._waiting, *(entry[2] for entry in self._running)]
         events += [ServiceBroken(request.attempt_id) for request in requests]
@@ -140,17 +140,17 @@
         return events
 
     def restart(self, now_ms: float) -> None:
-        """Come up again."""
+        """Restart after a crash."""
         del now_ms
         self.is_up = True
-        self.silent = False
+        self.unresponsive = False
 
     def _fill(self, now_ms: float) -> None:
         while self._waiting and len(self._running) < self.settings.max_running:
             request = self._waiting.pop(0)
             self._execute(request)
             self._arrivals += 1
-            done_ms = now_ms + self.settings.service_ms * self.slowness
+            done_ms = now_ms + self.settings.service_ms * self.slowdown
             heapq.heappush(self._running, (done_ms, self._arrivals, request))
 
     def _execute(self, request: ServiceRequest) -> None:
--- a/savorychute/testing/plot.py
+++ b/savorychute/testing/plot.py
@@ -1,4 +1,4 @@
-"""Plots of load runs and fleets, with the extra ``plot``."""
+"""Plots of load runs and fleets, which need the extra ``plot``."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 
 def plot_attainment(runs: Sequence[RunFigures], path: Path) -> None:
-    """Write a picture of the attainment by class, one group for each policy.
+    """Plot the attainment by class, one group of bars for each policy.
 
-    :param path: its suffix decides the format.
+    :param path: the output file; its suffix decides the format.
     :raises MissingExtraError: without the extra ``plot``.
     """
     axes, figure = _make_axes()
     names = [each.name for each in runs[0].classes]
     width = 0.8 / len(runs)
     for number, run in enumerate(runs):
-        places = [place + number * width for place in range(len(names))]
+        positions = [position + number * width for position in range(len(names))]
         heights = [each.attainment for each in run.classes]
-        axes.bar(places, heights, width, label=f'{run.policy}, seed {run.seed}')
+        axes.bar(positions, heights, width, label=f'{run.policy}, seed {run.seed}')
     axes.set_xticks(range(len(names)), names)
     axes.set_ylabel('attainment')
     axes.set_title(f'{runs[0].scenario}, {runs[0].system}')
@@ -45,21 +45,23 @@
 
 
 def plot_fleets(fleets: Mapping[str, ServerFleet], path: Path) -> None:
-    """Write a picture of endpoints by failure domain and kind, a group for each policy.
+    """Plot endpoints by failure domain and kind, one group of bars for each policy.
 
-    :param fleets: what each policy wants.
-    :param path: its suffix decides the format.
+    :param fleets: the fleet that each policy computes.
+    :param path: the output file; its suffix decides the format.
     :raises MissingExtraError: without the extra ``plot``.
     """
     axes, figure = _make_axes()
     width = 0.8 / len(fleets)
     for number, (policy, fleet) in enumerate(fleets.items()):
-        places = [place + number * width for place in range(len(fleet.domains))]
+        positions = [
+            position + number * width for position in range(len(fleet.domains))
+        ]
         lasting = [each.lasting for _, each in fleet.domains]
         reclaimable = [each.reclaimable for _, each in fleet.domains]
-        axes.bar(places, lasting, width, label=f'{policy}, lasting')
+        axes.bar(positions, lasting, width, label=f'{policy}, lasting')
         axes.bar(
-            places,
+            positions,
             reclaimable,
             width,
             lasting,
--- a/savorychute/testing/ports.py
+++ b/savorychute/testing/ports.py
@@ -1,4 +1,4 @@
-"""Ports for servers that tests start."""
+"""Ports for servers of tests."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from savorychute.testing.stand_in_http import LOOPBACK
 
-# Below the range from which the system takes ports for outgoing connections, and a
-# part of it for each process of a parallel run: a port that is free now must still be
-# free when a server that was down for a while comes back.
+# The ports are below the range that the system uses for outgoing connections, and each
+# process of a parallel run has its own part of them: a port that is free now must still
+# be free when a stopped server restarts.
 FIRST_PORT = 20_000
-PORTS_OF_PROCESS = 200
+PORTS_PER_PROCESS = 200
 PROCESSES = 60
-_ports = itertools.cycle(range(PORTS_OF_PROCESS))
+_ports = itertools.cycle(range(PORTS_PER_PROCESS))
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nothing listens on.
+    """Return ports that are not in use.
 
-    :param count: how many.
+    :param count: the number of ports.
     """
-    first = FIRST_PORT + os.getpid() % PROCESSES * PORTS_OF_PROCESS
+    first = FIRST_PORT + os.getpid() % PROCESSES * PORTS_PER_PROCESS
     ports: list[int] = []
     while len(ports) < count:
         port = first + next(_ports)
--- a/savorychute/testing/prefix_cache.py
+++ b/savorychute/testing/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A stand-in engine's prefix cache, with late events and gaps."""
+"""The prefix cache of a stand-in engine, with delayed and lost events."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CacheEvent(NamedTuple):
-    """A block came into the cache or left it."""
+    """A block was added to the cache or evicted from it."""
 
     sequence: int
     at_ms: float
@@ -21,8 +21,8 @@
     evicted: bool
 
 
-class CacheNews(NamedTuple):
-    """The events since a cursor that are published by now."""
+class CacheUpdates(NamedTuple):
+    """The published events after a cursor."""
 
     sequence: int
     cached: tuple[int, ...]
@@ -31,7 +31,7 @@
 
 
 class PrefixCache:
-    """Blocks in least-recently-used order, and the events about them."""
+    """A cache of blocks with least-recently-used eviction, and its events."""
 
     def __init__(self, settings: EngineSettings, rng: Random) -> None:
         self._settings = settings
@@ -41,7 +41,7 @@
         self._sequence = 0
 
     def match(self, blocks: Sequence[int]) -> int:
-        """Return how many leading blocks are cached, and mark them used."""
+        """Return the number of cached leading blocks, and mark them as used."""
         for count, block in enumerate(blocks):
             if block not in self._blocks:
                 return count
@@ -49,26 +49,26 @@
         return len(blocks)
 
     def store(self, blocks: Sequence[int], now_ms: float) -> None:
-        """Put blocks in, evicting what was used longest ago."""
+        """Add blocks and evict the least recently used ones."""
         for block in blocks:
             if block not in self._blocks:
-                self._note(block, False, now_ms)
+                self._record_event(block, False, now_ms)
             self._blocks[block] = None
             self._blocks.move_to_end(block)
         while len(self._blocks) > self._settings.cache_blocks:
             block, _ = self._blocks.popitem(last=False)
-            self._note(block, True, now_ms)
+            self._record_event(block, True, now_ms)
 
     def clear(self) -> None:
-        """Forget everything, as a crash does."""
+        """Remove all blocks and events, as a crash does."""
         self._blocks.clear()
         self._events.clear()
         self._sequence += 1
 
-    def read(self, cursor: int, now_ms: float) -> CacheNews:
-        """Return what was published after *cursor*.
+    def read(self, cursor: int, now_ms: float) -> CacheUpdates:
+        """Return the events published after *cursor*.
 
-        :param cursor: a sequence number of an earlier answer, or 0.
+        :param cursor: the sequence number of an earlier result, or 0.
         """
         published_ms = now_ms - self._settings.cache_lag_ms
         expected = cursor + 1
@@ -85,9 +85,9 @@
             expected = event.sequence + 1
             newest = event.sequence
             (evicted if event.evicted else cached).append(event.block)
-        return CacheNews(newest, tuple(cached), tuple(evicted), gap)
+        return CacheUpdates(newest, tuple(cached), tuple(evicted), gap)
 
-    def _note(self, block: int, evicted: bool, now_ms: float) -> None:
+    def _record_event(self, block: int, evicted: bool, now_ms: float) -> None:
         self._sequence += 1
         share = self._settings.cache_gap_share
         if share and self._rng.random() < share:
--- a/savorychute/testing/profiles.py
+++ b/savorychute/testing/profiles.py
@@ -1,4 +1,4 @@
-"""The two users' systems as they are today, and a small one for fault runs."""
+"""Profiles of the two production systems, and a small one for fault tests."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 ENGINE_PORT = 7_000
 SERVICE_PORT = 7_500
 RATE_HEADROOM = 3.0
-SHARE_IN_USE = 0.96
+ALLOCATED_SHARE = 0.96
 SMALL_SETTLE_MS = 1_500.0
 
 
 class Sizes(NamedTuple):
-    """What differs between the systems."""
+    """The parameters in which the systems differ."""
 
     name: str
     region: str
@@ -51,7 +51,7 @@
 
 
 def build_topology(sizes: Sizes, classes: tuple[CallClass, ...]) -> Topology:
-    """Return a system: endpoints and instances spread over the domains."""
+    """Return a system whose endpoints and instances are distributed over domains."""
     total = sum(sizes.organisation_weights)
     organisations = tuple(
         OrganisationShare(f'{sizes.name}-{number:02d}', weight / total)
@@ -60,7 +60,7 @@
     return Topology(
         name=sizes.name,
         region=sizes.region,
-        instance_domains=tuple(_spread(sizes.domains, sizes.instances)),
+        instance_domains=tuple(_distribute(sizes.domains, sizes.instances)),
         engines=tuple(_build_engines(sizes)),
         services=tuple(_build_services(sizes)),
         organisations=organisations,
@@ -75,13 +75,13 @@
     )
 
 
-def _spread(domains: tuple[str, ...], count: int) -> list[str]:
+def _distribute(domains: tuple[str, ...], count: int) -> list[str]:
     return [domains[number % len(domains)] for number in range(count)]
 
 
 def _build_engines(sizes: Sizes) -> list[EngineSpec]:
     specs = []
-    for number, domain in enumerate(_spread(sizes.domains, sizes.engines), 1):
+    for number, domain in enumerate(_distribute(sizes.domains, sizes.engines), 1):
         name = f'engine-{number}'
         settings = EngineSettings(name=name, step_ms=sizes.step_ms)
         document: EndpointDocument = {
@@ -102,7 +102,7 @@
 
 def _build_services(sizes: Sizes) -> list[ServiceSpec]:
     specs = []
-    for number, domain in enumerate(_spread(sizes.domains, sizes.services), 1):
+    for number, domain in enumerate(_distribute(sizes.domains, sizes.services), 1):
         name = f'{sizes.service_name}-{number}'
         settings = ServiceSettings(name=name)
         document: EndpointDocument = {
@@ -123,15 +123,15 @@
 def _build_contract(
     sizes: Sizes, organisation: OrganisationShare, classes: tuple[CallClass, ...]
 ) -> ContractDocument:
-    """Return a contract that permits several times the organisation's usual rate.
+    """Return a contract that permits ``RATE_HEADROOM`` times the usual rate.
 
-    The pool, not the contract, is what runs out in these runs.
+    In these simulations the pool is the limiting resource, not the contract.
     """
     rate = sizes.requests_per_s * organisation.share * RATE_HEADROOM
     return {
         'organisation': organisation.name,
         'token_hashes': [hash_organisation_token(organisation.name)],
-        'pool_share': round(organisation.share * SHARE_IN_USE, 6),
+        'pool_share': round(organisation.share * ALLOCATED_SHARE, 6),
         'requests_per_s': round(rate, 3) + 5.0,
         'concurrent_requests': int(rate * 10) + 50,
         'tokens_per_s': round(rate * 600) + 10_000.0,
@@ -142,9 +142,9 @@
 
 
 def build_class(call_class: CallClass) -> ClassDocument:
-    """Return a class as a contract writes it.
+    """Return a class in the form of a contract document.
 
-    :param call_class: as its callers see it.
+    :param call_class: the class as callers see it.
     """
     return {
         'name': call_class.name,
@@ -251,12 +251,12 @@
     ),
 )
 
-LARGE_AND_SMALL = (24.0, 18.0, 12.0, 4.0, 3.0, 3.0, 2.0, 2.0, 1.0, 1.0)
+ORGANISATION_WEIGHTS = (24.0, 18.0, 12.0, 4.0, 3.0, 3.0, 2.0, 2.0, 1.0, 1.0)
 
 
 @PROFILES.register('malanadu')
 def build_malanadu() -> Topology:
-    """Return the pump service consortium's system."""
+    """Return the system of the pump service consortium."""
     sizes = Sizes(
         name='malanadu',
         region='kerala',
@@ -269,14 +269,14 @@
         client_ms=1.0,
         step_ms=5.0,
         requests_per_s=160.0,
-        organisation_weights=LARGE_AND_SMALL,
+        organisation_weights=ORGANISATION_WEIGHTS,
     )
     return build_topology(sizes, MALANADU_CLASSES)
 
 
 @PROFILES.register('hooghly')
 def build_hooghly() -> Topology:
-    """Return the ledger firm's system."""
+    """Return the system of the ledger firm."""
     sizes = Sizes(
         name='hooghly',
         region='east-bengal',
@@ -289,7 +289,7 @@
         client_ms=3.0,
         step_ms=3.0,
         requests_per_s=140.0,
-        organisation_weights=LARGE_AND_SMALL,
+        organisation_weights=ORGANISATION_WEIGHTS,
     )
     return build_topology(sizes, HOOGHLY_CLASSES)
 
--- a/savorychute/testing/refusal.py
+++ b/savorychute/testing/refusal.py
@@ -1,4 +1,4 @@
-"""Why a try of a call gave no whole answer."""
+"""The reason why an attempt of a call gave no complete answer."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class Refusal(NamedTuple):
-    """What the caller was told; ``is_cut`` says that an answer broke off."""
+    """A failed attempt; ``is_interrupted`` means that its answer had started."""
 
     code: ResultCode
     ran: Ran
     retry_after_ms: float = 0.0
     location: str = ''
-    is_cut: bool = False
+    is_interrupted: bool = False
 
 
-#: The connection broke; nobody told anything.
-BROKEN = Refusal(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, is_cut=True)
+#: The connection broke without a reported outcome.
+BROKEN = Refusal(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, is_interrupted=True)
 
-#: No instance took the call.
-UNREADY = Refusal(ResultCode.NOT_READY, Ran.NOT_RUN)
+#: No instance accepted the call.
+NOT_READY = Refusal(ResultCode.NOT_READY, Ran.NOT_RUN)
--- a/savorychute/testing/report.py
+++ b/savorychute/testing/report.py
@@ -1,4 +1,4 @@
-"""Tables and documents of load runs."""
+"""Tables and JSON documents of load runs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
     from savorychute.testing.measures import RunFigures
 
-SHOWN_DIGITS = 4
+ROUND_DIGITS = 4
 
 
 def describe_run(figures: RunFigures) -> dict[str, Any]:
@@ -27,7 +27,7 @@
             'class': each.name,
             'tier': each.tier,
             'calls': each.calls,
-            'attainment': round(each.attainment, SHOWN_DIGITS),
+            'attainment': round(each.attainment, ROUND_DIGITS),
             'answered': each.answered,
             'refused': each.refused,
             'first ms p50/95/99': _join(
@@ -53,12 +53,12 @@
             'policy': run.policy,
             'seed': run.seed,
             'calls': run.calls,
-            'attainment': round(run.attainment, SHOWN_DIGITS),
-            'top tier': round(run.top_tier_attainment, SHOWN_DIGITS),
+            'attainment': round(run.attainment, ROUND_DIGITS),
+            'top tier': round(run.top_tier_attainment, ROUND_DIGITS),
             'goodput': round(run.goodput, 1),
-            'wasted': round(run.wasted_share, SHOWN_DIGITS + 1),
+            'wasted': round(run.wasted_share, ROUND_DIGITS + 1),
             'attempts/call': round(run.attempts_per_call, 3),
-            'Jain': round(run.jain_index, SHOWN_DIGITS),
+            'Jain': round(run.jain_index, ROUND_DIGITS),
             'breaches': len(run.breaches),
         }
         for run in runs
--- a/savorychute/testing/scenario.py
+++ b/savorychute/testing/scenario.py
@@ -1,4 +1,4 @@
-"""The scenario language: what a file says."""
+"""The structure of scenario files."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 class LoadSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Background load.
 
-    ``capacity_share`` states the rate as a part of what the engines can carry.
-    ``factors`` multiply the rates of classes, by name.
+    ``capacity_share`` states the rate as a share of the capacity of the engines.
+    ``factors`` multiplies the rates of classes, by name.
     """
 
     duration_ms: float = 20_000.0
@@ -23,10 +23,10 @@
 class Expectation(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True
 ):
-    """Something that must hold at the end.
+    """A condition that must hold at the end.
 
-    Either ``promise`` names one, or ``all``; or ``measure`` names a figure of
-    the run, or with ``class`` one of that class, with its bounds.
+    Either ``promise`` names an invariant, or is ``all``; or ``measure`` names a
+    figure of the run, or of a class with ``class``, with its bounds.
     """
 
     promise: str = ''
@@ -37,9 +37,10 @@
 
 
 class Scenario(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One file.
+    """A scenario file.
 
-    ``systems`` are profiles that it is meant for.  Times of ``at`` count from the beginning of the load.
+    ``systems`` names the profiles that the scenario applies to.  The times of
+    ``at`` are relative to the start of the load.
     """
 
     name: str
--- a/savorychute/testing/scenario_file.py
+++ b/savorychute/testing/scenario_file.py
@@ -1,4 +1,4 @@
-"""Reading of scenario files."""
+"""Reading and validation of scenario files."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from savorychute.errors import ScenarioError, UnknownVariantError
 from savorychute.settings.line_index import index_lines
 from savorychute.testing.faults import FAULTS
+from savorychute.testing.invariants import INVARIANTS
 from savorychute.testing.measures import ClassFigures, RunFigures
 from savorychute.testing.profiles import PROFILES
-from savorychute.testing.promises import PROMISES
 from savorychute.testing.scenario import Scenario
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
     from savorychute.settings.line_index import Path as ValuePath
     from savorychute.testing.scenario import Expectation
 
-ALL_PROMISES = 'all'
+ALL_INVARIANTS = 'all'
 SUFFIX = '.jsonc'
 BUNDLED = 'savorychute.testing.scenarios'
 PATH_IN_MESSAGE = re.compile(r'`(\$[^`]*)`')
@@ -33,9 +33,9 @@
 
 
 def read_scenario(path: Path) -> Scenario:
-    """Return the scenario in a file.
+    """Return the scenario of a file.
 
-    :raises ScenarioError: with file, line and what is wrong, one line each.
+    :raises ScenarioError: with file, line and error, one line for each error.
     """
     try:
         text = path.read_text('utf-8')
@@ -45,9 +45,9 @@
 
 
 def read_bundled(name: str) -> Scenario:
-    """Return a scenario that comes with the package.
+    """Return a scenario of the package.
 
-    :raises ScenarioError: if there is none of that name.
+    :raises ScenarioError: if there is no scenario of that name.
     """
     found = resources.files(BUNDLED).joinpath(f'{name}{SUFFIX}')
     if not found.is_file():
@@ -57,17 +57,17 @@
 
 
 def list_bundled() -> list[str]:
-    """Return the names of the scenarios that come with the package."""
+    """Return the names of the scenarios of the package."""
     names = [entry.name for entry in resources.files(BUNDLED).iterdir()]
     return sorted(name.removesuffix(SUFFIX) for name in names if name.endswith(SUFFIX))
 
 
 def parse_scenario(text: str, name: str) -> Scenario:
-    """Return the scenario in a text.
+    """Return the scenario of a text.
 
     :param text: JSON with comments.
-    :param name: the file's name for messages.
-    :raises ScenarioError: with file, line and what is wrong, one line each.
+    :param name: the name of the file, for messages.
+    :raises ScenarioError: with file, line and error, one line for each error.
     """
     try:
         document = json5.loads(text, allow_duplicate_keys=False)
@@ -79,17 +79,17 @@
     except msgspec.ValidationError as error:
         line = _find_line(str(error), index)
         raise ScenarioError(f'{name}:{line}: {error}') from error
-    faults = [
+    errors = [
         f'{name}:{index.lines.get(path, 1)}: {text}'
-        for path, text in _find_faults(scenario)
+        for path, text in _find_errors(scenario)
     ]
-    if faults:
-        raise ScenarioError('\n'.join(faults))
+    if errors:
+        raise ScenarioError('\n'.join(errors))
     return scenario
 
 
 def _find_line(message: str, index: LineIndex) -> int:
-    """Return the line of the value that a message is about."""
+    """Return the line of the value that a message refers to."""
     found = PATH_IN_MESSAGE.search(message)
     steps = PATH_STEP.findall(found.group(1)) if found else []
     path: ValuePath = tuple(name if name else int(number) for name, number in steps)
@@ -98,30 +98,36 @@
     return index.lines.get(path, 1)
 
 
-def _find_faults(scenario: Scenario) -> Iterator[tuple[ValuePath, str]]:
+def _find_errors(scenario: Scenario) -> Iterator[tuple[ValuePath, str]]:
     for number, system in enumerate(scenario.systems):
         if system not in PROFILES:
-            yield ('systems', number), _unknown('system', system, tuple(PROFILES))
+            yield (
+                ('systems', number),
+                _describe_unknown('system', system, tuple(PROFILES)),
+            )
     for number, step in enumerate(scenario.at):
         if step.do not in FAULTS:
-            yield ('at', number, 'do'), _unknown('fault', step.do, tuple(FAULTS))
+            yield (
+                ('at', number, 'do'),
+                _describe_unknown('fault', step.do, tuple(FAULTS)),
+            )
     for number, expectation in enumerate(scenario.expect):
-        for fault in _check_expectation(expectation):
-            yield ('expect', number), fault
+        for error_text in _check_expectation(expectation):
+            yield ('expect', number), error_text
 
 
 def _check_expectation(expectation: Expectation) -> Iterator[str]:
     if bool(expectation.promise) == bool(expectation.measure):
         yield 'an expectation has either a promise or a measure'
     promise = expectation.promise
-    if promise and promise != ALL_PROMISES and promise not in PROMISES:
-        yield _unknown('promise', promise, tuple(PROMISES))
+    if promise and promise != ALL_INVARIANTS and promise not in INVARIANTS:
+        yield _describe_unknown('promise', promise, tuple(INVARIANTS))
     fields = ClassFigures._fields if expectation.class_name else RunFigures._fields
     if expectation.measure and expectation.measure not in fields:
-        yield _unknown('measure', expectation.measure, fields)
+        yield _describe_unknown('measure', expectation.measure, fields)
     if expectation.measure and expectation.at_least is expectation.at_most is None:
         yield 'a measure needs "at_least" or "at_most"'
 
 
-def _unknown(kind: str, name: str, known: tuple[str, ...]) -> str:
+def _describe_unknown(kind: str, name: str, known: tuple[str, ...]) -> str:
     return UnknownVariantError(kind, name, known).message
--- a/savorychute/testing/scenario_run.py
+++ b/savorychute/testing/scenario_run.py
@@ -1,17 +1,17 @@
-"""Running a scenario."""
+"""Execution of scenarios."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, NamedTuple
 
 from savorychute.testing.capacity import estimate_requests_per_s
-from savorychute.testing.drive import make_world
-from savorychute.testing.faults import FAULTS, Stage
+from savorychute.testing.faults import FAULTS, FaultContext
 from savorychute.testing.faults.registry import find_class
 from savorychute.testing.measures import measure_run
 from savorychute.testing.policies import DEFAULT_POLICY, POLICIES
 from savorychute.testing.profiles import PROFILES
-from savorychute.testing.scenario_file import ALL_PROMISES
+from savorychute.testing.scenario_file import ALL_INVARIANTS
+from savorychute.testing.simulation_factory import make_simulation
 from savorychute.testing.workload import Workload
 
 if TYPE_CHECKING:
@@ -20,13 +20,13 @@
     from savorychute.testing.faults import FaultStep
     from savorychute.testing.measures import RunFigures
     from savorychute.testing.scenario import Expectation, LoadSpec, Scenario
-    from savorychute.testing.world import World
+    from savorychute.testing.simulation import Simulation
 
 IDLE_STEP_MS = 500.0
 
 
 class ScenarioResult(NamedTuple):
-    """The figures of a run and which expectations did not hold."""
+    """The figures of a run and the expectations that did not hold."""
 
     figures: RunFigures
     failures: tuple[str, ...]
@@ -40,24 +40,26 @@
 ) -> ScenarioResult:
     """Run a scenario on one system.
 
-    :param system: a profile; the scenario's first if empty.
-    :param seed: the scenario's own if None.
-    :param policy: a name of :data:`POLICIES`.
+    :param system: the profile; by default the first one of the scenario.
+    :param seed: the seed; by default that of the scenario.
+    :param policy: a name in :data:`POLICIES`.
     """
     topology = PROFILES.get(system or scenario.systems[0])()
     chosen = scenario.seed if seed is None else seed
-    world = make_world(topology, chosen, POLICIES.get(policy))
-    world.configure()
-    stage = Stage(world, Workload(world, world.make_rng('load')))
-    plan_load(stage, scenario.load)
-    begin_ms = world.heap.now_ms
+    simulation = make_simulation(topology, chosen, POLICIES.get(policy))
+    simulation.configure()
+    context = FaultContext(
+        simulation, Workload(simulation, simulation.make_rng('load'))
+    )
+    plan_load(context, scenario.load)
+    start_ms = simulation.heap.now_ms
     for step in scenario.at:
-        world.heap.call_at(begin_ms + step.ms, _do, stage, step)
+        simulation.heap.call_at(start_ms + step.ms, _apply_step, context, step)
     last_ms = max((step.ms + step.for_ms for step in scenario.at), default=0.0)
-    world.run_for(max(scenario.load.duration_ms, last_ms))
-    run_until_idle(world, scenario.most_ms)
+    simulation.run_for(max(scenario.load.duration_ms, last_ms))
+    run_until_idle(simulation, scenario.most_ms)
     load_ms = scenario.load.duration_ms
-    figures = measure_run(world, scenario.name, policy, load_ms)
+    figures = measure_run(simulation, scenario.name, policy, load_ms)
     failures = [
         failure
         for expectation in scenario.expect
@@ -66,9 +68,9 @@
     return ScenarioResult(figures, tuple(failures))
 
 
-def plan_load(stage: Stage, load: LoadSpec) -> None:
-    """Plan the background load."""
-    topology = stage.world.topology
+def plan_load(context: FaultContext, load: LoadSpec) -> None:
+    """Schedule the background load."""
+    topology = context.simulation.topology
     total_per_s = load.requests_per_s
     if load.capacity_share:
         total_per_s = load.capacity_share * estimate_requests_per_s(topology)
@@ -76,12 +78,12 @@
     factors = {
         find_class(topology, name).name: factor for name, factor in load.factors.items()
     }
-    begin_ms = stage.world.heap.now_ms
+    start_ms = context.simulation.heap.now_ms
     for each in topology.classes:
         rate = total_per_s * each.demand / demand * factors.get(each.name, 1.0)
-        stage.world.class_rates[each.name] = rate
-        stage.workload.run_class(
-            each, begin_ms, begin_ms + load.duration_ms, _constant(rate)
+        context.simulation.class_rates[each.name] = rate
+        context.workload.run_class(
+            each, start_ms, start_ms + load.duration_ms, _constant(rate)
         )
 
 
@@ -89,23 +91,23 @@
     return lambda _: rate_per_s
 
 
-def run_until_idle(world: World, most_ms: float) -> None:
-    """Let time pass until every call is over, or for at most *most_ms*."""
-    end_ms = world.heap.now_ms + most_ms
-    while world.heap.now_ms < end_ms:
-        if all(call.is_over for call in world.callers.calls):
+def run_until_idle(simulation: Simulation, max_ms: float) -> None:
+    """Advance time until every call is finished, for at most *max_ms*."""
+    end_ms = simulation.heap.now_ms + max_ms
+    while simulation.heap.now_ms < end_ms:
+        if all(call.is_finished for call in simulation.callers.calls):
             break
-        world.run_for(IDLE_STEP_MS)
-    world.run_for(IDLE_STEP_MS)
+        simulation.run_for(IDLE_STEP_MS)
+    simulation.run_for(IDLE_STEP_MS)
 
 
 def find_failures(figures: RunFigures, expectation: Expectation) -> list[str]:
-    """Return why an expectation does not hold; nothing if it does."""
+    """Return the reasons why an expectation does not hold, if any."""
     if expectation.promise:
         return [
-            f'{breach.promise}: {breach.text}'
-            for breach in figures.breaches
-            if expectation.promise in (ALL_PROMISES, breach.promise)
+            f'{violation.promise}: {violation.text}'
+            for violation in figures.breaches
+            if expectation.promise in (ALL_INVARIANTS, violation.promise)
         ]
     value = _find_value(figures, expectation)
     name = f'{expectation.class_name} {expectation.measure}'.strip()
@@ -126,5 +128,5 @@
     return 0.0
 
 
-def _do(stage: Stage, step: FaultStep) -> None:
-    FAULTS.get(step.do)(stage, step)
+def _apply_step(context: FaultContext, step: FaultStep) -> None:
+    FAULTS.get(step.do)(context, step)
--- a/savorychute/testing/scenarios/__init__.py
+++ b/savorychute/testing/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios that come with the package."""
+"""Scenarios of the package."""
--- a/savorychute/testing/service_host.py
+++ b/savorychute/testing/service_host.py
@@ -1,4 +1,4 @@
-"""A plain service of a virtual run."""
+"""A simulated plain service."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class ServiceHost(EndpointHost):
-    """Passes calls to a :class:`PlainService` and its answers back."""
+    """Passes calls to a :class:`PlainService` and returns its answers."""
 
     def __init__(
         self,
@@ -45,66 +45,68 @@
         super().__init__(heap, ledger, document, service)
         self.service = service
 
-    def take(self, start: StartAttempt) -> None:
+    def start_attempt(self, start: StartAttempt) -> None:
         """Submit a call."""
         request = ServiceRequest(start.attempt_id, start.method, start.path, start.body)
-        self._pass(self.service.submit(request, self.heap.now_ms))
+        self._handle_events(self.service.submit(request, self.heap.now_ms))
 
     def close(self, attempt_id: str) -> None:
-        """Forget who waits; the call goes on."""
-        self.forget(attempt_id)
+        """Remove the listener; the call continues."""
+        self.discard_attempt(attempt_id)
 
     def cancel(self, start: StartAttempt, keep: bool) -> None:
-        """Forget who waits; a plain service can't be cancelled."""
+        """Remove the listener; calls of a plain service can't be cancelled."""
         del keep
-        self.forget(start.attempt_id)
+        self.discard_attempt(start.attempt_id)
 
     def poll(self, cursor: int) -> LoadReported | None:
-        """Return nothing: plain services report no load."""
+        """Return None, because plain services report no load."""
         del cursor
         return None
 
     def crash(self) -> None:
         """Crash the service."""
-        self._pass(self.service.crash(self.heap.now_ms))
+        self._handle_events(self.service.crash(self.heap.now_ms))
 
-    def set_silent(self, silent: bool) -> None:
-        """Hang the service, or let it go on."""
-        self._pass(self.service.set_silent(silent, self.heap.now_ms))
-        self.arm()
+    def set_unresponsive(self, unresponsive: bool) -> None:
+        """Make the service unresponsive, or let it continue."""
+        self._handle_events(
+            self.service.set_unresponsive(unresponsive, self.heap.now_ms)
+        )
+        self.schedule_wake()
 
     def advance(self) -> None:
-        """Bring the service up to the present."""
-        self._pass(self.service.advance(self.heap.now_ms))
+        """Advance the service to the current time."""
+        self._handle_events(self.service.advance(self.heap.now_ms))
 
-    def _pass(self, events: Sequence[ServiceEvent]) -> None:
+    def _handle_events(self, events: Sequence[ServiceEvent]) -> None:
         for event in events:
-            self._pass_one(event)
+            self._handle_event(event)
 
-    def _pass_one(self, event: ServiceEvent) -> None:
+    def _handle_event(self, event: ServiceEvent) -> None:
         attempt_id = event.attempt_id
         if isinstance(event, ServiceAccepted):
-            self.note_execution(attempt_id, find_marker(self.starts[attempt_id].body))
+            self.record_execution(attempt_id, find_marker(self.starts[attempt_id].body))
         elif isinstance(event, ServiceAnswered):
             size = len(event.body)
-            self.tell(
+            self.notify(
                 attempt_id,
                 AttemptStarted(attempt_id, event.status, 'text/plain', ''),
                 AttemptChunk(attempt_id, 0, size, event.body),
                 AttemptEnded(attempt_id, size),
             )
-            self.forget(attempt_id)
+            self.discard_attempt(attempt_id)
         elif isinstance(event, ServiceRefused):
             if event.leaving:
-                self.note_leaving()
+                self.record_leaving()
             self._fail(attempt_id, True, event.leaving, 'refused')
         elif isinstance(event, ServiceBroken):
             self._fail(attempt_id, False, False, 'crash')
 
     def _fail(self, attempt_id: str, refused: bool, leaving: bool, reason: str) -> None:
         crashed = not refused
-        self.tell(
+        self.notify(
             attempt_id,
             AttemptFailed(attempt_id, True, refused, leaving, crashed, reason),
         )
-        self.forget(attempt_id)
+        self.discard_attempt(attempt_id)
--- a/savorychute/testing/service_server.py
+++ b/savorychute/testing/service_server.py
@@ -1,10 +1,11 @@
-"""A stand-in plain service over HTTP."""
+"""HTTP server of a stand-in plain service."""
 
 from __future__ import annotations
 
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING
 
+from savorychute.testing.due_timer import DueTimer
 from savorychute.testing.plain_service import (
     PlainService,
     ServiceAnswered,
@@ -12,7 +13,6 @@
     ServiceRefused,
     ServiceRequest,
 )
-from savorychute.testing.pump import Pump
 from savorychute.testing.stand_in_http import LOOPBACK, loop_ms, serve
 
 if TYPE_CHECKING:
@@ -25,43 +25,43 @@
 
 
 class ServiceServer:
-    """Speaks HTTP for a :class:`PlainService`.
+    """Serves a :class:`PlainService` over HTTP.
 
-    :param service: the service's core.
+    :param service: the service.
     """
 
     def __init__(self, service: PlainService) -> None:
         self.service = service
         self.port = 0
         self._exchanges: dict[str, ServerExchange] = {}
-        self._pump = Pump(service.next_event_ms, self._advance)
-        self._numbered = 0
+        self._due_timer = DueTimer(service.next_event_ms, self._advance)
+        self._last_number = 0
 
     def handle(self, exchange: ServerExchange) -> None:
-        """Take one HTTP request."""
+        """Handle one HTTP request."""
         if not self.service.is_up:
             exchange.abort()
             return
-        self._numbered += 1
+        self._last_number += 1
         request = exchange.request
-        attempt_id = request.header('x-attempt-id') or f'n{self._numbered}'
+        attempt_id = request.header('x-attempt-id') or f'n{self._last_number}'
         self._exchanges[attempt_id] = exchange
         call = ServiceRequest(attempt_id, request.method, request.target, request.body)
         self.apply(self.service.submit(call, loop_ms()))
 
     def apply(self, events: Sequence[ServiceEvent]) -> None:
-        """Send the service's events, for instance after a fault was set."""
+        """Send events of the service, such as those caused by a fault."""
         for event in events:
             self._send(event)
-        self._pump.rearm()
+        self._due_timer.rearm()
 
     def crash(self) -> None:
-        """Crash the service: every open connection breaks."""
+        """Crash the service, which breaks every open connection."""
         self.apply(self.service.crash(loop_ms()))
 
     def stop(self) -> None:
         """Stop the timer."""
-        self._pump.stop()
+        self._due_timer.stop()
 
     def _send(self, event: ServiceEvent) -> None:
         exchange = self._exchanges.get(event.attempt_id)
@@ -90,9 +90,9 @@
 ) -> AsyncIterator[ServiceServer]:
     """Serve a plain service until the block ends.
 
-    :param service: the service's core.
-    :param host: the IP number to listen on.
-    :param port: the port, or 0 for one of the system's choice.
+    :param service: the service.
+    :param host: the IP address to listen on.
+    :param port: the port, or 0 to let the system choose one.
     """
     stand_in = ServiceServer(service)
     async with serve(stand_in.handle, host, port) as http:
--- a/savorychute/testing/world.py
+++ b/savorychute/testing/simulation.py
@@ -1,4 +1,4 @@
-"""A whole system on a virtual clock: instances, endpoints, platform, callers."""
+"""A whole system with a virtual clock: instances, endpoints, platform, callers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from savorychute.member_address import MemberAddress
 from savorychute.result_code import ResultCode
 from savorychute.testing.callers import Callers
-from savorychute.testing.configuration_watch import ConfigurationWatch
+from savorychute.testing.configuration_monitor import ConfigurationMonitor
 from savorychute.testing.fleet import Fleet
 from savorychute.testing.instance_host import InstanceHost
 from savorychute.testing.matrix import steps
@@ -26,9 +26,9 @@
 
 FIRST_CALLER_PORT = 8_000
 FIRST_PEER_PORT = 9_000
-LOOPBACK_PREFIX = '10.0.0.'
-EARLIEST_CLOCK_MS = 1_000_000
-LATEST_CLOCK_MS = 2_000_000_000
+ADDRESS_PREFIX = '10.0.0.'
+MIN_CLOCK_MS = 1_000_000
+MAX_CLOCK_MS = 2_000_000_000
 EPOCH_MS = 1_700_000_000_000
 CONFIGURED_WITHIN_MS = 30_000.0
 CONFIGURE_STEP_MS = 100.0
@@ -36,18 +36,18 @@
 
 
 class Reply(NamedTuple):
-    """An operator's answer and when it came."""
+    """A reply to an operator and its time."""
 
     at_ms: float
     reply: OperatorReply
 
 
-class World(Fleet):
-    """Everything of one run, made from a topology and a seed.
+class Simulation(Fleet):
+    """A simulated system, built from a topology and a seed.
 
-    :param topology: what there is.
-    :param seed: of every random choice.
-    :param make_instance: makes each instance.
+    :param topology: the components of the system.
+    :param seed: the seed of all random choices.
+    :param make_instance: creates each instance.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
     ) -> None:
         super().__init__(topology, seed)
         self.callers = Callers(self, self.make_rng('callers'))
-        self.configuration_watch = ConfigurationWatch(self)
+        self.configuration_monitor = ConfigurationMonitor(self)
         self.replies: dict[str, Reply] = {}
-        self.cut_by_shutdown: dict[str, int] = {}
+        self.interrupted_by_shutdown: dict[str, int] = {}
         self.poison_calls: set[str] = set()
-        self.poisons = 0
+        self.poison_count = 0
         self.documents = {
             document['organisation']: dict(document) for document in topology.contracts
         }
@@ -68,35 +68,40 @@
         self._make_instance = make_instance
         self._started_instances = 0
         self._commands = 0
-        self._drains: dict[str, bool] = {}
+        self._requested_drains: dict[str, bool] = {}
         self._base_versions: dict[str, int] = {}
         for domain in topology.instance_domains:
             self.start_instance(domain)
 
-    # -- building
+    # -- construction
 
     def start_instance(self, domain: str, name: str = '') -> InstanceHost:
-        """Start an instance, of a new name or anew under a known one."""
+        """Start an instance under a new name, or restart it under a known one."""
         self._started_instances += 1
         number = self._started_instances
         name = name or f'entry-{number:02d}'
-        earlier = self.instances.get(name)
-        incarnation = 1 if earlier is None else earlier.address.incarnation + 1
+        previous = self.instances.get(name)
+        incarnation = 1 if previous is None else previous.address.incarnation + 1
         address = MemberAddress(
             instance=name,
             incarnation=incarnation,
             region=self.topology.region,
             failure_domain=domain,
-            host=f'{LOOPBACK_PREFIX}{number}',
+            host=f'{ADDRESS_PREFIX}{number}',
             caller_port=FIRST_CALLER_PORT + number,
             peer_port=FIRST_PEER_PORT + number,
         )
         rng = self.make_rng(f'{name}.{incarnation}')
-        clock_ms = float(rng.randint(EARLIEST_CLOCK_MS, LATEST_CLOCK_MS))
+        clock_ms = float(rng.randint(MIN_CLOCK_MS, MAX_CLOCK_MS))
         epoch_offset_ms = int(EPOCH_MS - clock_ms)
         instance = self._make_instance(address, rng, epoch_offset_ms)
         host = InstanceHost(
-            self, address, instance, clock_ms, self.find_peer, self.operator_replied
+            self,
+            address,
+            instance,
+            clock_ms,
+            self.find_peer,
+            self.handle_operator_reply,
         )
         self.instances[name] = host
         self.listing.put(address, self.heap.now_ms)
@@ -104,9 +109,9 @@
         return host
 
     def configure(self) -> None:
-        """Enter all contracts and endpoints, and wait until all are in force.
+        """Enter all contracts and endpoints, and wait until they are in force.
 
-        :raises SavorychuteError: if that takes too long.
+        :raises SavorychuteError: if this takes longer than ``CONFIGURED_WITHIN_MS``.
         """
         self.run_for(self.topology.settle_ms)
         commands = []
@@ -133,7 +138,7 @@
                 raise SavorychuteError(self._describe_unconfigured(commands))
             self.run_for(CONFIGURE_STEP_MS)
         self.run_for(self.topology.settle_ms)
-        self.configuration_watch.start()
+        self.configuration_monitor.start()
 
     def _is_configured(self, commands: list[str]) -> bool:
         if any(command_id not in self.replies for command_id in commands):
@@ -154,7 +159,7 @@
     # -- time
 
     def run_for(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         self.heap.run_until(self.heap.now_ms + duration_ms)
 
     # -- operators
@@ -164,7 +169,7 @@
     ) -> str:
         """Send an operator's command and return its id.
 
-        :param instance: whom to ask; the first that serves if empty.
+        :param instance: the receiving instance; the first serving one if empty.
         """
         self._commands += 1
         command_id = f'command-{self._commands}'
@@ -172,18 +177,18 @@
         base_version = arguments.get('base_version')
         if isinstance(base_version, int):
             self._base_versions[command_id] = base_version
-        host = self.instances[instance] if instance else self.first_serving()
-        told = OperatorCommand(command_id, OPERATOR_TOKEN, verb, body)
+        host = self.instances[instance] if instance else self.find_serving_instance()
+        message = OperatorCommand(command_id, OPERATOR_TOKEN, verb, body)
         delay_ms = self.network.settings.client_ms
-        self.heap.call_later(delay_ms, self._arrive_command, host, told)
+        self.heap.call_later(delay_ms, self._deliver_command, host, message)
         return command_id
 
-    def _arrive_command(self, host: InstanceHost, told: OperatorCommand) -> None:
-        self.reached(steps.COMMANDED, told.command_id, host.name)
-        host.deliver(told)
+    def _deliver_command(self, host: InstanceHost, message: OperatorCommand) -> None:
+        self.reached(steps.COMMANDED, message.command_id, host.name)
+        host.deliver(message)
 
-    def operator_replied(self, reply: OperatorReply) -> None:
-        """Keep an operator's answer; remember what was accepted."""
+    def handle_operator_reply(self, reply: OperatorReply) -> None:
+        """Store a reply to an operator, and record accepted changes."""
         self.replies[reply.command_id] = Reply(self.heap.now_ms, reply)
         self.reached(steps.REPLIED, reply.command_id, '')
         if reply.code is not ResultCode.OK:
@@ -191,48 +196,50 @@
         verdict = msgspec.json.decode(reply.document, type=dict)
         if verdict.get('accepted'):
             base_version = self._base_versions.get(reply.command_id)
-            self._note_accepted(verdict['item'], verdict['version'], base_version)
+            self._record_accepted(verdict['item'], verdict['version'], base_version)
 
-    def _note_accepted(self, item: str, version: int, base_version: int | None) -> None:
-        self.configuration_watch.note_accepted(item, version, base_version)
+    def _record_accepted(
+        self, item: str, version: int, base_version: int | None
+    ) -> None:
+        self.configuration_monitor.record_accepted(item, version, base_version)
         kind, _, name = item.partition(':')
         host = self.endpoints.get(name) if kind == 'endpoint' else None
-        if host is not None and self._drains.pop(name, False):
+        if host is not None and self._requested_drains.pop(name, False):
             self.ledger.leaving_ms.setdefault(name, self.heap.now_ms)
 
     def drain(self, endpoint: str) -> str:
-        """Let an operator drain an endpoint; return the command's id."""
-        self._drains[endpoint] = True
+        """Let an operator drain an endpoint; return the id of the command."""
+        self._requested_drains[endpoint] = True
         arguments = {'endpoint': endpoint, 'why': 'drain'}
         return self.command('endpoint-drain', arguments)
 
     def leave(self, endpoint: str) -> None:
-        """Let an endpoint go away by itself: it refuses new work."""
+        """Let an endpoint leave on its own: it refuses new work."""
         self.endpoints[endpoint].leave()
         self.listing.mark_leaving(endpoint, self.heap.now_ms)
 
-    # -- replacing instances
+    # -- replacement of instances
 
     def shut_down(self, name: str) -> None:
-        """Ask an instance to leave gracefully; it ends when it is idle."""
+        """Shut an instance down gracefully; it stops when it is idle."""
         host = self.instances[name]
         host.is_leaving = True
         self.listing.mark_leaving(name, self.heap.now_ms)
         host.deliver(ShutdownRequested())
-        self.heap.call_later(self.topology.leave_grace_ms, self._end_if_idle, host)
+        self.heap.call_later(self.topology.leave_grace_ms, self._stop_if_idle, host)
 
-    def _end_if_idle(self, host: InstanceHost) -> None:
+    def _stop_if_idle(self, host: InstanceHost) -> None:
         if not host.is_up:
             return
         if host.instance.idle:
-            if host.tries:
-                self.cut_by_shutdown[host.name] = len(host.tries)
+            if host.caller_connections:
+                self.interrupted_by_shutdown[host.name] = len(host.caller_connections)
             host.is_up = False
             self.listing.delete(host.name, self.heap.now_ms)
             return
-        self.heap.call_later(CONFIGURE_STEP_MS, self._end_if_idle, host)
+        self.heap.call_later(CONFIGURE_STEP_MS, self._stop_if_idle, host)
 
     def replace_instance(self, host: InstanceHost, domain: str) -> None:
-        """Start a new instance in place of one that is gone."""
+        """Start a new instance in place of a stopped one."""
         self.listing.delete(host.name, self.heap.now_ms)
         self.start_instance(domain)
