--- a/savorychute/testing/drive.py
+++ b/savorychute/testing/simulation_factory.py
@@ -1,12 +1,12 @@
-"""Make instances for a virtual run."""
+"""Creation of simulations with real instances."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from savorychute.instance import Instance, InstanceSettings
+from savorychute.testing.simulation import Simulation
 from savorychute.testing.tokens import hash_operator_token
-from savorychute.testing.world import World
 
 if TYPE_CHECKING:
     from random import Random
@@ -16,19 +16,19 @@
     from savorychute.testing.topology import Topology
 
 
-def make_world(
+def make_simulation(
     topology: Topology, seed: int, settings: InstanceSettings | None = None
-) -> World:
-    """Return a run of real instances, not configured yet.
+) -> Simulation:
+    """Return a simulation of real instances, without a configuration.
 
-    :param settings: of every instance; the defaults if there are none.
+    :param settings: the settings of every instance; None for the defaults.
     """
     base = settings or InstanceSettings()
-    return World(topology, seed, make_factory(base))
+    return Simulation(topology, seed, make_factory(base))
 
 
 def make_factory(settings: InstanceSettings) -> InstanceFactory:
-    """Return what makes instances with these settings."""
+    """Return a factory of instances with these settings."""
     hashes = {'operator': hash_operator_token()}
 
     def make(address: MemberAddress, rng: Random, epoch_offset_ms: int) -> Instance:
--- a/savorychute/testing/solo.py
+++ b/savorychute/testing/solo.py
@@ -1,4 +1,4 @@
-"""A single instance that is driven by hand."""
+"""A single instance that a test drives step by step."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 def make_engine(name: str, state: str = 'active', slots: int = 4) -> EndpointDocument:
-    """Return a model engine's entry."""
+    """Return the document of a model engine."""
     return {
         'endpoint': name,
         'dialect': 'openai-engine',
@@ -118,11 +118,11 @@
 
 
 class Solo:
-    """An instance with a log of its own; every other action is collected.
+    """An instance with its own log and listing; all other actions are collected.
 
-    :param contracts: put into the log before the start.
-    :param endpoints: put into the log before the start.
-    :param settings: of the instance.
+    :param contracts: contracts that are in the log at the start.
+    :param endpoints: endpoints that are in the log at the start.
+    :param settings: the settings of the instance.
     """
 
     def __init__(
@@ -147,7 +147,7 @@
     def append_document(
         self, item: str, document: dict[str, object], base_version: int = 0
     ) -> None:
-        """Put an amendment into the log, as another instance would."""
+        """Append an amendment to the log, like another instance."""
         records = self._streams.setdefault('configuration', [])
         record: AmendmentRecord = {
             'kind': AMENDMENT_KIND,
@@ -164,35 +164,35 @@
         records.append(encode_record(record))
 
     def deliver(self, message: Input) -> list[Action]:
-        """Deliver an input and return the actions that the log does not take."""
-        return self._carry_out(self.instance.deliver(message, self.now_ms))
+        """Deliver an input and return the actions that the platform does not handle."""
+        return self._execute_actions(self.instance.deliver(message, self.now_ms))
 
     def run_for(self, duration_ms: int) -> list[Action]:
-        """Tick for a while and return the actions that the log does not take."""
+        """Advance the time and return the actions that the platform does not handle."""
         end_ms = self.now_ms + duration_ms
         actions: list[Action] = []
         while self.now_ms < end_ms:
             self.now_ms += TICK_MS
-            actions += self._carry_out(self.instance.tick(self.now_ms))
+            actions += self._execute_actions(self.instance.tick(self.now_ms))
         return actions
 
     def find(self, kind: type[A]) -> list[A]:
         """Return all collected actions of a kind."""
         return [action for action in self.actions if isinstance(action, kind)]
 
-    def _carry_out(self, actions: Iterable[Action]) -> list[Action]:
-        left: list[Action] = []
+    def _execute_actions(self, actions: Iterable[Action]) -> list[Action]:
+        remaining: list[Action] = []
         for action in actions:
             answer = self._answer(action)
             if answer is None:
                 self.actions.append(action)
-                left.append(action)
+                remaining.append(action)
             else:
-                left += self.deliver(answer)
-        return left
+                remaining += self.deliver(answer)
+        return remaining
 
     def _answer(self, action: Action) -> Input | None:
-        """Return the platform's answer, or None for an action of another kind."""
+        """Return the result of the platform, or None for any other action."""
         if isinstance(action, FetchListing):
             return ListingFetched(ok=True, live=(ADDRESS,))
         if isinstance(action, ReadRecords):
@@ -212,8 +212,8 @@
             stream=read.stream,
             ok=True,
             records=tuple(
-                LogRecord(start + place, payload)
-                for place, payload in enumerate(chosen)
+                LogRecord(start + position, payload)
+                for position, payload in enumerate(chosen)
             ),
             first_offset=0,
             end_offset=len(records),
--- a/savorychute/testing/stand_in_http.py
+++ b/savorychute/testing/stand_in_http.py
@@ -1,4 +1,4 @@
-"""What the stand-ins' HTTP servers share."""
+"""Common parts of the HTTP servers of the stand-ins."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def respond_json(exchange: ServerExchange, status: int, document: object) -> None:
-    """Answer with a JSON document."""
+    """Respond with a JSON document."""
     exchange.respond(status, JSON_HEADERS, msgspec.json.encode(document))
 
 
@@ -38,9 +38,9 @@
 ) -> AsyncIterator[HttpServer]:
     """Pass requests to a stand-in until the block ends.
 
-    :param on_request: called with each whole request.
-    :param host: the IP number to listen on.
-    :param port: the port, or 0 for one of the system's choice.
+    :param on_request: called with each complete request.
+    :param host: the IP address to listen on.
+    :param port: the port, or 0 to let the system choose one.
     """
     server = HttpServer(HttpLimits(), SystemClock(), on_request)
     async with listen(server, host, port):
--- a/savorychute/testing/step_clock.py
+++ b/savorychute/testing/step_clock.py
@@ -8,12 +8,12 @@
 
 
 class StepClock:
-    """Counts steps whose duration changes from time to time.
+    """Counts steps whose duration may change.
 
-    Nothing has to run at each step: the count follows from the time since the
-    duration changed last.
+    No call is needed at each step: the count is computed from the time since the
+    last change of the duration.
 
-    :param step_ms: the duration of the first steps.
+    :param step_ms: the initial duration of a step.
     """
 
     def __init__(self, step_ms: float) -> None:
@@ -22,15 +22,15 @@
         self._position = 0.0
 
     def step_at(self, now_ms: float) -> int:
-        """Return the number of whole steps that have passed."""
+        """Return the number of completed steps."""
         return math.floor(self._position_at(now_ms) + EPSILON_STEPS)
 
     def time_of(self, step: int) -> float:
-        """Return when *step* is over if the duration stays as it is."""
+        """Return the end time of *step* if the duration does not change."""
         return self._since_ms + (step - self._position) * self.step_ms
 
     def change(self, step_ms: float, now_ms: float) -> None:
-        """Let steps take *step_ms* from now on."""
+        """Set the duration of a step from now on."""
         if step_ms == self.step_ms:
             return
         self._position = self._position_at(now_ms)
@@ -38,11 +38,11 @@
         self.step_ms = step_ms
 
     def skip_to(self, now_ms: float) -> None:
-        """Take back the time since the last change: nothing was stepped."""
+        """Skip the time since the last change, without counting steps."""
         self._since_ms = max(self._since_ms, now_ms)
 
     def freeze(self, now_ms: float) -> None:
-        """Remember the position at *now_ms*, before time is skipped."""
+        """Store the position at *now_ms*, before a period of time is skipped."""
         self._position = self._position_at(now_ms)
         self._since_ms = now_ms
 
--- a/savorychute/testing/tokens.py
+++ b/savorychute/testing/tokens.py
@@ -1,4 +1,4 @@
-"""The bearer tokens of virtual runs."""
+"""Bearer tokens of simulations."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def hash_operator_token() -> str:
-    """Return the digest that the instances' settings hold."""
+    """Return the hash of the operator token, for the settings of instances."""
     return hash_token(OPERATOR_TOKEN)
 
 
 def hash_organisation_token(organisation: str) -> str:
-    """Return the digest that an organisation's contract holds."""
+    """Return the hash of an organisation's token, for its contract."""
     return hash_token(f'token-{organisation}')
--- a/savorychute/testing/topology.py
+++ b/savorychute/testing/topology.py
@@ -1,4 +1,4 @@
-"""What a virtual run consists of."""
+"""The components of a simulated system."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 
 class EngineSpec(NamedTuple):
-    """An engine: how operators enter it, and what it can do."""
+    """An engine: the document that operators enter, and its settings."""
 
     document: EndpointDocument
     settings: EngineSettings
 
 
 class ServiceSpec(NamedTuple):
-    """A plain service: how operators enter it, and what it can do."""
+    """A plain service: the document that operators enter, and its settings."""
 
     document: EndpointDocument
     settings: ServiceSettings
 
 
 class OrganisationShare(NamedTuple):
-    """An organisation's part of the demand."""
+    """The share of an organisation in the demand."""
 
     name: str
     share: float
 
 
 class Topology(NamedTuple):
-    """Instances, endpoints, organisations and the distances between them.
+    """Instances, endpoints, organisations and the network between them.
 
-    ``instance_domains`` names a failure domain for each instance.
+    ``instance_domains`` contains the failure domain of each instance.
     """
 
     name: str
--- a/savorychute/testing/virtual_loop.py
+++ b/savorychute/testing/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only while nothing else is to be done."""
+"""An event loop whose time advances only when it has nothing to do."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 Result = TypeVar('Result')
 
-# What a datagram or a byte on loopback may take, in real time: the kernel delivers it
-# while the sender still sends, on a busy machine a little later.
+# The maximum real time for the delivery of a datagram or byte on loopback: the kernel
+# delivers it during the send call, or slightly later on a busy machine.
 DELIVERY_S = 0.001
 
 
 class VirtualSelector(selectors.DefaultSelector):
-    """Reports what is ready; when nothing is, lets the time pass at once.
+    """Selects ready sockets; if there are none, advances the time at once.
 
-    A program and all that it talks to run on one loop and meet on loopback: while no
-    socket is ready, each of them waits for a timer.
+    A program and its peers run on one loop and communicate over loopback, so while no
+    socket is ready, all of them wait for a timer.
     """
 
     def __init__(self) -> None:
@@ -32,9 +32,9 @@
     def select(
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready, without a wait for a timer.
+        """Return the ready sockets, without waiting for a timer.
 
-        :param timeout: until the next timer, in seconds; None for no timer.
+        :param timeout: the time until the next timer in seconds; None without a timer.
         """
         ready = super().select(0)
         if ready or timeout == 0:
@@ -48,7 +48,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop on virtual time, from 0 on."""
+    """An event loop with virtual time, starting at 0."""
 
     def __init__(self) -> None:
         self._virtual = VirtualSelector()
@@ -63,14 +63,14 @@
     """The time of the running loop."""
 
     def now_ms(self) -> int:
-        """Return the loop's time."""
+        """Return the time of the loop in milliseconds."""
         return round(asyncio.get_running_loop().time() * MS_PER_S)
 
 
 def run_virtual(main: Coroutine[object, object, Result]) -> Result:
-    """Run a coroutine on a loop of its own, on virtual time.
+    """Run a coroutine on a new loop with virtual time.
 
-    :param main: what to run.
+    :param main: the coroutine.
     """
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
--- a/savorychute/testing/weight_store.py
+++ b/savorychute/testing/weight_store.py
@@ -4,9 +4,9 @@
 
 
 class WeightStore:
-    """Serves loads one after the other.
+    """Serves model loads one after the other.
 
-    :param load_ms: how long one load takes.
+    :param load_ms: the duration of one load.
     """
 
     def __init__(self, load_ms: float = 2_000.0) -> None:
@@ -15,7 +15,7 @@
         self._free_ms = 0.0
 
     def fetch(self, now_ms: float) -> float:
-        """Begin a load and return when it will be done."""
+        """Start a load and return its end time."""
         self.loads += 1
         self._free_ms = max(self._free_ms, now_ms) + self.load_ms
         return self._free_ms
--- a/savorychute/testing/workload.py
+++ b/savorychute/testing/workload.py
@@ -1,4 +1,4 @@
-"""Demand of a virtual run: who calls when, and for what."""
+"""The demand of a simulation: calls, their times and their contents."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from savorychute.testing.answers import (
     CHARS_PER_TOKEN,
-    POISON_MARK,
+    POISON_MARKER,
     count_answer_tokens,
     write_answer,
 )
@@ -23,43 +23,43 @@
     from random import Random
 
     from savorychute.testing.call import CallClass
-    from savorychute.testing.world import World
+    from savorychute.testing.simulation import Simulation
 
 MS_PER_S = 1_000.0
 FILLER = 'the pump at the well lost its pressure and the crew waits for a part; '
 
 
 class Workload:
-    """Calls at random times, at a rate that may change.
+    """Generates calls at random times, with a variable rate.
 
-    :param world: gets the calls.
-    :param rng: decides times, classes, organisations and lengths.
+    :param simulation: receives the calls.
+    :param rng: decides on times, classes, organisations and lengths.
     """
 
-    def __init__(self, world: World, rng: Random) -> None:
-        self._world = world
+    def __init__(self, simulation: Simulation, rng: Random) -> None:
+        self._simulation = simulation
         self._rng = rng
-        self._numbered = 0
-        topology = world.topology
+        self._last_number = 0
+        topology = simulation.topology
         self._organisations = [
             organisation.name for organisation in topology.organisations
         ]
-        self._organisation_steps = list(
+        self._cumulative_shares = list(
             accumulate(organisation.share for organisation in topology.organisations)
         )
 
     def run_class(
         self,
         call_class: CallClass,
-        begin_ms: float,
+        start_ms: float,
         end_ms: float,
         rate_per_s: Callable[[float], float],
     ) -> None:
-        """Plan the calls of a class as a Poisson process.
+        """Schedule the calls of a class as a Poisson process.
 
-        :param rate_per_s: the rate at a time.
+        :param rate_per_s: returns the rate at a time.
         """
-        at_ms = begin_ms
+        at_ms = start_ms
         while True:
             rate = rate_per_s(at_ms)
             if rate <= 0:
@@ -74,30 +74,30 @@
     def call_at(
         self, at_ms: float, call_class: CallClass, organisation: str = ''
     ) -> Call:
-        """Plan one call."""
+        """Schedule one call."""
         call = self.make_call(call_class, organisation)
-        self._world.heap.call_at(at_ms, self._world.callers.begin, call)
+        self._simulation.heap.call_at(at_ms, self._simulation.callers.start, call)
         return call
 
     def make_call(
         self, call_class: CallClass, organisation: str = '', poison: bool = False
     ) -> Call:
-        """Return a call that was not made yet."""
-        self._numbered += 1
-        call_id = f'c{self._numbered}'
+        """Return a new call without starting it."""
+        self._last_number += 1
+        call_id = f'c{self._last_number}'
         organisation = organisation or self._pick_organisation()
         if call_class.service:
             return _make_service_call(call_id, organisation, call_class)
         length_tokens = self._pick_length(call_class)
         prompt = _write_prompt(call_id, organisation, call_class, length_tokens, poison)
         return make_chat_call(
-            call_id, organisation, call_class, prompt, self._world.max_tokens
+            call_id, organisation, call_class, prompt, self._simulation.max_tokens
         )
 
     def _pick_organisation(self) -> str:
-        point = self._rng.random() * self._organisation_steps[-1]
+        point = self._rng.random() * self._cumulative_shares[-1]
         for name, step in zip(
-            self._organisations, self._organisation_steps, strict=True
+            self._organisations, self._cumulative_shares, strict=True
         ):
             if point < step:
                 return name
@@ -106,7 +106,7 @@
     def _pick_length(self, call_class: CallClass) -> int:
         mean = math.log(call_class.output_tokens)
         length = self._rng.lognormvariate(mean, call_class.spread)
-        return max(1, min(int(length), self._world.max_tokens))
+        return max(1, min(int(length), self._simulation.max_tokens))
 
 
 def make_chat_call(
@@ -135,14 +135,14 @@
 def _write_prompt(
     call_id: str, organisation: str, call_class: CallClass, tokens: int, poison: bool
 ) -> str:
-    """Return a prompt whose beginning the organisation's class always has."""
+    """Return a prompt that starts with text shared by the organisation's class."""
     shared_chars = call_class.shared_prompt_tokens * CHARS_PER_TOKEN
     own_chars = call_class.prompt_tokens * CHARS_PER_TOKEN - shared_chars
-    shared = _fill(f'{organisation} {call_class.name}: ', shared_chars)
-    own = _fill(f'{write_marker(call_id)} #tokens={tokens} ', own_chars)
-    return f'{shared}{own}{POISON_MARK if poison else ""}'
+    shared = _pad_text(f'{organisation} {call_class.name}: ', shared_chars)
+    own = _pad_text(f'{write_marker(call_id)} #tokens={tokens} ', own_chars)
+    return f'{shared}{own}{POISON_MARKER if poison else ""}'
 
 
-def _fill(text: str, chars: int) -> str:
-    missing = max(0, chars - len(text))
-    return text + (FILLER * (missing // len(FILLER) + 1))[:missing]
+def _pad_text(text: str, chars: int) -> str:
+    missing_chars = max(0, chars - len(text))
+    return text + (FILLER * (missing_chars // len(FILLER) + 1))[:missing_chars]
--- a/tests/test_faults/test_matrix.py
+++ b/tests/test_faults/test_matrix.py
@@ -1,4 +1,4 @@
-"""The fault matrix: every fault at every step of every kind of work."""
+"""Tests of the fault matrix: every fault at every step of every kind of work."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 PAIRS_PER_TEST = 10
 
 
-def describe_broken(cells):
-    """Return what broke in each cell that did not hold."""
+def list_violations(cells):
+    """Return the violations of each failed cell."""
     results = [run_cell(cell) for cell in cells]
     return {result.cell.name: result.breaches for result in results if result.breaches}
 
 
 @pytest.mark.parametrize('fault', list(CELL_FAULTS))
-def test_promises_hold_under_one_fault_at_every_step(fault):
+def test_invariants_hold_under_one_fault_at_every_step(fault):
     cells = [cell for cell in list_singles() if cell.faults == (fault,)]
     assert len(cells) == sum(len(list_steps(kind)) for kind in KINDS)
-    assert describe_broken(cells) == {}
+    assert list_violations(cells) == {}
 
 
 @pytest.mark.parametrize('start', range(0, PAIRS, PAIRS_PER_TEST))
-def test_promises_hold_under_two_faults_together(start):
+def test_invariants_hold_under_two_faults_together(start):
     cells = sample_pairs(PAIRS)[start : start + PAIRS_PER_TEST]
-    assert describe_broken(cells) == {}
+    assert list_violations(cells) == {}
 
 
 @pytest.mark.parametrize('kind', KINDS)
--- a/tests/test_instance/test_placement_desk.py
+++ b/tests/test_instance/test_placement_desk.py
@@ -9,9 +9,9 @@
 from savorychute.instance import InstanceSettings
 from savorychute.leases.order_request import LOAD, UNLOAD
 from savorychute.placement import PlacementSettings
-from savorychute.testing.drive import make_world
-from savorychute.testing.order_gate import EngineOrder
+from savorychute.testing.order_handler import EngineOrder
 from savorychute.testing.profiles import build_small
+from savorychute.testing.simulation_factory import make_simulation
 from savorychute.testing.workload import Workload
 
 MODELS = ['model', 'large']
@@ -46,7 +46,7 @@
     """A configured world whose orders are collected."""
 
     def __init__(self):
-        self.world = make_world(build_topology(), 1, SETTINGS)
+        self.world = make_simulation(build_topology(), 1, SETTINGS)
         self.orders = []
         for host in self.world.instances.values():
             host.instance.events.connect('order-sent', self.orders.append)
--- a/tests/test_scenarios/test_scenario_files.py
+++ b/tests/test_scenarios/test_scenario_files.py
@@ -1,4 +1,4 @@
-"""The scenario files and the language they are written in."""
+"""Tests of scenario files and their validation."""
 
 from __future__ import annotations
 
@@ -55,32 +55,32 @@
         ('"duration_ms": 2000', '"duration_ms": []', 4, 'Expected `float`'),
     ],
 )
-def test_fault_of_a_file_is_told_with_its_line(old, new, line, text):
+def test_error_in_a_file_is_reported_with_its_line(old, new, line, text):
     with pytest.raises(ScenarioError) as raised:
         parse_scenario(GOOD.replace(old, new), 'x.jsonc')
     assert f'x.jsonc:{line}: ' in raised.value.message
     assert text in raised.value.message
 
 
-def test_syntax_fault_is_told_with_its_line():
+def test_syntax_error_is_reported_with_its_line():
     with pytest.raises(ScenarioError, match=r'x\.jsonc.*:6'):
         parse_scenario(GOOD.replace('{"ms": 500,', '{"ms" 500,'), 'x.jsonc')
 
 
-def test_expectation_that_does_not_hold_is_told():
+def test_failed_expectation_is_reported():
     text = GOOD.replace('"at_least": 0.5', '"at_most": 0.01')
     (failure,) = run_scenario(parse_scenario(text, 'x')).failures
     assert failure.startswith('attainment is ')
 
 
-def test_same_seed_gives_the_same_figures_to_the_digit():
+def test_same_seed_gives_identical_figures():
     scenario = parse_scenario(GOOD, 'x')
     first = run_scenario(scenario, seed=3).figures
     assert run_scenario(scenario, seed=3).figures == first
     assert run_scenario(scenario, seed=4).figures != first
 
 
-def test_command_line_tells_a_fault_and_a_result(tmp_path, capsys):
+def test_command_line_reports_an_error_and_a_result(tmp_path, capsys):
     path = tmp_path / 'good.jsonc'
     path.write_text(GOOD)
     assert main(['scenario', 'run', str(path), '--json']) == 0
--- a/tests/test_testing/test_engine.py
+++ b/tests/test_testing/test_engine.py
@@ -1,4 +1,4 @@
-"""The stand-in engine."""
+"""Tests of the stand-in engine."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 from savorychute.testing.engine_request import EngineRequest
 from savorychute.testing.engine_settings import EngineSettings
-from savorychute.testing.order_gate import EngineOrder
+from savorychute.testing.order_handler import EngineOrder
 
 LONG_MS = 60_000
 
@@ -32,7 +32,7 @@
     return request._replace(**changes)
 
 
-def text_of(events, attempt_id):
+def join_text(events, attempt_id):
     return ''.join(
         event.text
         for event in events
@@ -40,17 +40,17 @@
     )
 
 
-def ended(events):
+def list_ended(events):
     return [event.attempt_id for event in events if isinstance(event, StreamEnded)]
 
 
-def test_answer_is_whole_and_depends_on_the_prompt_only(engine):
+def test_answer_is_complete_and_depends_only_on_the_prompt(engine):
     events = engine.submit(make_request('a'), 0)
     events += engine.submit(make_request('b', '#tokens=9 oil'), 0)
     events += engine.advance(LONG_MS)
-    assert text_of(events, 'a') == write_answer('#tokens=20 water', 0)
-    assert text_of(events, 'b') == write_answer('#tokens=9 oil', 0)
-    assert sorted(ended(events)) == ['a', 'b']
+    assert join_text(events, 'a') == write_answer('#tokens=20 water', 0)
+    assert join_text(events, 'b') == write_answer('#tokens=9 oil', 0)
+    assert sorted(list_ended(events)) == ['a', 'b']
     assert engine.generated_tokens == 29
 
 
@@ -65,12 +65,12 @@
     assert (alone_ms, engine.batch.step_ms) == (6, 7)
 
 
-def test_lower_priority_number_goes_first():
+def test_lower_priority_number_runs_first():
     engine = ModelEngine(EngineSettings(max_running=1), Random(1))
     engine.submit(make_request('first'), 0)
     engine.submit(make_request('late', priority=3), 0)
     engine.submit(make_request('urgent', priority=0), 0)
-    assert ended(engine.advance(LONG_MS)) == ['first', 'urgent', 'late']
+    assert list_ended(engine.advance(LONG_MS)) == ['first', 'urgent', 'late']
 
 
 def test_closing_a_connection_frees_the_engine(engine):
@@ -81,52 +81,52 @@
     assert 0 < engine.generated_tokens < 50
 
 
-def test_kept_stream_resumes_without_making_a_token_twice(engine):
+def test_kept_stream_resumes_without_generating_a_token_twice(engine):
     prompt = '#tokens=40 tap'
     events = engine.submit(make_request('a', prompt, keep_on_close=True), 0)
     events += engine.advance(100)
-    seen = text_of(events, 'a')
+    seen = join_text(events, 'a')
     offset = seen.count(' ')
     engine.close('a', 100)
     resumed = engine.resume('s-a', 'b', offset, 500)
     resumed += engine.advance(LONG_MS)
-    assert seen + text_of(resumed, 'b') == write_answer(prompt, 0)
+    assert seen + join_text(resumed, 'b') == write_answer(prompt, 0)
     assert engine.generated_tokens == 40
 
 
-def test_resume_takes_a_running_stream_over(engine):
+def test_resume_takes_over_a_running_stream(engine):
     events = engine.submit(make_request('a', '#tokens=40 tap'), 0)
     events += engine.advance(60)
     resumed = engine.resume('s-a', 'b', 0, 60)
     assert StreamBroken('a', 's-a', 'taken over') in resumed
     resumed += engine.advance(LONG_MS)
-    assert text_of(resumed, 'b') == write_answer('#tokens=40 tap', 0)
+    assert join_text(resumed, 'b') == write_answer('#tokens=40 tap', 0)
 
 
 def test_finished_stream_is_resumable_for_a_while(engine):
     engine.submit(make_request('a', keep_on_close=True), 0)
     engine.advance(1_000)
     resumed = engine.resume('s-a', 'b', 3, 1_000)
-    assert text_of(resumed, 'b') == write_tokens('', 0, 0) + ''.join(
+    assert join_text(resumed, 'b') == write_tokens('', 0, 0) + ''.join(
         f' {token}' for token in write_answer('#tokens=20 water', 0).split()[3:]
     )
     assert isinstance(engine.resume('s-a', 'c', 0, 60_000)[-1], StreamRefused)
 
 
-def test_answer_goes_on_after_given_text(engine):
-    whole = write_answer('#tokens=20 water', 0)
-    head = ''.join(f' {token}' for token in whole.split()[:7])
-    request = make_request('a', continue_offset=7, continue_text=head)
+def test_answer_continues_after_given_text(engine):
+    answer = write_answer('#tokens=20 water', 0)
+    answer_start = ''.join(f' {token}' for token in answer.split()[:7])
+    request = make_request('a', continue_offset=7, continue_text=answer_start)
     events = [*engine.submit(request, 0), *engine.advance(LONG_MS)]
-    assert head + text_of(events, 'a') == whole
+    assert answer_start + join_text(events, 'a') == answer
     assert engine.generated_tokens == 13
 
 
-def test_text_of_another_answer_is_not_continued_in_silence(engine):
+def test_text_of_another_answer_is_not_continued(engine):
     request = make_request('a', continue_offset=1, continue_text=' other.0')
     events = [*engine.submit(request, 0), *engine.advance(LONG_MS)]
     assert (
-        text_of(events, 'a').split()[0]
+        join_text(events, 'a').split()[0]
         != write_answer('#tokens=20 water', 0).split()[1]
     )
 
@@ -147,7 +147,7 @@
     engine.crash(20)
     engine.restart(500)
     events = [*engine.submit(make_request('b'), 500), *engine.advance(LONG_MS)]
-    assert text_of(events, 'b') == write_answer('#tokens=20 water', 0)
+    assert join_text(events, 'b') == write_answer('#tokens=20 water', 0)
     assert engine.report(0, LONG_MS).running == 0
 
 
@@ -159,19 +159,19 @@
     assert engine.executions == {}
 
 
-def test_hung_engine_runs_late_what_it_was_sent(engine):
-    engine.set_silent(True, 0)
+def test_hung_engine_runs_requests_after_it_resumes(engine):
+    engine.set_unresponsive(True, 0)
     assert engine.submit(make_request('a'), 10) == []
     assert engine.advance(5_000) == []
-    events = [*engine.set_silent(False, 5_000), *engine.advance(LONG_MS)]
-    assert ended(events) == ['a']
+    events = [*engine.set_unresponsive(False, 5_000), *engine.advance(LONG_MS)]
+    assert list_ended(events) == ['a']
 
 
 def test_straggler_takes_longer():
     times = []
     for factor in (1, 5):
         engine = ModelEngine(EngineSettings(), Random(1))
-        engine.set_straggle(factor, 0)
+        engine.set_slowdown(factor, 0)
         engine.submit(make_request('a'), 0)
         while engine.next_event_ms() is not None:
             last_ms = engine.next_event_ms()
@@ -180,7 +180,7 @@
     assert times[1] == pytest.approx(5 * times[0], rel=0.01)
 
 
-def test_report_lags_behind():
+def test_report_is_delayed():
     engine = ModelEngine(EngineSettings(report_lag_ms=2_000), Random(1))
     engine.report(0, 0)
     engine.submit(make_request('a', '#tokens=4000'), 100)
@@ -192,8 +192,8 @@
 
 def test_old_fencing_number_is_refused_only_by_engines_that_check():
     outcomes = []
-    for checks in (True, False):
-        engine = ModelEngine(EngineSettings(checks_fencing=checks), Random(1))
+    for checks_fencing in (True, False):
+        engine = ModelEngine(EngineSettings(checks_fencing=checks_fencing), Random(1))
         engine.order(EngineOrder('load', 'x', 7), 0)
         outcomes.append(engine.order(EngineOrder('unload', 'model', 3), 10))
     assert outcomes == ['fenced', 'done']
@@ -206,9 +206,9 @@
     engine.advance(10_000)
     engine.submit(make_request('b', prompt), 10_000)
     assert engine.batch.prefilled_tokens < 1_100
-    news = engine.report(0, 20_000)
-    assert len(news.cached) == 16
-    assert not news.cache_gap
+    report = engine.report(0, 20_000)
+    assert len(report.cached) == 16
+    assert not report.cache_gap
 
 
 def test_lost_cache_events_show_as_a_gap():
@@ -219,10 +219,10 @@
     assert engine.report(0, 10_000).cache_gap
 
 
-def test_full_memory_puts_the_least_important_stream_back():
+def test_full_memory_preempts_the_least_important_stream():
     engine = ModelEngine(EngineSettings(kv_tokens=120), Random(1))
     events = engine.submit(make_request('low', '#tokens=90', priority=4), 0)
     events += engine.submit(make_request('high', '#tokens=90'), 0)
     events += engine.advance(LONG_MS)
-    assert ended(events) == ['high', 'low']
-    assert text_of(events, 'low').count(' ') == 90
+    assert list_ended(events) == ['high', 'low']
+    assert join_text(events, 'low').count(' ') == 90
--- a/tests/test_testing/test_loaded_modules.py
+++ b/tests/test_testing/test_loaded_modules.py
@@ -1,4 +1,4 @@
-"""Tests of what is loaded before the first test."""
+"""Tests of the modules that are loaded before the first test."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def test_all_modules_are_loaded_before_the_first_test():
-    """A law that failed once in a hundred runs of CI.
+    """Guards against property tests that fail once in 100 runs of CI.
 
-    Its examples are drawn from the constants of all modules loaded so far, and the tests
-    that a worker had run before decided which these were.
+    Their examples are drawn from the constants of all loaded modules, which would
+    otherwise depend on the tests that a worker ran before.
     """
     wanted = {
         '.'.join(path.relative_to(ROOT).with_suffix('').parts)
--- a/tests/test_testing/test_platform.py
+++ b/tests/test_testing/test_platform.py
@@ -1,4 +1,4 @@
-"""The stand-ins for the platform and for plain services."""
+"""Tests of the stand-ins for the platform and for plain services."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 def test_lost_reply_leaves_the_record_in_the_log():
     log = AppendLog(LogSettings(), Random(1))
-    log.lose_replies = 1
+    log.replies_to_lose = 1
     assert log.append('a', b'x', 0).outcome == 'lost'
     assert [record.payload for record in log.read('a', 0, 9, 0).records] == [b'x']
 
 
-def test_appends_are_bounded_in_rate():
+def test_append_rate_is_limited():
     log = AppendLog(LogSettings(appends_per_s=10, burst_appends=2), Random(1))
     outcomes = [log.append('a', b'x', 0).outcome for _ in range(3)]
     assert outcomes == ['appended', 'appended', 'limited']
     assert log.append('a', b'x', 100).outcome == 'appended'
 
 
-def test_old_records_go_and_offsets_stay():
+def test_old_records_are_removed_and_offsets_stay():
     log = AppendLog(LogSettings(retention_ms=1_000), Random(1))
     log.append('a', b'old', 0)
     log.append('a', b'new', 900)
@@ -55,7 +55,7 @@
     assert log.read('a', 0, 9, 0) is None
 
 
-def test_list_lags_behind():
+def test_list_is_delayed():
     instances = InstanceList(lag_ms=1_000)
     address = MemberAddress('i1', 1, 'kerala', 'kochi-hall', '127.0.0.1', 1, 2)
     instances.put(address, 0)
@@ -79,10 +79,10 @@
     assert service.executions == {}
 
 
-def test_silent_service_executes_late():
+def test_unresponsive_service_executes_after_it_resumes():
     service = PlainService(ServiceSettings())
-    service.set_silent(True, 0)
+    service.set_unresponsive(True, 0)
     assert service.submit(CALL, 0) == []
     assert service.executions == {}
-    service.set_silent(False, 1_000)
+    service.set_unresponsive(False, 1_000)
     assert service.executions == {'a': 1}
--- a/tests/test_testing/test_world.py
+++ b/tests/test_testing/test_simulation.py
@@ -1,8 +1,8 @@
 # ruff: noqa: ARG002
-"""The virtual-clock driver and its checks, with a simple instance in them.
+"""Tests of the simulation and its checks with a simplified instance.
 
-The instance here does the least that a run needs.  Its variants each break one
-promise on purpose, and the checks must see it.
+The instance implements the minimum that a simulation needs.  Each of its variants
+violates one invariant on purpose, which the checks must detect.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 from savorychute.membership.discovery_answer import DiscoveryAnswer
 from savorychute.ran import Ran
 from savorychute.result_code import ResultCode
+from savorychute.testing.invariants import find_violations
 from savorychute.testing.profiles import PROFILES
-from savorychute.testing.promises import find_breaches
+from savorychute.testing.simulation import Simulation
 from savorychute.testing.workload import Workload
-from savorychute.testing.world import World
 
 
 class SimpleInstance:
-    """Starts everything at once at the endpoints in turn."""
+    """Starts every request at once, alternating between endpoints."""
 
     ready = True
     idle = True
@@ -68,16 +68,16 @@
             answer = msgspec.json.encode({'accepted': False})
             return [OperatorReply(message.command_id, answer)]
         if isinstance(message, CallerRequest):
-            return self.begin(message)
+            return self.start_request(message)
         if isinstance(message, AttemptChunk):
-            return self.pass_chunk(message)
+            return self.forward_chunk(message)
         if isinstance(message, AttemptEnded):
-            return self.end(message)
+            return self.handle_end(message)
         if isinstance(message, AttemptFailed):
             return self.fail(message)
         return []
 
-    def begin(self, request):
+    def start_request(self, request):
         return [self.make_start(request)]
 
     def make_start(self, request, attempt=1):
@@ -104,13 +104,13 @@
         self.starts[start.attempt_id] = start
         return start
 
-    def pass_chunk(self, chunk):
+    def forward_chunk(self, chunk):
         start = self.starts[chunk.attempt_id]
         head = StartResponse(start.request_id, 200, '', '', '', '')
         body = SendChunk(start.request_id, chunk.offset, chunk.data)
         return [head, body] if chunk.offset == 0 else [body]
 
-    def end(self, ended):
+    def handle_end(self, ended):
         return [FinishResponse(self.starts[ended.attempt_id].request_id)]
 
     def fail(self, failed):
@@ -119,106 +119,112 @@
         return [RefuseRequest(request_id, code, Ran.UNKNOWN, '')]
 
 
-class Liar(SimpleInstance):
-    """Says 'not run' of what has run."""
+class FalseNotRunInstance(SimpleInstance):
+    """Reports 'not run' for requests that have run."""
 
-    def end(self, ended):
+    def handle_end(self, ended):
         request_id = self.starts[ended.attempt_id].request_id
         return [RefuseRequest(request_id, ResultCode.OVERLOADED, Ran.NOT_RUN, '')]
 
 
-class Truncator(SimpleInstance):
-    """Passes half an answer off as whole."""
+class TruncatingInstance(SimpleInstance):
+    """Reports a truncated answer as complete."""
 
-    def pass_chunk(self, chunk):
+    def forward_chunk(self, chunk):
         start = self.starts[chunk.attempt_id]
         if chunk.offset > 0 and start.stream:
             return []
-        return super().pass_chunk(chunk)
+        return super().forward_chunk(chunk)
 
 
-class Repeater(SimpleInstance):
-    """Sends everything twice."""
+class DuplicatingInstance(SimpleInstance):
+    """Sends every request twice."""
 
-    def begin(self, request):
+    def start_request(self, request):
         return [self.make_start(request), self.make_start(request, 2)]
 
 
-class Forgetter(SimpleInstance):
-    """Never tells a caller how it ended."""
+class UnresponsiveInstance(SimpleInstance):
+    """Never reports the outcome to a caller."""
 
-    def end(self, ended):
+    def handle_end(self, ended):
         return []
 
 
-def run(instance_class, seed=1, faults=()):
+def run_simulation(instance_class, seed=1, faults=()):
     def make(address, rng, epoch_offset_ms):
         return instance_class(address, rng)
 
-    world = World(PROFILES.get('small')(), seed, make)
-    world.configure()
-    workload = Workload(world, world.make_rng('load'))
-    begin_ms = world.heap.now_ms
-    for call_class in world.topology.classes:
-        workload.run_class(call_class, begin_ms, begin_ms + 4_000, lambda _: 2.0)
+    simulation = Simulation(PROFILES.get('small')(), seed, make)
+    simulation.configure()
+    workload = Workload(simulation, simulation.make_rng('load'))
+    start_ms = simulation.heap.now_ms
+    for call_class in simulation.topology.classes:
+        workload.run_class(call_class, start_ms, start_ms + 4_000, lambda _: 2.0)
     for at_ms, fault in faults:
-        world.heap.call_at(begin_ms + at_ms, fault, world)
-    world.run_for(30_000)
-    return world
+        simulation.heap.call_at(start_ms + at_ms, fault, simulation)
+    simulation.run_for(30_000)
+    return simulation
 
 
-def broken(world):
-    return {breach.promise for breach in find_breaches(world)}
+def broken_invariants(simulation):
+    return {violation.promise for violation in find_violations(simulation)}
 
 
-def summary(world):
+def summary(simulation):
     return [
-        (call.call_id, call.told, call.first_token_ms, call.ended_ms)
-        for call in world.callers.calls
+        (call.call_id, call.outcome, call.first_token_ms, call.ended_ms)
+        for call in simulation.callers.calls
     ]
 
 
-def test_honest_instance_breaks_nothing():
-    world = run(SimpleInstance)
-    assert len(world.callers.calls) > 20
-    assert all(call.is_whole for call in world.callers.calls)
-    assert broken(world) == set()
+def test_correct_instance_violates_no_invariant():
+    simulation = run_simulation(SimpleInstance)
+    assert len(simulation.callers.calls) > 20
+    assert all(call.is_complete for call in simulation.callers.calls)
+    assert broken_invariants(simulation) == set()
 
 
 def test_same_seed_gives_the_same_run_and_another_seed_does_not():
-    assert summary(run(SimpleInstance)) == summary(run(SimpleInstance))
-    assert summary(run(SimpleInstance)) != summary(run(SimpleInstance, seed=2))
+    assert summary(run_simulation(SimpleInstance)) == summary(
+        run_simulation(SimpleInstance)
+    )
+    assert summary(run_simulation(SimpleInstance)) != summary(
+        run_simulation(SimpleInstance, seed=2)
+    )
 
 
 @pytest.mark.parametrize(
     'instance_class, promise',
     [
-        (Liar, 'not-run-is-true'),
-        (Truncator, 'whole-and-own'),
-        (Repeater, 'at-most-once'),
-        (Forgetter, 'nothing-lost'),
+        (FalseNotRunInstance, 'not-run-is-true'),
+        (TruncatingInstance, 'whole-and-own'),
+        (DuplicatingInstance, 'at-most-once'),
+        (UnresponsiveInstance, 'nothing-lost'),
     ],
 )
-def test_checks_see_a_broken_promise(instance_class, promise):
-    assert promise in broken(run(instance_class))
+def test_checks_detect_a_violated_invariant(instance_class, promise):
+    assert promise in broken_invariants(run_simulation(instance_class))
 
 
-def test_work_for_a_leaving_endpoint_is_seen():
-    faults = [(0, lambda world: world.leave('engine-1'))]
-    assert 'leaving-gets-nothing' in broken(run(SimpleInstance, faults=faults))
+def test_work_for_a_leaving_endpoint_is_detected():
+    faults = [(0, lambda simulation: simulation.leave('engine-1'))]
+    assert 'leaving-gets-nothing' in broken_invariants(
+        run_simulation(SimpleInstance, faults=faults)
+    )
 
 
-def test_crash_of_an_engine_breaks_its_answers_only():
-    faults = [(2_000, lambda world: world.endpoints['engine-1'].crash())]
-    world = run(SimpleInstance, faults=faults)
-    codes = {call.code for call in world.callers.calls}
+def test_crash_of_an_engine_fails_only_its_own_calls():
+    faults = [(2_000, lambda simulation: simulation.endpoints['engine-1'].crash())]
+    simulation = run_simulation(SimpleInstance, faults=faults)
+    codes = {call.code for call in simulation.callers.calls}
     assert ResultCode.ENDPOINT_FAILED in codes
-    assert broken(world) == set()
+    assert broken_invariants(simulation) == set()
 
 
-def test_calls_of_a_crashed_instance_go_elsewhere():
-    faults = [(2_000, lambda world: world.instances['entry-01'].crash())]
-    world = run(SimpleInstance, faults=faults)
-    assert all(call.is_over for call in world.callers.calls)
-    late = [call for call in world.callers.calls if call.begun_ms > 12_000]
-    assert all(call.is_whole for call in late)
+def test_calls_of_a_crashed_instance_are_retried_at_others():
+    faults = [(2_000, lambda simulation: simulation.instances['entry-01'].crash())]
+    simulation = run_simulation(SimpleInstance, faults=faults)
+    assert all(call.is_finished for call in simulation.callers.calls)
+    late = [call for call in simulation.callers.calls if call.started_ms > 12_000]
+    assert all(call.is_complete for call in late)
--- a/tests/test_testing/test_stand_in_servers.py
+++ b/tests/test_testing/test_stand_in_servers.py
@@ -1,4 +1,4 @@
-"""The stand-ins over real sockets."""
+"""Tests of the stand-ins over real sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 async def call(port, method, path, document=None, headers=()):
-    """Send one request on a connection of its own; return status, head, body."""
+    """Send one request on a new connection; return status, head and body."""
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     body = b'' if document is None else json.dumps(document).encode()
     lines = [f'{method} {path} HTTP/1.1', 'host: x', 'connection: close']
@@ -39,17 +39,17 @@
     return {'model': 'model', 'messages': messages, 'stream': stream}
 
 
-def events_of(body):
+def list_events(body):
     lines = [line for line in body.decode().splitlines() if line.startswith('data: ')]
     return [line.removeprefix('data: ') for line in lines]
 
 
-def text_of(body):
-    events = [json.loads(event) for event in events_of(body) if event != '[DONE]']
+def join_text(body):
+    events = [json.loads(event) for event in list_events(body) if event != '[DONE]']
     return ''.join(event['choices'][0]['delta']['content'] for event in events)
 
 
-def test_engine_streams_and_answers_whole():
+def test_engine_answers_streamed_and_unstreamed_requests():
     async def run():
         async with serve_engine(ModelEngine(EngineSettings(), Random(1))) as server:
             path = '/v1/chat/completions'
@@ -68,17 +68,17 @@
     answer = write_answer(PROMPT, 0)
     assert streamed[0] == 200
     assert 'x-stream-id: s7' in streamed[1]
-    assert text_of(streamed[2]) == answer
-    assert events_of(streamed[2])[-1] == '[DONE]'
+    assert join_text(streamed[2]) == answer
+    assert list_events(streamed[2])[-1] == '[DONE]'
     document = json.loads(whole[2])
     assert document['choices'][0]['message']['content'] == answer
     assert document['usage']['completion_tokens'] == 12
-    assert answer.endswith(text_of(resumed[2]))
+    assert answer.endswith(join_text(resumed[2]))
     assert unknown[0] == 404
     assert json.loads(load[2])['state'] == 'active'
 
 
-def test_refusal_proves_that_nothing_ran():
+def test_refusal_states_that_nothing_ran():
     async def run():
         engine = ModelEngine(EngineSettings(), Random(1))
         engine.leaving = True
@@ -91,7 +91,7 @@
     assert 'x-leaving: 1' in head
 
 
-def test_crash_cuts_the_answer():
+def test_crash_interrupts_the_answer():
     async def run():
         async with serve_engine(ModelEngine(EngineSettings(), Random(1))) as server:
             loop = asyncio.get_running_loop()
@@ -117,12 +117,14 @@
         log = AppendLog(LogSettings(), Random(1))
         service = PlainService(ServiceSettings(service_ms=1))
         async with (
-            serve_log(log) as logs,
-            serve_list(InstanceList(lag_ms=0)) as names,
-            serve_service(service) as services,
+            serve_log(log) as log_server,
+            serve_list(InstanceList(lag_ms=0)) as list_server,
+            serve_service(service) as service_server,
         ):
-            appended = await call(logs.port, 'POST', '/streams/a/records', {'x': 1})
-            read = await call(logs.port, 'GET', '/streams/a/records?from=0&max=5')
+            appended = await call(
+                log_server.port, 'POST', '/streams/a/records', {'x': 1}
+            )
+            read = await call(log_server.port, 'GET', '/streams/a/records?from=0&max=5')
             entry = {
                 'instance': 'i1',
                 'incarnation': 1,
@@ -132,10 +134,12 @@
                 'caller_port': 1,
                 'peer_port': 2,
             }
-            await call(names.port, 'PUT', '/instances/i1', entry)
-            listed = await call(names.port, 'GET', '/instances')
+            await call(list_server.port, 'PUT', '/instances/i1', entry)
+            listed = await call(list_server.port, 'GET', '/instances')
             headers = [('x-attempt-id', 'a1')]
-            served = await call(services.port, 'POST', '/visits', {'v': 1}, headers)
+            served = await call(
+                service_server.port, 'POST', '/visits', {'v': 1}, headers
+            )
             return appended, read, listed, served, service.executions
 
     appended, read, listed, served, executions = asyncio.run(run())
--- a/tests/test_testing/test_virtual_loop.py
+++ b/tests/test_testing/test_virtual_loop.py
@@ -1,4 +1,4 @@
-"""Tests of the loop on virtual time."""
+"""Tests of the event loop with virtual time."""
 
 from __future__ import annotations
 
@@ -15,32 +15,34 @@
 def test_time_passes_only_in_waits():
     async def main():
         clock = LoopClock()
-        began_ms = clock.now_ms()
+        started_ms = clock.now_ms()
         await asyncio.sleep(HOUR_S)
-        return began_ms, clock.now_ms()
+        return started_ms, clock.now_ms()
 
     assert run_virtual(main()) == (0, HOUR_MS)
 
 
-def test_timers_go_off_in_order():
+def test_timers_fire_in_order():
     async def main():
-        heard = []
+        finished = []
 
-        async def say(delay_s):
+        async def wait_and_record(delay_s):
             await asyncio.sleep(delay_s)
-            heard.append(delay_s)
+            finished.append(delay_s)
 
-        await asyncio.gather(*(say(delay_s) for delay_s in (30, 5, 700, 10)))
-        return heard
+        await asyncio.gather(
+            *(wait_and_record(delay_s) for delay_s in (30, 5, 700, 10))
+        )
+        return finished
 
     assert run_virtual(main()) == [5, 10, 30, 700]
 
 
-def test_no_time_passes_while_bytes_are_under_way():
-    """A timeout that went off although the answer had been sent.
+def test_no_time_passes_while_bytes_are_in_transit():
+    """Guards against a timeout that fires although the answer was sent.
 
-    A call over loopback has a timeout of an hour.  The time must not jump there while
-    its bytes wait in the kernel.
+    A call over loopback has a timeout of an hour.  The time must not advance to it
+    while bytes of the call wait in the kernel.
     """
 
     async def main():
@@ -61,7 +63,7 @@
     assert run_virtual(main()) < HOUR_S
 
 
-def test_timeout_goes_off_without_a_wait():
+def test_timeout_fires_without_a_real_wait():
     async def main():
         async with asyncio.timeout(HOUR_S):
             await asyncio.Event().wait()
