--- a/savorychute/gateway/daemon/peer_message_router.py
+++ b/savorychute/gateway/daemon/peer_message_router.py
@@ -16,7 +16,7 @@
 from savorychute.gateway.store.store_answer import StoreAnswer
 from savorychute.gateway.store.store_question import StoreQuestion
 from savorychute.membership.ack import Ack
-from savorychute.membership.member_news import MemberNews
+from savorychute.membership.member_status import MemberStatus
 from savorychute.membership.ping import Ping
 
 if TYPE_CHECKING:
@@ -24,13 +24,13 @@
     from collections.abc import Callable
 
     from savorychute.gateway.discovery.instance_directory import InstanceDirectory
-    from savorychute.gateway.dispatch.lane_demand import LaneDemand
+    from savorychute.gateway.dispatch.partition_demand import PartitionDemand
     from savorychute.gateway.dispatch.shortages import Shortages
     from savorychute.gateway.duties.duty_candidates import DutyCandidates
     from savorychute.gateway.duties.true_time import TrueTime
     from savorychute.gateway.duties.usage_broadcaster import UsageBroadcaster
-    from savorychute.gateway.endpoints.statement_book import StatementBook
-    from savorychute.gateway.permits.permit_desk import PermitDesk
+    from savorychute.gateway.endpoints.statement_table import StatementTable
+    from savorychute.gateway.permits.permit_handler import PermitHandler
     from savorychute.gateway.recovery.crash_table import CrashTable
     from savorychute.gateway.store.read_plan import ReadPlan
     from savorychute.gateway.store.shared_reader import SharedReader
@@ -46,10 +46,10 @@
 
     directory: InstanceDirectory
     crashes: CrashTable
-    demand: LaneDemand
+    demand: PartitionDemand
     shortages: Shortages
-    statements: StatementBook
-    permits: PermitDesk
+    statements: StatementTable
+    permits: PermitHandler
     count_streams: Callable[[], int]
     plan: ReadPlan
     reading: SharedReader
@@ -70,18 +70,18 @@
         self._crash_broadcaster = CrashBroadcaster(parts.crashes)
         self._crash_inquiry = CrashHistoryFetcher(rng)
 
-    def make_update(self, now_ms: int) -> MemberNews:
+    def make_update(self, now_ms: int) -> MemberStatus:
         """Return the update that each probe carries to other instances.
 
         :param now_ms: the current time.
         """
         parts = self.parts
-        return MemberNews(
+        return MemberStatus(
             parts.demand.advertised(now_ms),
             parts.shortages.advertised(now_ms),
             parts.time.own_offset_ms() if parts.usage is not None else None,
-            parts.statements.limits.told(now_ms),
-            parts.statements.leaving.told(now_ms),
+            parts.statements.limits.announcements(now_ms),
+            parts.statements.leaving.announcements(now_ms),
         )
 
     def tick(self, view: MemberView, now_ms: int) -> list[SendPeer]:
@@ -92,7 +92,7 @@
         """
         parts = self.parts
         parts.plan.set_view(view)
-        parts.permits.follow(view)
+        parts.permits.set_view(view)
         parts.demand.observe(parts.count_streams(), len(view.alive), now_ms)
         parts.shortages.instances = max(1, len(view.alive))
         parts.candidates.set_view(view)
@@ -132,9 +132,9 @@
                 response = parts.reading.respond(message, now_ms)
                 return _reply(view, sender, response)
             case PermitAnswer():
-                parts.permits.take_answer(message)
+                parts.permits.handle_answer(message)
             case PermitQuestion():
-                return _reply(view, sender, parts.permits.answer(message))
+                return _reply(view, sender, parts.permits.handle_question(message))
             case UsageTold():
                 if parts.usage is not None:
                     parts.usage.handle(sender, message)
@@ -146,10 +146,10 @@
         self, sender: str, probe: Ping | Ack, now_ms: int
     ) -> None:
         parts = self.parts
-        parts.demand.hear(probe.load, now_ms)
-        parts.shortages.hear(probe.shortages, now_ms)
-        parts.statements.limits.hear(probe.limits, now_ms)
-        parts.statements.leaving.hear(probe.leaving, now_ms)
+        parts.demand.record_reported(probe.load, now_ms)
+        parts.shortages.record_reported(probe.shortages, now_ms)
+        parts.statements.limits.record_reported(probe.limits, now_ms)
+        parts.statements.leaving.record_reported(probe.leaving, now_ms)
         parts.time.record_wall_time(sender, probe.wall_ms, now_ms)
 
     def record_readiness(
--- a/savorychute/gateway/duties/duty_claims.py
+++ b/savorychute/gateway/duties/duty_claims.py
@@ -15,7 +15,7 @@
 from savorychute.inputs.log_record import LogRecord
 from savorychute.inputs.records_read import RecordsRead
 from savorychute.leases.lease_change import LAPSED, LeaseChange
-from savorychute.leases.lease_keeper import LeaseKeeper
+from savorychute.leases.lease_manager import LeaseManager
 from savorychute.leases.lease_record import LEASE_STREAM
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
         self._settings = settings
         self._rng = rng
         self._store_era = store_era
-        self._lease_manager: LeaseKeeper | None = None
+        self._lease_manager: LeaseManager | None = None
         self._next_claim_ms = 0
         self._changes: list[LeaseChange] = []
         self.records = DutyRecords()
@@ -115,7 +115,7 @@
             )
             self._changes.append(lapsed)
         self.records.start_era(era, true_ms)
-        self._lease_manager = LeaseKeeper(self._settings, self._instance, self._rng)
+        self._lease_manager = LeaseManager(self._settings, self._instance, self._rng)
         claim_delay_ms = NEW_ERA_CLAIM_DELAY_MS if held_claim is None else 0
         self._next_claim_ms = now_ms + claim_delay_ms
 
--- a/savorychute/gateway/requests/request_execution.py
+++ b/savorychute/gateway/requests/request_execution.py
@@ -130,7 +130,7 @@
     def attempt_unsent(self, attempt: Attempt, reason: str) -> None:
         """Continue after an attempt that failed before any byte was sent."""
         record = attempt.choice.record
-        record.health.silent(self.now_ms())
+        record.health.record_unresponsive(self.now_ms())
         self._parts.crashes.endpoint_ended(record.entry.run, self.now_ms())
         self._log_attempt(attempt, 'unsent', reason)
         self._sends -= 1
@@ -140,7 +140,7 @@
 
     def attempt_withheld(self, attempt: Attempt) -> None:
         """Continue after an attempt whose endpoint no longer accepts it."""
-        self._search.take_back(attempt.choice.record.entry.run)
+        self._search.release(attempt.choice.record.entry.run)
         self._log_attempt(attempt, 'withheld', '')
         self._sends -= 1
         if self._can_continue() and self._send():
@@ -151,7 +151,7 @@
         """Continue after an attempt that may have run and has no complete response."""
         now_ms = self.now_ms()
         record = attempt.choice.record
-        record.health.silent(now_ms)
+        record.health.record_unresponsive(now_ms)
         self.possible_executions += 1
         if reason == 'connection-lost':
             crash = CrashSighting(self._admitted.fingerprint, record.entry.run)
@@ -173,7 +173,7 @@
         if response.is_stream and not self._response.relay.is_between_events:
             self.attempt_interrupted(attempt, 'event-cut')
             return
-        attempt.choice.record.health.succeeded(self.now_ms())
+        attempt.choice.record.health.record_success(self.now_ms())
         if response.is_stream:
             self._observer.record_stream_end(attempt, self._response.relay.events)
         self._log_attempt(attempt, 'answered', '')
@@ -187,9 +187,9 @@
         response = attempt.response
         assert response is not None
         if response.kind is ResponseKind.OTHER_ENDPOINT:
-            self._parts.roster.end(attempt.choice.record.entry.run)
+            self._parts.roster.record_end(attempt.choice.record.entry.run)
         else:
-            attempt.choice.record.health.failed(self.now_ms())
+            attempt.choice.record.health.record_failure(self.now_ms())
             self._refusals.record_rejection(response.retry_after_ms)
         self._log_attempt(attempt, 'rejected', response.kind.name.lower())
         if self._can_continue() and self._send_retry():
@@ -200,7 +200,7 @@
         """Retry a request that an endpoint failed, or forward the failure."""
         response = attempt.response
         assert response is not None
-        attempt.choice.record.health.failed(self.now_ms())
+        attempt.choice.record.health.record_failure(self.now_ms())
         self.possible_executions += 1
         self._log_attempt(attempt, 'failed', str(response.status))
         if self._retry():
@@ -224,7 +224,7 @@
 
     def _send_retry(self) -> bool:
         """Send a retry within the shared bound, if there is an endpoint."""
-        has_other = self._search.has_other(self.now_ms())
+        has_other = self._search.has_alternative(self.now_ms())
         return has_other and self._spend_retry() and self._send()
 
     def _can_continue(self) -> bool:
@@ -254,12 +254,12 @@
         found = self._search.find(
             now_ms, bool(self.possible_executions), self._resume_search
         )
-        if found is NotFound.ASKING:
+        if found is NotFound.PENDING:
             self._set_timer()
             return True
         if found is NotFound.NONE_LEFT:
             return False
-        if found in (NotFound.OVERLOADED, NotFound.CLOSED):
+        if found in (NotFound.OVERLOADED, NotFound.SUSPENDED):
             self._record_refusal(found, now_ms)
             return False
         self._send_to(found, now_ms)
@@ -267,7 +267,7 @@
 
     def _record_refusal(self, found: NotFound, now_ms: int) -> None:
         """Record after which delay the caller should retry."""
-        wait_ms = self._search.wait_ms(now_ms) if found is NotFound.CLOSED else 0
+        wait_ms = self._search.wait_ms(now_ms) if found is NotFound.SUSPENDED else 0
         self._refusals.record_overload(self._parts.guard.retry_after_ms(wait_ms))
         if self._admitted.service.runs_models:
             self._observer.record_refusal(now_ms)
@@ -350,7 +350,7 @@
             self._abandon_attempt(attempt)
             return
         record = attempt.choice.record
-        self._parts.loads.ask(
+        self._parts.loads.query(
             record,
             lambda is_alive: self._probe_completed(attempt, is_alive),
             self._admitted.rank,
@@ -366,11 +366,11 @@
 
     def _abandon_attempt(self, attempt: Attempt) -> None:
         """Close an unresponsive attempt and try another endpoint, if there is one."""
-        can_go = self._can_continue() and self._search.has_other(self.now_ms())
+        can_go = self._can_continue() and self._search.has_alternative(self.now_ms())
         if not can_go or not self._spend_retry():
             return
         attempt.stop()
-        attempt.choice.record.health.silent(self.now_ms())
+        attempt.choice.record.health.record_unresponsive(self.now_ms())
         self.possible_executions += attempt.sent
         self._log_attempt(attempt, 'silent', '')
         self._response.relay.restart()
--- a/savorychute/gateway/store/endpoint_listener.py
+++ b/savorychute/gateway/store/endpoint_listener.py
@@ -70,7 +70,7 @@
             self._roster.store_failed(now_ms)
         for update in decoded:
             if isinstance(update, EndpointNews) and update.unreadable:
-                self._roster.withhold(update.endpoint)
+                self._roster.exclude(update.endpoint)
         self._roster.apply_all(entries, now_ms)
         self._last_states = {
             each.endpoint: (each.run, each.draining) for each in entries
@@ -144,7 +144,7 @@
             return
         self._telemetry.endpoint_gone(update.endpoint)
         if update.unreadable:
-            self._roster.withhold(update.endpoint)
+            self._roster.exclude(update.endpoint)
         else:
             self._roster.remove(update.endpoint, self._clock.now_ms())
         self._last_states.pop(update.endpoint, None)
--- a/savorychute/testing/instance_host.py
+++ b/savorychute/testing/instance_host.py
@@ -129,8 +129,8 @@
         This reads private state of the instance.
         """
         ledger = self.instance._parts.credits
-        group = ledger._book.group_of(endpoint)
-        return group is not None and ledger._homes.find(group.key) is not None
+        group = ledger._groups.group_of(endpoint)
+        return group is not None and ledger._home_handler.find(group.key) is not None
 
     def now_ms(self) -> int:
         """Return the time of the instance's own clock."""
