--- a/savorychute/testing/callers.py
+++ b/savorychute/testing/callers.py
@@ -82,7 +82,7 @@
     def failed(self, call: Call, refusal: Refusal, call_attempt: CallAttempt) -> None:
         """Retry after a refusal or an interrupted answer, or end the call.
 
-        The rules are those of :class:`savorychute.client.call_run.CallRun`.
+        The rules are those of :class:`savorychute.client.call_execution.CallExecution`.
         """
         self._open_attempts.pop(call.call_id, None)
         if refusal.location and call.redirects < MAX_REDIRECTS:
