--- a/benches/routing_rig.py
+++ b/benches/routing_rig.py
@@ -181,7 +181,7 @@
         )
 
     def _slow_down(self, now_ms: float) -> None:
-        events = self.engines['engine-0'].set_straggle(self.scenario.straggler, now_ms)
+        events = self.engines['engine-0'].set_slowdown(self.scenario.straggler, now_ms)
         self._handle_events('engine-0', events, now_ms)
 
     def _arrive(self, number: int, now_ms: float) -> None:
--- a/savorychute/cmd/scenario_page.py
+++ b/savorychute/cmd/scenario_page.py
@@ -39,9 +39,9 @@
     """Return the reference page of the scenario language."""
     # Imported here because no other page needs the stand-ins.
     from savorychute.testing.faults import FAULTS, FaultStep
+    from savorychute.testing.invariants import INVARIANTS
     from savorychute.testing.measures import ClassFigures, RunFigures
     from savorychute.testing.profiles import PROFILES
-    from savorychute.testing.promises import PROMISES
     from savorychute.testing.scenario import Expectation, LoadSpec, Scenario
 
     sections = (
@@ -50,7 +50,7 @@
         _format_struct('``at``', FaultStep),
         _format_registry('Faults and commands', FAULTS),
         _format_struct('``expect``', Expectation),
-        _format_registry('Promises', PROMISES),
+        _format_registry('Promises', INVARIANTS),
         _format_names('Measures of a run', RunFigures._fields),
         _format_names('Measures of a class', ClassFigures._fields),
         _format_names('Systems', PROFILES),
--- a/tests/test_instance/test_placement_handler.py
+++ b/tests/test_instance/test_placement_handler.py
@@ -9,9 +9,9 @@
 from savorychute.instance import InstanceSettings
 from savorychute.leases.order_request import LOAD, UNLOAD
 from savorychute.placement import PlacementSettings
-from savorychute.testing.drive import make_world
-from savorychute.testing.order_gate import EngineOrder
+from savorychute.testing.order_handler import EngineOrder
 from savorychute.testing.profiles import build_small
+from savorychute.testing.simulation_factory import make_simulation
 from savorychute.testing.workload import Workload
 
 MODELS = ['model', 'large']
@@ -48,7 +48,7 @@
     """A configured system whose orders are collected."""
 
     def __init__(self):
-        self.simulation = make_world(build_topology(), 1, SETTINGS)
+        self.simulation = make_simulation(build_topology(), 1, SETTINGS)
         self.orders = []
         for host in self.simulation.instances.values():
             host.instance.events.connect('order-sent', self.orders.append)
@@ -122,7 +122,7 @@
     fixture.generate_requests('model', 20_000)
     holder = fixture.find_holder()
     late_orders = []
-    holder._performers[SendOrder] = late_orders.append
+    holder._action_handlers[SendOrder] = late_orders.append
     fixture.generate_requests('large', 20_000)
     assert [order.verb for order in late_orders] == [UNLOAD]
     holder.pause()
