--- a/benches/capacity_roles/client_role.py
+++ b/benches/capacity_roles/client_role.py
@@ -56,7 +56,7 @@
     interval_s = (settings.min_lifetime_ms + settings.max_lifetime_ms) / 2_000
     return RoleSample(
         instances,
-        state_bytes=allocated_bytes(build_address_book),
+        state_bytes=allocated_bytes(build_address_table),
         sent_messages_per_s=1 / interval_s,
         received_messages_per_s=1 / interval_s,
         sent_bytes_per_s=len(frame_request(request, alive[0].host)) / interval_s,
@@ -65,8 +65,8 @@
     )
 
 
-def build_address_book() -> AddressTable:
-    """Return the address book of a client; its connections are not counted."""
+def build_address_table() -> AddressTable:
+    """Return the address table of a client; its connections are not counted."""
     seeds = tuple(ServerAddress(f'10.0.0.{n}', 8400) for n in range(SEEDS))
     pool: ClientPool = None  # type: ignore[assignment]
     return AddressTable(ClientSettings(seeds, CALLER_TOKEN), pool, ManualClock())
