--- a/tests/test_fleet/test_explaining.py
+++ b/tests/test_fleet/test_explaining.py
@@ -40,8 +40,8 @@
     """Run a scenario; return its response and the explanation of its last request."""
 
     async def main():
-        async with asyncio.timeout(TEST_S), run_fleet() as rig:
-            return await scenario(rig), rig.last_attempt_id
+        async with asyncio.timeout(TEST_S), run_fleet() as fleet:
+            return await scenario(fleet), fleet.last_attempt_id
 
     path = tmp_path / 'log'
     with log_file(path):
@@ -50,10 +50,10 @@
 
 
 def test_refusal_under_load(tmp_path):
-    async def scenario(rig):
-        engine = rig.endpoints['e1']
+    async def scenario(fleet):
+        engine = fleet.endpoints['e1']
         engine.report_body = b'{"waiting":90,"running":8,"runs":[],"nextToken":17000}'
-        return await rig.call('/s/1', method='POST', extra=LONG_PROMPT)
+        return await fleet.call('/s/1', method='POST', extra=LONG_PROMPT)
 
     response, story = explain(scenario, tmp_path)
 
@@ -63,13 +63,13 @@
 
 
 def test_outcome_unknown_after_a_crash(tmp_path):
-    async def scenario(rig):
-        for endpoint in rig.endpoints.values():
+    async def scenario(fleet):
+        for endpoint in fleet.endpoints.values():
             endpoint.aborts = True
-        response = await rig.call('/a/1')
-        rig.store.put('keyed.servers', 'd1', None)
-        await rig.call_until_status(503)
-        rig.last_attempt_id = response_id
+        response = await fleet.call('/a/1')
+        fleet.store.put('keyed.servers', 'd1', None)
+        await fleet.call_until_status(503)
+        fleet.last_attempt_id = response_id
         return response
 
     response_id = 'try-2'
@@ -81,9 +81,9 @@
 
 
 def test_refused_key_after_it_was_revoked(tmp_path):
-    async def scenario(rig):
-        rig.write_configuration(2, tenants=[{'name': 'kochi', 'apiKeys': ['new']}])
-        return await rig.call_until_status(401)
+    async def scenario(fleet):
+        fleet.write_configuration(2, tenants=[{'name': 'kochi', 'apiKeys': ['new']}])
+        return await fleet.call_until_status(401)
 
     response, story = explain(scenario, tmp_path)
 
@@ -93,9 +93,9 @@
 
 
 def test_refused_key_while_the_store_is_unavailable(tmp_path):
-    async def scenario(rig):
-        rig.store.mode = 'busy'
-        return await rig.call_until_status(503)
+    async def scenario(fleet):
+        fleet.store.mode = 'busy'
+        return await fleet.call_until_status(503)
 
     response, story = explain(scenario, tmp_path)
 
@@ -105,10 +105,10 @@
 
 
 def test_refusal_if_the_only_endpoint_accepts_no_more_calls(tmp_path):
-    async def scenario(rig):
-        rig.endpoints['d1'].statement_headers = (('server-limit', '0.5'),)
-        await rig.call()
-        return await rig.call()
+    async def scenario(fleet):
+        fleet.endpoints['d1'].statement_headers = (('server-limit', '0.5'),)
+        await fleet.call()
+        return await fleet.call()
 
     response, story = explain(scenario, tmp_path)
 
@@ -118,10 +118,10 @@
 
 
 def test_refusal_if_the_only_endpoint_rests(tmp_path):
-    async def scenario(rig):
-        endpoint = rig.endpoints['d1']
+    async def scenario(fleet):
+        endpoint = fleet.endpoints['d1']
         endpoint.sheds, endpoint.statement_headers = True, (('retry-after', '3'),)
-        return await rig.call()
+        return await fleet.call()
 
     response, story = explain(scenario, tmp_path)
 
@@ -130,10 +130,10 @@
 
 
 def test_refusal_if_the_only_endpoint_has_announced_that_it_leaves(tmp_path):
-    async def scenario(rig):
-        rig.endpoints['d1'].statement_headers = (('server-leaving', '1'),)
-        await rig.call()
-        return await rig.call()
+    async def scenario(fleet):
+        fleet.endpoints['d1'].statement_headers = (('server-leaving', '1'),)
+        await fleet.call()
+        return await fleet.call()
 
     response, story = explain(scenario, tmp_path)
 
--- a/tests/test_fleet/test_retries_over_restarts.py
+++ b/tests/test_fleet/test_retries_over_restarts.py
@@ -17,24 +17,24 @@
 REQUEST_INTERVAL_S = 0.25
 
 
-async def send_requests(rig, gateway, end_s):
+async def send_requests(fleet, gateway, end_s):
     """Send requests to an instance, even while it is not running."""
     calls = set()
-    while rig.now_s() < end_s:
-        rig.sent_s.append(rig.now_s())
-        call = asyncio.create_task(rig.call(gateway=gateway))
+    while fleet.now_s() < end_s:
+        fleet.sent_s.append(fleet.now_s())
+        call = asyncio.create_task(fleet.call(gateway=gateway))
         calls.add(call)
         await asyncio.sleep(REQUEST_INTERVAL_S)
     await asyncio.gather(*calls)
 
 
-def find_retries(rig):
+def find_retries(fleet):
     """Return when endpoints received a request that one of them had received before."""
     seen = set()
     retries = []
     arrivals = sorted(
         (at_s, headers['attempt-id'])
-        for endpoint in rig.endpoints.values()
+        for endpoint in fleet.endpoints.values()
         for at_s, headers in zip(
             endpoint.received_times_s, endpoint.received, strict=True
         )
@@ -46,12 +46,12 @@
     return retries
 
 
-def find_excess(rig):
+def find_excess(fleet):
     """Return by how much the worst window exceeds the retry bound."""
-    retries = find_retries(rig)
+    retries = find_retries(fleet)
     assert retries
     return max(
-        count_between(retries, at_s, at_s + WINDOW_S) - find_allowed(rig.sent_s, at_s)
+        count_between(retries, at_s, at_s + WINDOW_S) - find_allowed(fleet.sent_s, at_s)
         for at_s in retries
     )
 
@@ -80,19 +80,19 @@
         }
         async with (
             asyncio.timeout(TEST_S),
-            run_fleet(GATEWAYS, plain_endpoints=5, **settings) as rig,
+            run_fleet(GATEWAYS, plain_endpoints=5, **settings) as fleet,
         ):
-            rig.sent_s = []
+            fleet.sent_s = []
             # The gateways must know each other before the storm.
             await asyncio.sleep(12)
-            for endpoint in rig.endpoints.values():
+            for endpoint in fleet.endpoints.values():
                 endpoint.sheds = True
-            end_s = rig.now_s() + duration_s
+            end_s = fleet.now_s() + duration_s
             async with asyncio.TaskGroup() as tasks:
                 for number in range(GATEWAYS):
-                    tasks.create_task(send_requests(rig, number, end_s))
-                tasks.create_task(disturb(rig))
-            return rig
+                    tasks.create_task(send_requests(fleet, number, end_s))
+                tasks.create_task(disturb(fleet))
+            return fleet
 
     return run_virtual(main())
 
@@ -100,12 +100,12 @@
 def test_killed_instances_do_not_spend_their_share_again_after_a_start():
     """Guards against retries that an instance no longer counts after a restart."""
 
-    async def kill_most(rig):
+    async def kill_most(fleet):
         await asyncio.sleep(4)
-        for gateway in rig.gateways[1:]:
+        for gateway in fleet.gateways[1:]:
             await gateway.kill()
         await asyncio.sleep(0.5)
-        for gateway in rig.gateways[1:]:
+        for gateway in fleet.gateways[1:]:
             await gateway.start()
 
     assert find_excess(run_storm(kill_most, duration_s=8)) <= 0
@@ -114,11 +114,11 @@
 def test_slack_is_divided_by_instances_that_left_within_the_window():
     """Guards against ignoring instances that left but whose retries still count."""
 
-    async def restart_most(rig):
+    async def restart_most(fleet):
         await asyncio.sleep(2)
-        await asyncio.gather(*(rig.gateways[number].stop() for number in (1, 2, 3)))
+        await asyncio.gather(*(fleet.gateways[number].stop() for number in (1, 2, 3)))
         await asyncio.sleep(0.5)
-        for gateway in rig.gateways[1:]:
+        for gateway in fleet.gateways[1:]:
             await gateway.start()
 
     assert find_excess(run_storm(restart_most, duration_s=14)) <= 0
@@ -127,15 +127,15 @@
 def test_instances_killed_during_a_calm_phase_retry_at_once_after_a_start():
     """Guards against keeping to the bound by sending no retries after each kill."""
 
-    async def kill_all(rig):
-        for gateway in rig.gateways:
+    async def kill_all(fleet):
+        for gateway in fleet.gateways:
             await gateway.kill()
-        for gateway in rig.gateways:
+        for gateway in fleet.gateways:
             await gateway.start()
-        rig.started_s = rig.now_s()
+        fleet.started_s = fleet.now_s()
 
-    rig = run_storm(kill_all, duration_s=8)
-    soon = count_between(find_retries(rig), rig.started_s, rig.started_s + 5)
+    fleet = run_storm(kill_all, duration_s=8)
+    soon = count_between(find_retries(fleet), fleet.started_s, fleet.started_s + 5)
 
-    assert find_excess(rig) <= 0
+    assert find_excess(fleet) <= 0
     assert soon >= GATEWAYS
