--- a/savorychute/admission/shed_request.py
+++ b/savorychute/admission/shed_request.py
@@ -9,7 +9,7 @@
 
 
 class ShedRequest(NamedTuple):
-    """A waiting request whose caller is told at once that it was not run."""
+    """A waiting request that is refused immediately, without having run."""
 
     request_id: str
     code: ResultCode
--- a/savorychute/configuration/endpoint_rules.py
+++ b/savorychute/configuration/endpoint_rules.py
@@ -54,7 +54,7 @@
 
     The state ``retired`` is final, because instances may already have discarded
     their state of the endpoint.  To use the endpoint again, an operator removes it
-    and adds it anew.  An endpoint that is not retired cannot be removed, because
+    and adds it again.  An endpoint that is not retired cannot be removed, because
     work may still be running there.
 
     :param before: the document in force, None for a new endpoint.
--- a/savorychute/configuration/log_reader.py
+++ b/savorychute/configuration/log_reader.py
@@ -20,7 +20,7 @@
     """Schedules one read at a time, and tracks the state of the log.
 
     :param settings: intervals and timeouts.
-    :param rng: adds jitter, which spreads the reads of many instances over time.
+    :param rng: adds jitter, which max_jitter_mss the reads of many instances over time.
     """
 
     def __init__(self, settings: ConfigurationSettings, rng: random.Random) -> None:
@@ -91,5 +91,5 @@
         self._failed_ms = now_ms
 
     def _jitter(self, interval_ms: int) -> int:
-        spread = interval_ms * JITTER_SHARE
-        return round(interval_ms + self._rng.uniform(-spread, spread))
+        max_jitter_ms = interval_ms * JITTER_SHARE
+        return round(interval_ms + self._rng.uniform(-max_jitter_ms, max_jitter_ms))
--- a/savorychute/daemon/attempt_runner.py
+++ b/savorychute/daemon/attempt_runner.py
@@ -70,7 +70,7 @@
         """Cancel an attempt; the instance receives no more inputs about it.
 
         The connection is aborted first.  An engine that was asked to keep the
-        stream after a lost connection is then told whether to keep it.
+        stream after a lost connection is then notified whether to keep it.
 
         :param cancel: the attempt, and whether its stream is kept.
         """
--- a/savorychute/gateway/daemon/peer_message_router.py
+++ b/savorychute/gateway/daemon/peer_message_router.py
@@ -40,8 +40,8 @@
 class PeerParts(NamedTuple):
     """The parts of an instance that exchange messages, or that need the members.
 
-    ``count_streams`` returns how many steady streams of this instance run.  ``usage``
-    is None if usage is not reported.
+    ``count_streams`` returns how many latency-sensitive streams of this instance run.
+    ``usage`` is None if usage is not reported.
     """
 
     directory: InstanceDirectory
--- a/savorychute/gateway/dispatch/engine_state.py
+++ b/savorychute/gateway/dispatch/engine_state.py
@@ -55,8 +55,8 @@
 
     All running streams slow each other down, but of the waiting requests only those
     count that a request of this rank cannot pass.  When all of them counted, the most
-    urgent streams considered engines with a queue of summaries full and crowded the
-    last one without a queue.
+    urgent streams considered engines with a queue of summaries congested and
+    overloaded the last one without a queue.
     """
     load = usable_load(record, now_ms)
     if load is None:
--- a/savorychute/gateway/dispatch/prompt_cache.py
+++ b/savorychute/gateway/dispatch/prompt_cache.py
@@ -289,7 +289,7 @@
         An engine without a report seems idle to this instance and would get the
         requests that all instances move away from busy engines.  For a large prompt a
         substitute must be nearly idle: if all engines are busy, each prompt that is
-        prefilled anew takes the time of four cached ones, and more homes become busy.
+        prefilled again takes the time of 4 cached ones, and more homes become busy.
         """
         if not prompt.affinity:
             reported = [each for each in ranked if has_usable_report(each, now_ms)]
--- a/savorychute/gateway/duties/duty_records.py
+++ b/savorychute/gateway/duties/duty_records.py
@@ -100,7 +100,7 @@
         """Store a report that was settled in the current era.
 
         A report of an earlier era is ignored. It may be a copy of a settled report, or
-        a delayed write that settled nothing, and the two cannot be told apart.
+        a delayed write that settled nothing, and the two cannot be distinguished.
         """
         settled = decode_record(value, SettledRecord)
         if settled is not None and settled.era == self.era:
--- a/savorychute/gateway/duties/true_time.py
+++ b/savorychute/gateway/duties/true_time.py
@@ -17,11 +17,11 @@
     """Estimates the true time from the clocks of this host and of other instances.
 
     The time of day may jump by seconds on some of the hosts, and hosts that divided
-    time into windows by their own clocks would then disagree. The steady clock advances
-    evenly, so only its offset from the true time is estimated: the median of the
-    offsets of other instances' clocks and of this host's own clock.
+    time into windows by their own clocks would then disagree. The monotonic clock
+    advances evenly, so only its offset from the true time is estimated: the median of
+    the offsets of other instances' clocks and of this host's own clock.
 
-    :param clock: the steady clock.
+    :param clock: the monotonic clock.
     :param wall_clock: the time of day of this host.
     """
 
@@ -32,7 +32,7 @@
         self._offset_ms: int | None = None
 
     def own_offset_ms(self) -> int:
-        """Return this host's time of day minus its steady clock."""
+        """Return this host's time of day minus its monotonic clock."""
         return self._wall_clock.wall_ms() - self._clock.now_ms()
 
     def record_wall_time(self, instance: str, wall_ms: int, now_ms: int) -> None:
@@ -43,7 +43,7 @@
 
         :param instance: the name of the sender.
         :param wall_ms: its time of day; 0 if unknown.
-        :param now_ms: the steady clock when the message was received.
+        :param now_ms: the monotonic clock when the message was received.
         """
         if not wall_ms:
             return
@@ -53,15 +53,15 @@
             del self._offsets_ms[next(iter(self._offsets_ms))]
         self._offset_ms = None
 
-    def at_ms(self, steady_ms: int) -> int:
-        """Convert a time of the steady clock to the true time.
+    def at_ms(self, monotonic_ms: int) -> int:
+        """Convert a time of the monotonic clock to the true time.
 
-        :param steady_ms: the time of the steady clock.
+        :param monotonic_ms: the time of the monotonic clock.
         """
         if self._offset_ms is None:
             offsets_ms = [*self._offsets_ms.values(), self.own_offset_ms()]
             self._offset_ms = int(median_low(offsets_ms))
-        return steady_ms + self._offset_ms
+        return monotonic_ms + self._offset_ms
 
     def now_ms(self) -> int:
         """Return the current true time."""
--- a/savorychute/gateway/duties/usage_counter.py
+++ b/savorychute/gateway/duties/usage_counter.py
@@ -43,7 +43,7 @@
 
         :param organisation: the organisation of the request; empty for callers without
             a key.
-        :param started_ms: when the endpoint started it, on the steady clock.
+        :param started_ms: when the endpoint started it, on the monotonic clock.
         """
         if self._windows is None or not organisation:
             return
--- a/savorychute/leases/order_handler.py
+++ b/savorychute/leases/order_handler.py
@@ -33,7 +33,7 @@
     is sent again.
 
     :param settings: the timeouts.
-    :param keeper: the manager of the leases.
+    :param leases: the manager of the leases.
     """
 
     def __init__(self, settings: LeaseSettings, leases: LeaseManager) -> None:
--- a/savorychute/recovery/suspect_lanes.py
+++ b/savorychute/recovery/suspect_lanes.py
@@ -14,19 +14,20 @@
 
 
 class SuspectLanes:
-    """Assigns the endpoints of a pool (lanes) to the instances in turn.
+    """Assigns the endpoints of a pool to the instances round-robin.
 
     After a crash every instance has suspects to run again at once.  If suspects
     of several instances run on the same endpoint and it crashes, all of them
     share both crashes and each has to be run once more, at the cost of another
-    crash.  Instances with the same view of members and endpoints never share a
-    lane at a time; with different views they may, and their suspects are then
-    run once more.  If there are fewer endpoints than instances, those that share
-    a lane take turns, counted from the crash, which all of them observe at the
-    same moment because their connections break.
+    crash.  Instances with the same view of members and endpoints never use the
+    same endpoint at the same time; with different views they may, and their
+    suspects are then run once more.  If there are fewer endpoints than instances,
+    the instances that share an endpoint take turns.  Turns are counted from the
+    crash, which all instances observe at the same moment because their connections
+    break.
 
     :param instance: the name of this instance.
-    :param turn_ms: the length of a turn in a shared lane.
+    :param turn_ms: the length of a turn at a shared endpoint.
     """
 
     def __init__(self, instance: str, turn_ms: int) -> None:
@@ -39,14 +40,14 @@
     def set_endpoints(self, documents: Mapping[str, EndpointDocument]) -> None:
         """Set the configured endpoints."""
         self._endpoints = dict(documents)
-        self._assign_lanes()
+        self._assign_endpoints()
 
     def set_view(self, view: MemberView) -> None:
         """Set the current members."""
         members = tuple(sorted(peer.instance for peer in view.alive))
         if members != self._members:
             self._members = members
-            self._assign_lanes()
+            self._assign_endpoints()
 
     def is_assigned(self, endpoint: str, age_ms: int) -> bool:
         """Return whether this instance may run a suspect on *endpoint* now.
@@ -58,7 +59,7 @@
         turn, turn_count = self._turns.get(endpoint, (0, 0))
         return turn_count > 0 and age_ms // self._turn_ms % turn_count == turn
 
-    def _assign_lanes(self) -> None:
+    def _assign_endpoints(self) -> None:
         groups: dict[tuple[str, ...], list[str]] = {}
         for name, document in sorted(self._endpoints.items()):
             groups.setdefault(list_groups(document), []).append(name)
@@ -74,6 +75,6 @@
             for name in names[position::members]:
                 self._turns[name] = (0, 1)
             return
-        lane = position % len(names)
-        turn_count = len(range(lane, members, len(names)))
-        self._turns[names[lane]] = (position // len(names), turn_count)
+        index = position % len(names)
+        turn_count = len(range(index, members, len(names)))
+        self._turns[names[index]] = (position // len(names), turn_count)
--- a/savorychute/requests/request_lifecycle.py
+++ b/savorychute/requests/request_lifecycle.py
@@ -61,7 +61,7 @@
 
     @property
     def ran(self) -> Ran:
-        """What the caller can currently be told about the execution."""
+        """Whether the request ran, as far as this can be reported to the caller."""
         if self.state is RequestState.ANSWERED:
             return Ran.RAN
         if self.state is RequestState.UNKNOWN or not self.can_claim_not_run:
