--- a/tests/test_gateway/test_permit_handler.py
+++ b/tests/test_gateway/test_permit_handler.py
@@ -109,7 +109,7 @@
     assert not own_home.handler.can_send(RUN, permit, now_ms + PERMIT_LIFETIME_MS + 1)
 
 
-def test_permit_lifetime_starts_at_the_question(remote_home):
+def test_permit_lifetime_starts_when_it_is_requested(remote_home):
     asked_ms = remote_home.clock.now_ms()
     remote_home.timers.advance(ANSWER_TIMEOUT_MS - 1)
     remote_home.handler.handle_answer(
--- a/tests/test_gateway/test_topic_follower.py
+++ b/tests/test_gateway/test_topic_follower.py
@@ -85,7 +85,7 @@
         return read
 
 
-def follow(topic):
+def run_follower(topic):
     listener = RecordingListener()
     clock = ManualClock(START_MS)
     counter = StoreCallCounter(Metrics('k0', GATEWAY_METRICS))
@@ -119,7 +119,7 @@
         TopicDelta((KeyedRecord(4, 'b', b'1'),), 5),
     )
 
-    assert follow(topic).events == [('listed', ['a']), ('changed', ['b'])]
+    assert run_follower(topic).events == [('listed', ['a']), ('changed', ['b'])]
     assert topic.calls == ['list', 4, 5]
 
 
@@ -135,7 +135,7 @@
         TopicSnapshot((KeyedRecord(9, 'a', b'2'),), 10),
     )
 
-    assert follow(topic).events == [('listed', []), ('listed', ['a'])]
+    assert run_follower(topic).events == [('listed', []), ('listed', ['a'])]
 
 
 def test_outage_is_reported_and_retried():
@@ -145,7 +145,11 @@
         TopicSnapshot((KeyedRecord(1, 'a', b'1'),), 2),
     )
 
-    assert follow(topic).events == [('failed', []), ('failed', []), ('listed', ['a'])]
+    assert run_follower(topic).events == [
+        ('failed', []),
+        ('failed', []),
+        ('listed', ['a']),
+    ]
 
 
 def test_calls_are_counted_by_purpose():
@@ -162,7 +166,7 @@
         TopicDelta((), 4),
     )
 
-    assert follow(topic).calls == {'endpoints': 'read-for-all=4,list=1'}
+    assert run_follower(topic).calls == {'endpoints': 'read-for-all=4,list=1'}
 
 
 def test_follower_far_behind_lists_the_newest_records():
@@ -177,7 +181,7 @@
         TopicSnapshot((KeyedRecord(5, 'config', b'6'),), 6),
     )
 
-    follow(topic)
+    run_follower(topic)
 
     assert topic.calls == ['list', 1, 'list', 6]
 
@@ -189,7 +193,7 @@
         TopicDelta((KeyedRecord(2, 'a', b'3'),), 3, 3),
     )
 
-    follow(topic)
+    run_follower(topic)
 
     assert topic.calls == ['list', 1, 2, 3]
 
@@ -202,7 +206,7 @@
         TopicSnapshot((KeyedRecord(3, 'config', b'2'),), 8, 2),
     )
 
-    listener = follow(topic)
+    listener = run_follower(topic)
 
     assert topic.calls == ['list', 7, 'list', 8]
     assert [event for event, _ in listener.events] == ['listed', 'listed']
--- a/tests/test_recovery/test_suspect_lanes.py
+++ b/tests/test_recovery/test_suspect_lanes.py
@@ -23,10 +23,10 @@
 
 
 @pytest.mark.parametrize('instances, endpoints', [(8, 9), (7, 6), (3, 3), (9, 2)])
-def test_no_two_instances_have_a_lane_at_once(make_lanes, instances, endpoints):
+def test_no_two_instances_use_an_endpoint_at_once(make_lanes, instances, endpoints):
     """Guards against suspects of two instances on one endpoint that crashes.
 
-    Both would then have the same two crashes, although one is innocent.
+    Both would then have the same two crashes, although one of the suspects caused none.
     """
     lanes = make_lanes(instances, endpoints)
     for age_ms in range(0, 10_000, 500):
