--- a/tests/test_duties/duty_simulation.py
+++ b/tests/test_duties/duty_simulation.py
@@ -288,7 +288,7 @@
 
 
 class SkewedClock:
-    """A steady clock that runs slightly too fast or too slow."""
+    """A monotonic clock that runs slightly too fast or too slow."""
 
     def __init__(self, rate):
         self._rate = rate
