--- a/savorychute/gateway/daemon/entry_manager.py
+++ b/savorychute/gateway/daemon/entry_manager.py
@@ -165,7 +165,7 @@
     async def _write_cap(self, max_retries: float) -> None:
         self._allowance.cap.change_started(max_retries)
         try:
-            await self.registration.write_retry_limit(max_retries)
+            await self.registration.write_retry_cap(max_retries)
         except StoreUnavailableError as error:
             self._next_cap_write_ms = self._clock.now_ms() + CAP_WRITE_RETRY_MS
             self._telemetry.store_failed(TOPIC, error)
--- a/savorychute/gateway/recovery/retry_allowance.py
+++ b/savorychute/gateway/recovery/retry_allowance.py
@@ -33,7 +33,7 @@
     ``spent`` and ``requests`` are the retries and requests of this instance within the
     window, ``bound`` is its share of the bound, ``instances`` is how many instances share
     the slack (0 while unknown), ``inherited`` is what earlier runs may have spent (None if
-    unknown), and ``cap`` is the limit in the instance's entry (None for no cap).
+    unknown), and ``cap`` is the retry cap in the instance's entry (None for no cap).
     """
 
     granted: bool
--- a/savorychute/gateway/store/instance_entry.py
+++ b/savorychute/gateway/store/instance_entry.py
@@ -23,7 +23,7 @@
 
     ``left`` is set once the instance has left gracefully. ``repeats`` is the largest
     number of retries that it sends to any service within the window of the retry
-    limits; None if unknown.
+    bounds; None if unknown.
     """
 
     address: MemberAddress
--- a/savorychute/gateway/store/registration.py
+++ b/savorychute/gateway/store/registration.py
@@ -62,9 +62,9 @@
         self.keys: PeerKeys | None = None
         # The era of the store in which this instance last wrote its entry.
         self.era = 0
-        # The retry limit in the entry of this run, and in that of the previous run.
-        self.retry_limit: float | None = None
-        self.inherited_limit: float | None = None
+        # The retry cap in the entry of this run, and in that of the previous run.
+        self.retry_cap: float | None = None
+        self.inherited_cap: float | None = None
         self._has_listed = False
         self._writes = 0
         # The entries of all instances at the time of registration.
@@ -81,8 +81,8 @@
         copy.
 
         :param inherit: called with the largest number of retries that earlier runs can
-            have sent to a service within the window of the retry limits (None if
-            unknown); returns the retry limit of this run.
+            have sent to a service within the window of the retry bounds (None if
+            unknown); returns the retry cap of this run.
         :raises StoreUnavailableError: if the store does not respond.
         """
         snapshot = await self._list_with_secret()
@@ -91,11 +91,11 @@
         self.address = self.address._replace(incarnation=incarnation)
         self.era = snapshot.era
         self.listing = decode_listing(snapshot.records)
-        self._read_inherited_limit(snapshot)
-        self.retry_limit = inherit(self.inherited_limit)
+        self._read_inherited_cap(snapshot)
+        self.retry_cap = inherit(self.inherited_cap)
         await self.write_entry()
 
-    def _read_inherited_limit(self, snapshot: TopicSnapshot) -> None:
+    def _read_inherited_cap(self, snapshot: TopicSnapshot) -> None:
         """Read how many retries earlier runs may have sent within the last window.
 
         An entry of an earlier era is ignored, because it may have been followed by
@@ -109,7 +109,7 @@
         if entry is None:
             return
         if entry.address.incarnation >= number_in_era(snapshot.era, 0):
-            self.inherited_limit = entry.repeats
+            self.inherited_cap = entry.repeats
 
     async def _list_with_secret(self, secret: bytes | None = None) -> TopicSnapshot:
         """Return a listing that contains a secret; write one if there is none.
@@ -142,20 +142,20 @@
     async def write_entry(self) -> None:
         """Write the entry of this instance."""
         await self._write(
-            InstanceEntry(self.address, repeats=self.retry_limit), CallPurpose.REGISTER
+            InstanceEntry(self.address, repeats=self.retry_cap), CallPurpose.REGISTER
         )
 
-    async def write_retry_limit(self, retry_limit: float) -> None:
+    async def write_retry_cap(self, retry_cap: float) -> None:
         """Write the largest number of retries that this run sends from now on.
 
-        :param retry_limit: the retries to any service within the window of the retry
-            limits.
+        :param retry_cap: the retries to any service within the window of the retry
+            bounds.
         :raises StoreUnavailableError: if the store does not respond; the entry may then
             contain the old or the new number.
         """
-        self.retry_limit = retry_limit
+        self.retry_cap = retry_cap
         await self._write(
-            InstanceEntry(self.address, repeats=retry_limit), CallPurpose.ALLOW_REPEATS
+            InstanceEntry(self.address, repeats=retry_cap), CallPurpose.ALLOW_REPEATS
         )
 
     async def list_instances(self) -> InstanceListing:
@@ -185,14 +185,14 @@
         self.era = snapshot.era
         return listing
 
-    async def leave(self, retry_limit: float | None) -> None:
+    async def leave(self, retry_cap: float | None) -> None:
         """Write that this run ends gracefully.
 
-        :param retry_limit: the largest number of retries that it sends to any service
-            within the window of the retry limits; None if unknown.
+        :param retry_cap: the largest number of retries that it sends to any service
+            within the window of the retry bounds; None if unknown.
         :raises StoreUnavailableError: if the store does not respond.
         """
-        entry = InstanceEntry(self.address, left=True, repeats=retry_limit)
+        entry = InstanceEntry(self.address, left=True, repeats=retry_cap)
         await self._write(entry, CallPurpose.LEAVE)
 
     async def _write(self, entry: InstanceEntry, purpose: CallPurpose) -> None:
@@ -200,7 +200,7 @@
 
         The store may execute a write late after it did not respond. Without the fence,
         such a write of a previous run could replace the entry of the current one, whose
-        retry limit may be larger.
+        retry cap may be larger.
         """
         self._count_call(purpose)
         self._writes += 1
--- a/tests/test_gateway/retry_fixture.py
+++ b/tests/test_gateway/retry_fixture.py
@@ -134,7 +134,7 @@
         if change is None:
             return
         self.allowance.cap.change_started(change)
-        if complete(self.registration.write_retry_limit(change)):
+        if complete(self.registration.write_retry_cap(change)):
             self.allowance.cap.change_confirmed(change)
 
     def _now_ms(self):
--- a/tests/test_gateway/test_registration.py
+++ b/tests/test_gateway/test_registration.py
@@ -16,14 +16,14 @@
 )
 
 
-def keep_limit(inherited):
-    """Use the retry limit of the previous run for this one."""
+def keep_cap(inherited):
+    """Use the retry cap of the previous run for this one."""
     return inherited
 
 
 def register(topic, address=OWN):
     registration = Registration(topic, address, ignore_call)
-    asyncio.run(registration.register(keep_limit))
+    asyncio.run(registration.register(keep_cap))
     return registration
 
 
@@ -75,9 +75,9 @@
     topic.responses_to_lose = 1
     registration = Registration(topic, OWN, ignore_call)
     with pytest.raises(StoreUnavailableError):
-        asyncio.run(registration.register(keep_limit))
+        asyncio.run(registration.register(keep_cap))
 
-    asyncio.run(registration.register(keep_limit))
+    asyncio.run(registration.register(keep_cap))
 
     assert registration.address.incarnation > 0
     assert [each.instance for each in registration.listing.live] == ['k1', 'k0']
@@ -130,34 +130,34 @@
     assert before.key_id != new.keys.signing.key_id
 
 
-def test_run_inherits_the_retry_limit_of_the_previous_run():
+def test_run_inherits_the_retry_cap_of_the_previous_run():
     topic = MemoryTopic()
     first = register(topic)
-    asyncio.run(first.write_retry_limit(9))
+    asyncio.run(first.write_retry_cap(9))
     second = register(topic)
     asyncio.run(second.leave(4))
 
-    assert first.inherited_limit is None
-    assert second.inherited_limit == 9
-    assert register(topic).inherited_limit == 4
+    assert first.inherited_cap is None
+    assert second.inherited_cap == 9
+    assert register(topic).inherited_cap == 4
 
 
 def test_entry_of_a_failed_registration_is_not_inherited():
-    """Guards against a run that inherits the limit of its own earlier attempt."""
+    """Guards against a run that inherits the retry cap of its own earlier attempt."""
     topic = MemoryTopic()
-    asyncio.run(register(topic).write_retry_limit(9))
+    asyncio.run(register(topic).write_retry_cap(9))
     topic.responses_to_lose = 1
     registration = Registration(topic, OWN, ignore_call)
     with pytest.raises(StoreUnavailableError):
         asyncio.run(registration.register(lambda inherited: inherited - 5))
 
-    asyncio.run(registration.register(keep_limit))
+    asyncio.run(registration.register(keep_cap))
 
-    assert registration.inherited_limit == 9
+    assert registration.inherited_cap == 9
 
 
 def test_instance_that_left_keeps_its_name_in_the_listing():
-    """Guards against a limit that is divided by too few instances during restarts."""
+    """Guards against a retry bound divided by too few instances during restarts."""
     topic = MemoryTopic()
     asyncio.run(register(topic).leave(0))
     listing = register(topic, OWN._replace(instance='k1')).listing
@@ -166,18 +166,18 @@
     assert listing.names == {'k0'}
 
 
-def test_retry_limit_of_an_earlier_era_is_not_inherited():
+def test_retry_cap_of_an_earlier_era_is_not_inherited():
     """Guards against the entry of a run whose successor's entry the store has lost."""
     topic = MemoryTopic()
     asyncio.run(register(topic).leave(0))
     register(topic)
     topic.restore_older_copy(3)
 
-    assert register(topic).inherited_limit is None
+    assert register(topic).inherited_cap is None
 
 
 def test_delayed_write_does_not_replace_a_later_entry():
-    """Guards against inheriting the smaller retry limit of an earlier run."""
+    """Guards against inheriting the smaller retry cap of an earlier run."""
     topic = MemoryTopic()
     first = register(topic)
     write, delayed_writes = topic.write, []
@@ -190,11 +190,11 @@
     with pytest.raises(StoreUnavailableError):
         asyncio.run(first.leave(0))
     topic.write = write
-    asyncio.run(register(topic).write_retry_limit(9))
+    asyncio.run(register(topic).write_retry_cap(9))
     with pytest.raises(WriteFencedError):
         asyncio.run(topic.write(*delayed_writes[0]))
 
-    assert register(topic).inherited_limit == 9
+    assert register(topic).inherited_cap == 9
 
 
 def test_entry_of_an_earlier_version_is_decoded():
