--- a/savorychute/gateway/configuration/route.py
+++ b/savorychute/gateway/configuration/route.py
@@ -15,7 +15,7 @@
 
     ``timeout_ms`` limits how long a caller waits.  ``target_ms`` is the latency
     objective; for a stream it applies to the first event.  ``gap_target_ms`` is the
-    longest pause between two events of a stream that meets its objective.  A lower
+    longest gap between two events of a stream that meets its objective.  A lower
     ``tier`` is more urgent.  ``max_attempts`` limits the number of endpoints that one
     request may run on.  A ``public`` route needs no key.  A ``resumable`` stream may
     continue at another endpoint.
--- a/savorychute/gateway/daemon/attempt_sender.py
+++ b/savorychute/gateway/daemon/attempt_sender.py
@@ -126,7 +126,7 @@
         run, now_ms = endpoint.run, self._clock.now_ms()
         if kind is CallKind.ATTEMPT and run in self._statements.leaving:
             return False
-        if self._statements.pauses.remaining_ms(run, now_ms):
+        if self._statements.backoffs.remaining_ms(run, now_ms):
             return False
         if not self._permits.can_send(run, permit, now_ms):
             return False
--- a/savorychute/gateway/dispatch/endpoint_search.py
+++ b/savorychute/gateway/dispatch/endpoint_search.py
@@ -30,8 +30,8 @@
     """Reason why there is no endpoint at present.
 
     ``PENDING``: load reports or a permit were requested, and the search is called back
-    when they arrive.  ``SUSPENDED``: the remaining endpoints have paused requests or
-    have used up their stated limits.
+    when they arrive.  ``SUSPENDED``: the remaining endpoints are in backoff or have
+    used up their stated limits.
     """
 
     PENDING = auto()
@@ -163,13 +163,13 @@
         :param now_ms: the current time.
         """
         waits_ms = (
-            max(self._pause_ms(record, now_ms), self._limited.wait_ms(record, now_ms))
+            max(self._backoff_ms(record, now_ms), self._limited.wait_ms(record, now_ms))
             for record in self._listed()
         )
         return min(waits_ms, default=0)
 
-    def _pause_ms(self, record: EndpointRecord, now_ms: int) -> int:
-        return self._parts.statements.pauses.remaining_ms(record.entry.run, now_ms)
+    def _backoff_ms(self, record: EndpointRecord, now_ms: int) -> int:
+        return self._parts.statements.backoffs.remaining_ms(record.entry.run, now_ms)
 
     # -- limited endpoints
 
@@ -186,8 +186,8 @@
         return NotFound.OVERLOADED
 
     def _is_suspended(self, record: EndpointRecord, now_ms: int) -> bool:
-        is_paused = self._pause_ms(record, now_ms) > 0
-        return is_paused or self._limited.is_limited(record)
+        is_in_backoff = self._backoff_ms(record, now_ms) > 0
+        return is_in_backoff or self._limited.is_limited(record)
 
     def _prefer_limited(self, choice: Choice, now_ms: int) -> Choice:
         """Return a limited endpoint in place of a choice if one is preferable."""
@@ -249,7 +249,7 @@
         return self._available(usable, now_ms)
 
     def _usable(self, now_ms: int) -> list[EndpointRecord]:
-        return [each for each in self._listed() if not self._pause_ms(each, now_ms)]
+        return [each for each in self._listed() if not self._backoff_ms(each, now_ms)]
 
     def _listed(self) -> list[EndpointRecord]:
         return self._parts.roster.usable(self._service.name)
--- a/savorychute/gateway/endpoint_telemetry.py
+++ b/savorychute/gateway/endpoint_telemetry.py
@@ -57,15 +57,15 @@
             LogLevel.WARNING, 'leaving-stated', '', endpoint=run.endpoint
         )
 
-    def pause_stated(self, run: EndpointRun, pause_ms: int) -> None:
-        """Log that an endpoint asks this instance to pause its requests."""
+    def backoff_stated(self, run: EndpointRun, backoff_ms: int) -> None:
+        """Log that an endpoint requests a backoff from this instance."""
         self._telemetry.metrics.count('rests_total')
         self._telemetry.write(
             LogLevel.WARNING,
             'rest-stated',
             '',
             endpoint=run.endpoint,
-            retry_after_ms=pause_ms,
+            retry_after_ms=backoff_ms,
         )
 
     def statement_unreadable(
--- a/savorychute/gateway/endpoints/endpoint_statement.py
+++ b/savorychute/gateway/endpoints/endpoint_statement.py
@@ -26,14 +26,14 @@
 
     ``limit_per_s`` is the number of calls per second that the endpoint accepts from all
     instances together, None if it states no limit.  ``leaving`` is true for an endpoint
-    that will end.  ``pause_ms`` is for how long it accepts no requests from this
+    that will end.  ``backoff_ms`` is for how long it accepts no requests from this
     instance.  A statement that is ``unreadable`` neither states anything nor revokes an
     earlier one.
     """
 
     limit_per_s: float | None = None
     leaving: bool = False
-    pause_ms: int = 0
+    backoff_ms: int = 0
     unreadable: tuple[UnreadableStatement, ...] = ()
 
     def is_unreadable(self, kind: StatementKind) -> bool:
--- a/savorychute/gateway/endpoints/load_monitor.py
+++ b/savorychute/gateway/endpoints/load_monitor.py
@@ -78,8 +78,8 @@
     ) -> None:
         """Query one engine, and call back with whether it answered in time.
 
-        An engine that must not be called now, because it paused requests or denies a
-        permit, is treated as alive.
+        An engine that must not be called now, because it requested a backoff or denies
+        a permit, is treated as alive.
 
         :param record: the engine.
         :param on_result: called once.
@@ -104,9 +104,9 @@
             for callback in self._waiting.pop(run, ()):
                 callback(True)
 
-        pause_ms = self._statements.pauses.remaining_ms(run, self._clock.now_ms())
-        if pause_ms:
-            handle_outcome(Denial(pause_ms))
+        backoff_ms = self._statements.backoffs.remaining_ms(run, self._clock.now_ms())
+        if backoff_ms:
+            handle_outcome(Denial(backoff_ms))
             return
         outcome = self._permits.request(run, rank, handle_outcome)
         if outcome is not None:
--- a/savorychute/gateway/endpoints/statement_table.py
+++ b/savorychute/gateway/endpoints/statement_table.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING, Protocol
 
+from savorychute.gateway.endpoints.backoff_times import BackoffTimes
 from savorychute.gateway.endpoints.endpoint_statement import StatementKind
 from savorychute.gateway.endpoints.leaving_runs import LeavingRuns
 from savorychute.gateway.endpoints.limit_table import LimitTable
-from savorychute.gateway.endpoints.pause_times import PauseTimes
 
 if TYPE_CHECKING:
     from savorychute.gateway.endpoints.endpoint_run import EndpointRun
@@ -25,7 +25,7 @@
         """Handle the statement that a run is leaving."""
         ...
 
-    def pause_stated(self, run: EndpointRun, pause_ms: int) -> None:
+    def backoff_stated(self, run: EndpointRun, backoff_ms: int) -> None:
         """Handle a run's statement that it accepts no requests for some time."""
         ...
 
@@ -39,7 +39,7 @@
     def __init__(self, listener: StatementListener) -> None:
         self.limits = LimitTable(listener.limit_stated)
         self.leaving = LeavingRuns(listener.leaving_stated)
-        self.pauses = PauseTimes(listener.pause_stated)
+        self.backoffs = BackoffTimes(listener.backoff_stated)
 
     def apply(
         self, run: EndpointRun, statement: EndpointStatement, sent_ms: int, now_ms: int
@@ -57,5 +57,5 @@
             self.limits.record_no_limit(run, sent_ms)
         if statement.leaving:
             self.leaving.record_leaving(run, now_ms)
-        if statement.pause_ms:
-            self.pauses.record_pause(run, statement.pause_ms, now_ms)
+        if statement.backoff_ms:
+            self.backoffs.record_backoff(run, statement.backoff_ms, now_ms)
--- a/savorychute/gateway/requests/engine_observer.py
+++ b/savorychute/gateway/requests/engine_observer.py
@@ -62,7 +62,7 @@
         """Record an event of a stream.
 
         :param attempt: the attempt that received the event.
-        :param gap_ms: the pause before the event, None for the first.
+        :param gap_ms: the gap before the event, None for the first.
         :param now_ms: the current time.
         """
         choice = attempt.choice
--- a/savorychute/gateway/requests/event_times.py
+++ b/savorychute/gateway/requests/event_times.py
@@ -4,7 +4,7 @@
 
 
 class EventTimes:
-    """Measures the time to the first event and the longest pause between two events.
+    """Measures the time to the first event and the longest gap between two events.
 
     :param started_ms: when the request arrived.
     """
@@ -18,7 +18,7 @@
         self.longest_gap_ms = 0
 
     def record(self, now_ms: int) -> int | None:
-        """Record an event; return the pause before it, or None for the first.
+        """Record an event; return the gap before it, or None for the first.
 
         :param now_ms: the current time.
         """
--- a/savorychute/gateway/requests/execution_summary.py
+++ b/savorychute/gateway/requests/execution_summary.py
@@ -9,7 +9,7 @@
     """Durations since the arrival of the request, and counts.
 
     ``first_event_ms`` is 0 for a response without events.  ``endpoint`` is the endpoint
-    of the last attempt, ``longest_gap_ms`` the longest pause between two events.
+    of the last attempt, ``longest_gap_ms`` the longest gap between two events.
     """
 
     duration_ms: int
--- a/savorychute/gateway/requests/progress_deadline.py
+++ b/savorychute/gateway/requests/progress_deadline.py
@@ -14,7 +14,7 @@
 RESPONSE_TARGET_SHARE = 0.6
 FIRST_EVENT_TARGET_SHARE = 0.45
 MIN_TIMEOUT_MS = 150
-# Pauses longer than the objective are late already; the remainder allows for a
+# Gaps longer than the objective are late already; the remainder allows for a
 # preemption, after which the engine continues the stream.
 GAP_TARGET_FACTOR = 2.5
 MIN_GAP_TIMEOUT_MS = 600
--- a/savorychute/gateway/store/read_timing.py
+++ b/savorychute/gateway/store/read_timing.py
@@ -6,7 +6,7 @@
 
 
 class ReadTiming(NamedTuple):
-    """How long a read waits for updates, and the pause between two reads."""
+    """How long a read waits for updates, and the delay between two reads."""
 
     wait_ms: int
-    pause_ms: int
+    delay_ms: int
--- a/savorychute/gateway/store/topic_follower.py
+++ b/savorychute/gateway/store/topic_follower.py
@@ -151,8 +151,8 @@
                 delta.next_offset if delta.remaining < RELIST_MIN_REMAINING else None
             )
             self._listener.on_delta(delta, started_ms)
-        if self._timing.pause_ms:
-            await self._sleep(self._timing.pause_ms)
+        if self._timing.delay_ms:
+            await self._sleep(self._timing.delay_ms)
 
     def _call_purpose(self, offset: int | None) -> CallPurpose:
         if offset is None:
--- a/tests/test_fleet/test_attempt_sender.py
+++ b/tests/test_fleet/test_attempt_sender.py
@@ -116,7 +116,7 @@
 def test_attempt_is_withheld_from_resting_endpoint(sender_fixture):
     """Guards against a call that was prepared before its endpoint requested rest."""
     handler = sender_fixture.start_attempt()
-    sender_fixture.statements.pauses.record_pause(ENTRY.run, 500, NOW_MS)
+    sender_fixture.statements.backoffs.record_backoff(ENTRY.run, 500, NOW_MS)
 
     assert not handler.about_to_send()
     assert sender_fixture.listener.events == ['withheld']
--- a/tests/test_fleet/test_dialects.py
+++ b/tests/test_fleet/test_dialects.py
@@ -222,7 +222,7 @@
 def test_requested_rest_is_decoded(text, rest_ms):
     statement = statement_dialect.decode_statement(503, {'retry-after': text})
 
-    assert statement == EndpointStatement(pause_ms=rest_ms)
+    assert statement == EndpointStatement(backoff_ms=rest_ms)
 
 
 def test_only_status_503_requests_rest():
--- a/tests/test_gateway/test_statement_table.py
+++ b/tests/test_gateway/test_statement_table.py
@@ -28,8 +28,8 @@
     def leaving_stated(self, run):
         self.notifications.append((run, 'leaves'))
 
-    def pause_stated(self, run, pause_ms):
-        self.notifications.append((run, pause_ms))
+    def backoff_stated(self, run, backoff_ms):
+        self.notifications.append((run, backoff_ms))
 
 
 @pytest.fixture
@@ -73,11 +73,11 @@
     assert listener.notifications == [(RUN, 'leaves')]
 
 
-def test_pause_lasts_until_latest_requested_end(table):
-    """Guards against a short pause that ends a longer one."""
-    table.apply(RUN, EndpointStatement(pause_ms=3_000), sent_ms=10, now_ms=1_000)
-    table.apply(RUN, EndpointStatement(pause_ms=500), sent_ms=10, now_ms=1_100)
+def test_backoff_lasts_until_latest_requested_end(table):
+    """Guards against a short backoff that ends a longer one."""
+    table.apply(RUN, EndpointStatement(backoff_ms=3_000), sent_ms=10, now_ms=1_000)
+    table.apply(RUN, EndpointStatement(backoff_ms=500), sent_ms=10, now_ms=1_100)
 
-    assert table.pauses.remaining_ms(RUN, 1_100) == 2_900
-    assert table.pauses.remaining_ms(RUN, 4_000) == 0
-    assert table.pauses.remaining_ms(NEXT_RUN, 1_100) == 0
+    assert table.backoffs.remaining_ms(RUN, 1_100) == 2_900
+    assert table.backoffs.remaining_ms(RUN, 4_000) == 0
+    assert table.backoffs.remaining_ms(NEXT_RUN, 1_100) == 0
