--- a/benches/stated_limits.py
+++ b/benches/stated_limits.py
@@ -39,14 +39,12 @@
             label = f'{instances} instances, {limit_per_s} a second'
             fleet = PermitFleet(instances, DEMAND_RATIO * limit_per_s, limit_per_s)
             fleet.run(SETTLE_MS)
-            before = fleet.questions
+            before = fleet.queries
             fleet.run(MEASURED_MS)
             used = fleet.use_share(START_MS + SETTLE_MS)
             rows.append(make_row(f'{label}, used', used, 'share', 1.0))
-            questions_per_s = (fleet.questions - before) * MS_PER_S / MEASURED_MS
-            rows.append(
-                make_row(f'{label}, questions', questions_per_s, 'a second', 0.0)
-            )
+            queries_per_s = (fleet.queries - before) * MS_PER_S / MEASURED_MS
+            rows.append(make_row(f'{label}, questions', queries_per_s, 'a second', 0.0))
             spare = -fleet.find_excess()
             rows.append(make_row(f'{label}, least to spare', spare, 'calls', 0.0))
     return rows
--- a/savorychute/gateway/daemon/attempt_sender.py
+++ b/savorychute/gateway/daemon/attempt_sender.py
@@ -29,7 +29,7 @@
 
 # A load report needs no slot in the engine's batch; a live engine sends it in a few ms.
 PROBE_TIMEOUT_MS = 250
-# Kinds of answers from another run than the intended one.
+# Kinds of responses from another run than the intended one.
 OTHER_RUN_KINDS = frozenset({ResponseKind.OTHER_ENDPOINT, ResponseKind.FOREIGN})
 
 
@@ -64,7 +64,7 @@
         """Start an attempt.
 
         :param attempt: the attempt to send.
-        :param listener: receives the answer.
+        :param listener: receives the response.
         """
         request = self._adapter.encode_attempt(attempt)
         handler = _ResponseHandler(self, self._adapter, self._clock, attempt, listener)
@@ -186,11 +186,11 @@
 
     def response_started(self, status: int, headers: dict[str, str]) -> None:
         """Decode the head, and pass it on."""
-        answer = self._adapter.decode_answer(status, headers, self._attempt)
-        if answer.kind not in OTHER_RUN_KINDS:
+        response = self._adapter.decode_response(status, headers, self._attempt)
+        if response.kind not in OTHER_RUN_KINDS:
             run = self._attempt.endpoint.run
             self._sender.record_statement(run, status, headers, self._sent_ms)
-        self._listener.response_started(answer)
+        self._listener.response_started(response)
 
     def response_data(self, data: bytes) -> None:
         """Pass on a part of the body."""
--- a/savorychute/gateway/daemon/duty_worker.py
+++ b/savorychute/gateway/daemon/duty_worker.py
@@ -86,10 +86,10 @@
         return DutyOutcome.UNAVAILABLE if outcome is DutyOutcome.FENCED else outcome
 
     async def _call(self, request: HttpRequest) -> DutyOutcome:
-        answer = await fetch(self._pool, self._address, request, CALL_TIMEOUT_MS)
-        if isinstance(answer, CallFailure):
-            return DutyOutcome.UNKNOWN if answer.sent else DutyOutcome.UNAVAILABLE
-        return self._adapter.decode_duty_answer(answer.status)
+        response = await fetch(self._pool, self._address, request, CALL_TIMEOUT_MS)
+        if isinstance(response, CallFailure):
+            return DutyOutcome.UNKNOWN if response.sent else DutyOutcome.UNAVAILABLE
+        return self._adapter.decode_duty_response(response.status)
 
 
 class DutyWorker:
@@ -165,7 +165,7 @@
                 self._telemetry.store_failed('duties', error)
                 await asyncio.sleep(STORE_RETRY_MS / MS_PER_S)
             else:
-                self._telemetry.store_answered('duties')
+                self._telemetry.store_responded('duties')
 
     async def _read(self) -> None:
         offset = self._claims.records.next_offset
--- a/savorychute/gateway/daemon/entry_manager.py
+++ b/savorychute/gateway/daemon/entry_manager.py
@@ -69,7 +69,7 @@
                 self._telemetry.store_failed(TOPIC, error)
                 await asyncio.sleep(REGISTER_RETRY_MS / MS_PER_S)
             else:
-                self._telemetry.store_answered(TOPIC)
+                self._telemetry.store_responded(TOPIC)
                 self._allowance.cap.mark_stored()
                 self._registered = True
                 return
@@ -117,7 +117,7 @@
         except StoreUnavailableError as error:
             self._telemetry.store_failed(TOPIC, error)
             return None
-        self._telemetry.store_answered(TOPIC)
+        self._telemetry.store_responded(TOPIC)
         return listing
 
     def _find_long_absent(
--- a/savorychute/gateway/daemon/peer_message_router.py
+++ b/savorychute/gateway/daemon/peer_message_router.py
@@ -132,9 +132,9 @@
                 response = parts.reading.respond(message, now_ms)
                 return _reply(view, sender, response)
             case PermitAnswer():
-                parts.permits.handle_answer(message)
+                parts.permits.handle_response(message)
             case PermitQuestion():
-                return _reply(view, sender, parts.permits.handle_question(message))
+                return _reply(view, sender, parts.permits.respond(message))
             case UsageTold():
                 if parts.usage is not None:
                     parts.usage.handle(sender, message)
--- a/savorychute/gateway/dispatch/chooser.py
+++ b/savorychute/gateway/dispatch/chooser.py
@@ -99,7 +99,7 @@
 ) -> list[EndpointRecord]:
     """Return the endpoints to choose from.
 
-    Endpoints that recently failed to answer are excluded, unless no others are left: a
+    Endpoints that recently failed to respond are excluded, unless no others are left: a
     block is only an estimate and must not refuse a request that an endpoint could run.
 
     :param records: the endpoints of a service.
--- a/savorychute/gateway/dispatch/limited_endpoints.py
+++ b/savorychute/gateway/dispatch/limited_endpoints.py
@@ -106,18 +106,18 @@
         return self._permits.wait_ms(record.entry.run, self._rank, now_ms)
 
     def request_permit(
-        self, choice: Choice, on_answer: Callable[[Choice | None], None]
+        self, choice: Choice, on_result: Callable[[Choice | None], None]
     ) -> None:
         """Request a permit.
 
         :param choice: the choice of a limited endpoint.
-        :param on_answer: called once, immediately or later, with the choice and its
+        :param on_result: called once, immediately or later, with the choice and its
             permit, or with None if the permit was denied.
         """
         self._permit_requests += 1
 
         def handle_outcome(outcome: Outcome) -> None:
-            on_answer(self._record_outcome(choice, outcome))
+            on_result(self._record_outcome(choice, outcome))
 
         outcome = self._permits.request(
             choice.record.entry.run, self._rank, handle_outcome
--- a/savorychute/gateway/duty_telemetry.py
+++ b/savorychute/gateway/duty_telemetry.py
@@ -95,6 +95,6 @@
         """Record a failure of the store."""
         self._telemetry.store_failed(topic, error)
 
-    def store_answered(self, topic: str) -> None:
+    def store_responded(self, topic: str) -> None:
         """Record a response of the store."""
-        self._telemetry.store_answered(topic)
+        self._telemetry.store_responded(topic)
--- a/savorychute/gateway/endpoints/endpoint_health.py
+++ b/savorychute/gateway/endpoints/endpoint_health.py
@@ -33,7 +33,7 @@
         return now_ms < self.blocked_until_ms
 
     def failure_share(self, now_ms: int) -> float:
-        """Return the decaying share of failed answers.
+        """Return the decaying share of failed responses.
 
         :param now_ms: the current time.
         """
@@ -44,7 +44,7 @@
         )
 
     def record_success(self, now_ms: int) -> None:
-        """Record a complete answer.
+        """Record a complete response.
 
         :param now_ms: the current time.
         """
@@ -52,7 +52,7 @@
         self._move_share(0.0, now_ms)
 
     def record_failure(self, now_ms: int) -> None:
-        """Record an answer that reports a failure of the request.
+        """Record a response that reports a failure of the request.
 
         :param now_ms: the current time.
         """
@@ -64,7 +64,7 @@
         self._share_ms = now_ms
 
     def record_unresponsive(self, now_ms: int) -> None:
-        """Record that there was no answer, and block the endpoint for a while.
+        """Record that there was no response, and block the endpoint for a while.
 
         :param now_ms: the current time.
         """
--- a/savorychute/gateway/endpoints/endpoint_roster.py
+++ b/savorychute/gateway/endpoints/endpoint_roster.py
@@ -26,9 +26,9 @@
 class EndpointRoster:
     """Follows the platform's entries, and overrides them with newer information.
 
-    An endpoint gets no new requests once its entry or one of its answers states that it
-    is leaving, once the entry is removed or unreadable, or once another endpoint has
-    answered at its address.  A new run under a known name gets a record of its own.
+    An endpoint gets no new requests once its entry or one of its responses states that
+    it is leaving, once the entry is removed or unreadable, or once another endpoint has
+    responded at its address.  A new run under a known name gets a record of its own.
     Only entries that disappear around an outage of the store stay in use for a while:
     they could not be renewed, so their absence proves little.
 
@@ -84,7 +84,7 @@
         return entry.draining or entry.run in self._leaving
 
     def store_failed(self, now_ms: int) -> None:
-        """Record that the store did not answer; entries may expire meanwhile.
+        """Record that the store did not respond; entries may expire meanwhile.
 
         :param now_ms: the current time.
         """
@@ -172,7 +172,7 @@
     def record_end(self, run: EndpointRun) -> None:
         """Record proof that a run of an endpoint has ended.
 
-        :param run: the run at whose address another endpoint answered.
+        :param run: the run at whose address another endpoint responded.
         """
         self._ended[run] = None
         if len(self._ended) > MAX_ENDED_RUNS:
--- a/savorychute/gateway/endpoints/endpoint_statement.py
+++ b/savorychute/gateway/endpoints/endpoint_statement.py
@@ -1,4 +1,4 @@
-"""Statements of an endpoint about itself in an answer."""
+"""Statements of an endpoint about itself in a response."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class EndpointStatement(NamedTuple):
-    """Statements in the head of an answer, in addition to the answer itself.
+    """Statements in the head of a response, in addition to the response itself.
 
     ``limit_per_s`` is the number of calls per second that the endpoint accepts from all
     instances together, None if it states no limit.  ``leaving`` is true for an endpoint
--- a/savorychute/gateway/endpoints/limit_table.py
+++ b/savorychute/gateway/endpoints/limit_table.py
@@ -14,7 +14,7 @@
 # Maximum number of runs whose limits are remembered, the newest.
 MAX_RUNS = 4_096
 # Maximum age of a stated limit that is announced to other instances, and how many are,
-# the newest.  An endpoint that still has a limit states it again with each answer.
+# the newest.  An endpoint that still has a limit states it again with each response.
 ANNOUNCEMENT_MS = 10_000
 MAX_ANNOUNCED = 6
 # Ages are underestimated in transit.  The end of a limit counts as older by this time,
@@ -32,8 +32,8 @@
 class LimitTable:
     """Holds the newest limit of each run of an endpoint.
 
-    Answers may arrive out of order: an answer without a limit ends a limit only if its
-    call was sent after the last answer that stated one.
+    Responses may arrive out of order: one without a limit ends a limit only if its call
+    was sent after the last response that stated one.
 
     :param on_limit: called with each run whose limit changes, and its new limit.
     """
@@ -52,7 +52,7 @@
         self._set_limit(run, StatedLimit(per_s, now_ms))
 
     def record_no_limit(self, run: EndpointRun, stated_ms: int) -> None:
-        """Record an answer without a limit.
+        """Record a response without a limit.
 
         :param run: the run of the endpoint.
         :param stated_ms: when the call was sent.
--- a/savorychute/gateway/endpoints/load_monitor.py
+++ b/savorychute/gateway/endpoints/load_monitor.py
@@ -54,7 +54,7 @@
     def refresh(
         self, records: Sequence[EndpointRecord], on_done: Callable[[], None]
     ) -> None:
-        """Query some engines, and call back when all have answered or failed.
+        """Query some engines, and call back when all have responded or failed.
 
         :param records: the engines, at least one.
         :param on_done: called once.
@@ -76,7 +76,7 @@
         on_result: Callable[[bool], None],
         rank: int = LEAST_URGENT_RANK,
     ) -> None:
-        """Query one engine, and call back with whether it answered in time.
+        """Query one engine, and call back with whether it responded in time.
 
         An engine that must not be called now, because it requested a backoff or denies
         a permit, is treated as alive.
--- a/savorychute/gateway/endpoints/statement_table.py
+++ b/savorychute/gateway/endpoints/statement_table.py
@@ -31,7 +31,7 @@
 
 
 class StatementTable:
-    """Updated by each answer and each load report, and checked before each call.
+    """Updated by each response and each load report, and checked before each call.
 
     :param listener: is notified of changes.
     """
@@ -44,9 +44,9 @@
     def apply(
         self, run: EndpointRun, statement: EndpointStatement, sent_ms: int, now_ms: int
     ) -> None:
-        """Apply the statements of an answer.
+        """Apply the statements of a response.
 
-        :param run: the run of the endpoint that answered.
+        :param run: the run of the endpoint that responded.
         :param statement: its statements.
         :param sent_ms: when the call was sent.
         :param now_ms: the current time.
--- a/savorychute/gateway/permits/permit_allocator.py
+++ b/savorychute/gateway/permits/permit_allocator.py
@@ -12,7 +12,7 @@
 
     from savorychute.gateway.endpoints.endpoint_run import EndpointRun
 
-# Rate at which an endpoint with a limit of zero is still called, as only an answer can
+# Rate at which an endpoint with a limit of zero is still called, as only a response can
 # state that it accepts calls again.
 MIN_PER_S = 0.2
 # Calls reserved for the next more urgent tier, as a time at the limit, and their
--- a/savorychute/gateway/permits/permit_answer.py
+++ b/savorychute/gateway/permits/permit_answer.py
@@ -1,4 +1,4 @@
-"""The answer to a permit question."""
+"""The response to a query for a permit."""
 
 from __future__ import annotations
 
--- a/savorychute/gateway/permits/permit_handler.py
+++ b/savorychute/gateway/permits/permit_handler.py
@@ -23,22 +23,22 @@
     from savorychute.member_address import MemberAddress
     from savorychute.membership.member_view import MemberView
 
-# An answer between failure domains takes a few ms.  A datagram may be lost, so the home
+# A response between failure domains takes a few ms.  A datagram may be lost, so the home
 # is queried once more.
-ANSWER_TIMEOUT_MS = 40
+RESPONSE_TIMEOUT_MS = 40
 MAX_QUERIES = 2
 # A call that is not sent by then, for lack of a connection, needs another permit.
 PERMIT_LIFETIME_MS = 500
-# Wait after a home that did not answer, or that considers another instance the home.
+# Wait after a home that did not respond, or that considers another instance the home.
 # It says nothing about the endpoint's capacity, so it is shorter than a wait that does.
 NO_HOME_DELAY_MS = SCARCE_WAIT_MS - 50
-# Only an answer can state the end of a limit, so an endpoint is called at this
+# Only a response can state the end of a limit, so an endpoint is called at this
 # interval.
 CONFIRM_INTERVAL_MS = 5_000
 
 
 class _PendingQuery(NamedTuple):
-    """A question without an answer yet, and the callback for its outcome."""
+    """A query without a response yet, and the callback for its outcome."""
 
     run: EndpointRun
     tier: int
@@ -165,15 +165,15 @@
         self._sequence += 1
         sequence = self._sequence
         timer = self._timers.call_later(
-            ANSWER_TIMEOUT_MS, lambda: self._handle_timeout(sequence)
+            RESPONSE_TIMEOUT_MS, lambda: self._handle_timeout(sequence)
         )
         self._pending[sequence] = _PendingQuery(
             run, tier, now_ms, attempts, timer, on_outcome
         )
         age_ms = now_ms - limit.stated_ms
-        question = PermitQuestion(sequence, run, limit.per_s, age_ms, tier)
+        query = PermitQuestion(sequence, run, limit.per_s, age_ms, tier)
         if self.send is not None:
-            self.send(SendPeer(home.instance, home.host, home.peer_port, question))
+            self.send(SendPeer(home.instance, home.host, home.peer_port, query))
 
     def _handle_timeout(self, sequence: int) -> None:
         pending = self._pending.pop(sequence)
@@ -193,18 +193,18 @@
         )
         pending.on_outcome(outcome)
 
-    def handle_answer(self, answer: PermitAnswer) -> None:
-        """Handle the answer of a home; late answers are ignored.
+    def handle_response(self, response: PermitAnswer) -> None:
+        """Handle the response of a home; late responses are ignored.
 
-        :param answer: answer to a question of this instance.
+        :param response: response to a query of this instance.
         """
-        pending = self._pending.pop(answer.sequence, None)
+        pending = self._pending.pop(response.sequence, None)
         if pending is None:
             return
         pending.timer.cancel()
         pending.on_outcome(
             self._make_outcome(
-                pending.run, pending.tier, answer.wait_ms, pending.asked_ms
+                pending.run, pending.tier, response.wait_ms, pending.asked_ms
             )
         )
 
@@ -230,23 +230,21 @@
         self._homes.clear()
         self._allocator.retain_homes(lambda run: self._find_home(run) is None)
 
-    def handle_question(self, question: PermitQuestion) -> PermitAnswer:
+    def respond(self, query: PermitQuestion) -> PermitAnswer:
         """Return whether another instance may call an endpoint.
 
-        :param question: question of the other instance.
+        :param query: query of the other instance.
         """
         now_ms = self._clock.now_ms()
-        run = question.run
-        self._limits.record_reported_limit(
-            run, question.limit_per_s, question.age_ms, now_ms
-        )
+        run = query.run
+        self._limits.record_reported_limit(run, query.limit_per_s, query.age_ms, now_ms)
         limit = self._limits.limit(run)
         if limit is None:
-            return PermitAnswer(question.sequence, 0)
+            return PermitAnswer(query.sequence, 0)
         if self._find_home(run) is not None:
-            return PermitAnswer(question.sequence, NO_HOME_DELAY_MS)
-        wait_ms = self._acquire(run, limit, question.tier, now_ms)
-        return PermitAnswer(question.sequence, wait_ms)
+            return PermitAnswer(query.sequence, NO_HOME_DELAY_MS)
+        wait_ms = self._acquire(run, limit, query.tier, now_ms)
+        return PermitAnswer(query.sequence, wait_ms)
 
     def _acquire(
         self, run: EndpointRun, limit: StatedLimit, tier: int, now_ms: int
--- a/savorychute/gateway/permits/permit_question.py
+++ b/savorychute/gateway/permits/permit_question.py
@@ -1,4 +1,4 @@
-"""A question for a permit to the home of an endpoint."""
+"""A query for a permit to the home of an endpoint."""
 
 from __future__ import annotations
 
--- a/savorychute/gateway/platform_adapter.py
+++ b/savorychute/gateway/platform_adapter.py
@@ -66,7 +66,7 @@
         """Return the request that orders endpoints."""
         ...
 
-    def decode_duty_answer(self, status: int) -> DutyOutcome:
+    def decode_duty_response(self, status: int) -> DutyOutcome:
         """Return the outcome that the status of a response to such a request means."""
         ...
 
@@ -92,7 +92,7 @@
         """Return the request for an endpoint."""
         ...
 
-    def decode_answer(
+    def decode_response(
         self, status: int, headers: dict[str, str], attempt: OutboundAttempt
     ) -> EndpointResponse:
         """Return the meaning of the head of an endpoint's response."""
--- a/savorychute/gateway/store/configuration_listener.py
+++ b/savorychute/gateway/store/configuration_listener.py
@@ -76,7 +76,7 @@
         *,
         read_all: bool,
     ) -> None:
-        self._telemetry.store_answered('configuration')
+        self._telemetry.store_responded('configuration')
         self._plan.failing_topics.discard('configuration')
         newest_is_readable = True
         for record in records:
--- a/savorychute/gateway/store/endpoint_listener.py
+++ b/savorychute/gateway/store/endpoint_listener.py
@@ -59,7 +59,7 @@
 
     def on_snapshot(self, snapshot: TopicSnapshot, started_ms: int) -> None:
         """Apply all entries."""
-        self._telemetry.store_answered('endpoints')
+        self._telemetry.store_responded('endpoints')
         self._plan.failing_topics.discard('endpoints')
         decoded = [self._decode_record(record) for record in snapshot.records]
         entries = [each for each in decoded if not isinstance(each, EndpointNews)]
@@ -82,7 +82,7 @@
 
     def on_delta(self, delta: TopicDelta, started_ms: int) -> None:
         """Apply entries that were written or removed, in their order."""
-        self._telemetry.store_answered('endpoints')
+        self._telemetry.store_responded('endpoints')
         self._plan.failing_topics.discard('endpoints')
         if delta.next_offset < self._journal.offset:
             # Another instance reported later changes while this read was in progress.
--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -77,7 +77,7 @@
         """Log that entries were rewritten after the store went back to a copy."""
         self.log.warning('store-went-back', era=era)
 
-    def store_answered(self, topic: str) -> None:
+    def store_responded(self, topic: str) -> None:
         """Log the first response of the store after failures."""
         if topic in self._failing_topics:
             self._failing_topics.discard(topic)
--- a/tests/test_duties/duty_simulation.py
+++ b/tests/test_duties/duty_simulation.py
@@ -330,7 +330,7 @@
     def store_failed(self, topic, error):
         pass
 
-    def store_answered(self, topic):
+    def store_responded(self, topic):
         pass
 
 
--- a/tests/test_fleet/test_attempt_sender.py
+++ b/tests/test_fleet/test_attempt_sender.py
@@ -49,8 +49,8 @@
     def attempt_withheld(self):
         self.events.append('withheld')
 
-    def response_started(self, answer):
-        self.events.append(answer.status)
+    def response_started(self, response):
+        self.events.append(response.status)
 
 
 class SenderFixture:
--- a/tests/test_fleet/test_dialects.py
+++ b/tests/test_fleet/test_dialects.py
@@ -142,9 +142,9 @@
     ],
 )
 def test_response_is_classified_by_its_proof(status, headers, kind):
-    answer = endpoint_dialect.decode_answer(status, headers, make_attempt())
+    response = endpoint_dialect.decode_response(status, headers, make_attempt())
 
-    assert answer.kind is kind
+    assert response.kind is kind
 
 
 def test_response_keeps_its_end_to_end_headers():
@@ -156,10 +156,10 @@
         'x-hop': '1',
         'transfer-encoding': 'chunked',
     }
-    answer = endpoint_dialect.decode_answer(200, headers, make_attempt())
+    response = endpoint_dialect.decode_response(200, headers, make_attempt())
 
-    assert answer.is_stream
-    assert dict(answer.headers) == {
+    assert response.is_stream
+    assert dict(response.headers) == {
         'attempt-id': 'a1',
         'server-signature': 's',
         'content-type': 'text/event-stream',
@@ -235,10 +235,10 @@
 def test_unreadable_retry_after_is_ignored(text):
     """Guards against failing a caller's request because of an unreadable header."""
     headers = {'retry-after': text, 'not-executed': '1'}
-    answer = endpoint_dialect.decode_answer(503, headers, make_attempt())
+    response = endpoint_dialect.decode_response(503, headers, make_attempt())
     statement = statement_dialect.decode_statement(503, headers)
 
-    assert answer.retry_after_ms == 0
+    assert response.retry_after_ms == 0
     unreadable = UnreadableStatement(StatementKind.REST, text)
     assert statement == EndpointStatement(unreadable=(unreadable,))
 
--- a/tests/test_fleet/test_stated_limits.py
+++ b/tests/test_fleet/test_stated_limits.py
@@ -15,7 +15,7 @@
 # From the first statement of a limit until it must be respected.
 NOTICE_S = 3.0
 # From a response with the limit, which an instance passes on, until its calls count.
-ANSWER_NOTICE_S = 0.5
+RESPONSE_NOTICE_S = 0.5
 DURATION_S = 15.0
 # Interval between two requests to one instance.
 CALL_INTERVAL_S = 0.2
@@ -57,7 +57,7 @@
                 await asyncio.sleep(CALL_INTERVAL_S)
 
     def knows_limit(self, gateway, at_s):
-        return at_s >= self.limit_known_s.get(gateway, at_s) + ANSWER_NOTICE_S
+        return at_s >= self.limit_known_s.get(gateway, at_s) + RESPONSE_NOTICE_S
 
 
 def find_limited_calls(endpoint, calls):
@@ -68,7 +68,7 @@
         for at_s, headers in received
         if calls.knows_limit(calls.gateway_of.get(headers['attempt-id']), at_s)
     ]
-    all_know_s = max(calls.limit_known_s.values()) + ANSWER_NOTICE_S
+    all_know_s = max(calls.limit_known_s.values()) + RESPONSE_NOTICE_S
     return sorted(
         attempts + [at_s for at_s in endpoint.report_times_s if at_s > all_know_s]
     )
--- a/tests/test_gateway/permit_simulation.py
+++ b/tests/test_gateway/permit_simulation.py
@@ -57,9 +57,9 @@
         if self.frozen:
             self.queued_messages.append((sender, message))
         elif isinstance(message, PermitAnswer):
-            self.handler.handle_answer(message)
+            self.handler.handle_response(message)
         elif isinstance(message, PermitQuestion):
-            self._send_to(sender, self.handler.handle_question(message))
+            self._send_to(sender, self.handler.respond(message))
         else:
             self.limits.record_reported(message, self.fleet.now_ms)
 
@@ -92,7 +92,7 @@
         if is_up and self.handler.can_send(RUN, permit, self.fleet.now_ms):
             self.fleet.call(self, rank)
 
-    def handle_endpoint_answer(self, limit_per_s, sent_ms):
+    def handle_endpoint_response(self, limit_per_s, sent_ms):
         if not self.alive or self.frozen:
             return
         if limit_per_s is None:
@@ -117,8 +117,8 @@
         self.notified_ms = {}
         # Time, sender and rank of each call.
         self.calls = []
-        # Number of questions sent to homes.
-        self.questions = 0
+        # Number of queries sent to homes.
+        self.queries = 0
         self.instances = {}
         for number in range(instances):
             self._add(f'k{number}')
@@ -206,7 +206,7 @@
     # -- messages
 
     def deliver(self, sender, name, message):
-        self.questions += isinstance(message, PermitQuestion)
+        self.queries += isinstance(message, PermitQuestion)
         is_lost = self._rng.random() < self._loss_share
         if is_lost or {sender.name, name} & self.cut_off_names:
             return
@@ -255,17 +255,17 @@
         name = instance.name
         if not self._is_excused(name):
             self.calls.append((self.now_ms, name, rank))
-        self.timers.call_later(WORK_MS, lambda: self._answer(instance, sent_ms))
+        self.timers.call_later(WORK_MS, lambda: self._respond(instance, sent_ms))
 
     def _is_excused(self, name):
         instance = self.instances[name]
         is_disconnected = instance.frozen or name in self.cut_off_names
         return is_disconnected or self.now_ms < self.excused_until_ms.get(name, 0)
 
-    def _answer(self, instance, sent_ms):
+    def _respond(self, instance, sent_ms):
         if self.limit_per_s is not None:
             self.notified_ms.setdefault(instance.name, self.now_ms)
-        instance.handle_endpoint_answer(self.limit_per_s, sent_ms)
+        instance.handle_endpoint_response(self.limit_per_s, sent_ms)
 
     # -- checks
 
--- a/tests/test_gateway/test_backoff_of_endpoints.py
+++ b/tests/test_gateway/test_backoff_of_endpoints.py
@@ -108,7 +108,7 @@
 
 
 def run_step(gateway, step, value):
-    """Execute one step; open attempts answer in the order of their sends."""
+    """Execute one step; open attempts respond in the order of their sends."""
     open_attempts = [
         each
         for each in gateway.attempts.sent
--- a/tests/test_gateway/test_endpoint_roster.py
+++ b/tests/test_gateway/test_endpoint_roster.py
@@ -43,7 +43,7 @@
     assert usable_names(roster) == ['d1']
 
 
-def test_removed_entry_ends_endpoint_at_once_while_store_answers(roster):
+def test_removed_entry_ends_endpoint_at_once_while_store_responds(roster):
     roster.remove('d0', now_ms=10_000)
 
     assert usable_names(roster) == ['d1']
--- a/tests/test_gateway/test_endpoint_runs.py
+++ b/tests/test_gateway/test_endpoint_runs.py
@@ -58,7 +58,7 @@
 def test_ended_endpoint_can_start_again(roster):
     """Guards against an endpoint that gets no requests after its restart.
 
-    Another endpoint answers at its address, which proves the end of its run; then it
+    Another endpoint responds at its address, which proves the end of its run; then it
     restarts under its name.
     """
     roster.record_end(EndpointRun('d0', FIRST_MS))
@@ -99,7 +99,7 @@
 def test_late_proof_of_end_applies_to_old_run_only(roster):
     """Guards against a healthy endpoint that gets no requests.
 
-    A request to the old run is in progress while the new one registers; its answer
+    A request to the old run is in progress while the new one registers; its response
     proves the end of the old run.
     """
     roster.apply(make_entry('d0', born_ms=SECOND_MS))
--- a/tests/test_gateway/test_failing_engines.py
+++ b/tests/test_gateway/test_failing_engines.py
@@ -13,7 +13,7 @@
 def fail_first_engine(gateway, times=12):
     """Let the first engine chosen for diagnoses fail all of them; return its name.
 
-    The other engines answer.
+    The other engines respond.
     """
     for record in gateway.parts.roster:
         record.apply_report(IDLE, gateway.clock.now_ms())
--- a/tests/test_gateway/test_limit_table.py
+++ b/tests/test_gateway/test_limit_table.py
@@ -23,7 +23,7 @@
     return LimitTable(lambda run, limit_per_s: changes.append((run, limit_per_s)))
 
 
-def test_limit_holds_until_a_later_answer_states_none(table, changes):
+def test_limit_holds_until_a_later_response_states_none(table, changes):
     table.record_limit(RUN, 2.0, 20)
     assert table.limit_per_s(RUN) == 2.0
 
@@ -33,8 +33,8 @@
     assert changes == [(RUN, 2.0), (RUN, None)]
 
 
-def test_answer_to_earlier_call_ends_no_limit(table):
-    """Guards against a late answer that ends a limit stated after its call."""
+def test_response_to_earlier_call_ends_no_limit(table):
+    """Guards against a late response that ends a limit stated after its call."""
     table.record_limit(RUN, 2.0, 20)
 
     table.record_no_limit(RUN, 15)
--- a/tests/test_gateway/test_limited_endpoints.py
+++ b/tests/test_gateway/test_limited_endpoints.py
@@ -176,21 +176,21 @@
 def test_endpoint_that_leaves_during_permit_request_gets_no_call():
     """Guards against a call to an endpoint that was chosen before it was leaving."""
     gateway = make_gateway(desks=2)
-    questions = use_other_home(gateway, 'd0')
+    queries = use_other_home(gateway, 'd0')
     state_limit(gateway, 'd0')
-    while not questions:
+    while not queries:
         gateway.start()
     entry = gateway.parts.roster.get('d0').entry
     gateway.parts.roster.apply(entry._replace(draining=True, sequence=2))
-    gateway.parts.permits.handle_answer(PermitAnswer(questions[-1].message.sequence, 0))
+    gateway.parts.permits.handle_response(PermitAnswer(queries[-1].message.sequence, 0))
 
     assert gateway.last_attempt.endpoint == 'd1'
 
 
 def use_other_home(gateway, endpoint):
-    """Let another instance be the home of an endpoint; return the questions to it."""
-    questions = []
-    gateway.parts.permits.send = questions.append
+    """Let another instance be the home of an endpoint; return the queries to it."""
+    queries = []
+    gateway.parts.permits.send = queries.append
     own, other = make_address('kochi-1'), make_address('kochi-2')
     key = f'{endpoint}/0'
     number = 2
@@ -198,7 +198,7 @@
         number += 1
         other = make_address(f'kochi-{number}')
     gateway.parts.permits.set_view(MemberView(own, (own, other)))
-    return questions
+    return queries
 
 
 def make_address(name):
--- a/tests/test_gateway/test_permit_handler.py
+++ b/tests/test_gateway/test_permit_handler.py
@@ -12,10 +12,10 @@
 from savorychute.gateway.permits.permit_allocator import PermitAllocator
 from savorychute.gateway.permits.permit_answer import PermitAnswer
 from savorychute.gateway.permits.permit_handler import (
-    ANSWER_TIMEOUT_MS,
     MAX_QUERIES,
     NO_HOME_DELAY_MS,
     PERMIT_LIFETIME_MS,
+    RESPONSE_TIMEOUT_MS,
     PermitHandler,
 )
 from savorychute.gateway.permits.permit_question import PermitQuestion
@@ -111,8 +111,8 @@
 
 def test_permit_lifetime_starts_when_it_is_requested(remote_home):
     asked_ms = remote_home.clock.now_ms()
-    remote_home.timers.advance(ANSWER_TIMEOUT_MS - 1)
-    remote_home.handler.handle_answer(
+    remote_home.timers.advance(RESPONSE_TIMEOUT_MS - 1)
+    remote_home.handler.handle_response(
         PermitAnswer(remote_home.sent[-1].message.sequence, 0)
     )
 
@@ -129,8 +129,8 @@
 
 
 def test_denied_call_is_not_requested_again_before_wait_ends(remote_home):
-    """Guards against a question for each request while an endpoint denies all calls."""
-    remote_home.handler.handle_answer(
+    """Guards against a query for each request while an endpoint denies all calls."""
+    remote_home.handler.handle_response(
         PermitAnswer(remote_home.sent[-1].message.sequence, 700)
     )
     sent_count = len(remote_home.sent)
@@ -143,11 +143,11 @@
 
 
 def test_denial_of_a_lower_tier_does_not_apply_to_a_higher_one(remote_home):
-    remote_home.handler.handle_answer(
+    remote_home.handler.handle_response(
         PermitAnswer(remote_home.sent[-1].message.sequence, 0)
     )
     remote_home.request_permit(LAST)
-    remote_home.handler.handle_answer(
+    remote_home.handler.handle_response(
         PermitAnswer(remote_home.sent[-1].message.sequence, 700)
     )
 
@@ -156,31 +156,31 @@
 
 def test_unresponsive_home_is_queried_once_more(remote_home):
     """Guards against calls without a permit when a message is lost."""
-    remote_home.timers.advance(MAX_QUERIES * ANSWER_TIMEOUT_MS)
+    remote_home.timers.advance(MAX_QUERIES * RESPONSE_TIMEOUT_MS)
 
     assert len(remote_home.sent) == MAX_QUERIES
     assert remote_home.outcomes == [Denial(NO_HOME_DELAY_MS)]
 
 
-def test_late_answer_is_ignored(remote_home):
+def test_late_response_is_ignored(remote_home):
     first_sequence = remote_home.sent[0].message.sequence
-    remote_home.timers.advance(MAX_QUERIES * ANSWER_TIMEOUT_MS)
-    remote_home.handler.handle_answer(PermitAnswer(first_sequence, 0))
+    remote_home.timers.advance(MAX_QUERIES * RESPONSE_TIMEOUT_MS)
+    remote_home.handler.handle_response(PermitAnswer(first_sequence, 0))
 
     assert remote_home.outcomes == [Denial(NO_HOME_DELAY_MS)]
 
 
 def test_instance_that_is_not_the_home_grants_nothing(remote_home):
     """Guards against two instances that both count the calls of an endpoint."""
-    answer = remote_home.handler.handle_question(PermitQuestion(3, RUN, 1.0, 0, 0))
+    response = remote_home.handler.respond(PermitQuestion(3, RUN, 1.0, 0, 0))
 
-    assert answer == PermitAnswer(3, NO_HOME_DELAY_MS)
+    assert response == PermitAnswer(3, NO_HOME_DELAY_MS)
 
 
-def test_home_learns_a_limit_from_a_question():
+def test_home_learns_a_limit_from_a_query():
     fixture = HandlerFixture()
     fixture.handler.set_view(make_view('k0'))
-    fixture.handler.handle_question(PermitQuestion(3, RUN, 2.5, 400, 0))
+    fixture.handler.respond(PermitQuestion(3, RUN, 2.5, 400, 0))
 
     assert fixture.limits.limit_per_s(RUN) == 2.5
 
@@ -188,10 +188,7 @@
 def test_home_that_recorded_end_of_limit_grants_calls(own_home):
     own_home.limits.record_no_limit(RUN, own_home.clock.now_ms())
 
-    assert (
-        own_home.handler.handle_question(PermitQuestion(3, RUN, 1.0, 900, 0)).wait_ms
-        == 0
-    )
+    assert own_home.handler.respond(PermitQuestion(3, RUN, 1.0, 900, 0)).wait_ms == 0
 
 
 def test_home_that_changed_meanwhile_starts_without_calls(own_home):
@@ -211,7 +208,7 @@
 
 def test_denial_under_a_limit_does_not_apply_to_a_higher_limit(remote_home):
     """Guards against an endpoint that stays excluded after its limit has risen."""
-    remote_home.handler.handle_answer(
+    remote_home.handler.handle_response(
         PermitAnswer(remote_home.sent[-1].message.sequence, 9_000)
     )
     assert remote_home.request_permit() == Denial(9_000)
@@ -225,7 +222,7 @@
 
 def test_unresponsive_home_makes_no_endpoint_scarce(remote_home):
     """Guards against engines that are excluded when an instance is killed."""
-    remote_home.timers.advance(MAX_QUERIES * ANSWER_TIMEOUT_MS)
+    remote_home.timers.advance(MAX_QUERIES * RESPONSE_TIMEOUT_MS)
 
     assert remote_home.outcomes == [Denial(NO_HOME_DELAY_MS)]
     assert not remote_home.handler.is_scarce(RUN, remote_home.clock.now_ms())
--- a/tests/test_gateway/test_permit_laws.py
+++ b/tests/test_gateway/test_permit_laws.py
@@ -95,7 +95,7 @@
 
 
 def test_endpoint_with_limit_of_zero_is_called_after_its_end():
-    """Guards against a limit of zero whose end no answer could state."""
+    """Guards against a limit of zero whose end no response could state."""
     fleet = PermitFleet(INSTANCES, 40, 0)
     fleet.run(STEADY_MS)
     fleet.state(None)
--- a/tests/test_gateway/test_shortages.py
+++ b/tests/test_gateway/test_shortages.py
@@ -123,7 +123,7 @@
     assert count_unserved(gateway) == {}
 
 
-def test_caller_that_leaves_a_full_engine_without_answer_counts(gateway):
+def test_caller_that_leaves_a_full_engine_without_response_counts(gateway):
     execution, _ = gateway.start('/diagnosis/1', method='POST', prompt=SHORT)
     gateway.advance(2_000)
     report_full_engines(gateway)
