--- a/benches/membership.py
+++ b/benches/membership.py
@@ -217,7 +217,7 @@
 
 
 def bench_cut(seed: int) -> list[BenchRow]:
-    """Partition two regions, and two halves of a region, for an hour each."""
+    """Separate two regions, then two halves of a region, for an hour each."""
     rows = []
     for where, regions in (('regions', 2), ('halves of a region', 1)):
         mesh = start_mesh(CUT_MEMBERS, regions, seed)
--- a/savorychute/configuration/log_budget.py
+++ b/savorychute/configuration/log_budget.py
@@ -45,8 +45,8 @@
     the log would receive all these appends within one second; with slots at random
     phases it receives them evenly over one period.
 
-    A partitioned instance counts fewer members and uses a larger share,
-    according to its view.
+    An instance that a network partition cuts off counts fewer members and uses
+    a larger share, according to its view.
 
     :param settings: rates and limits.
     """
--- a/savorychute/credits/group_allocator.py
+++ b/savorychute/credits/group_allocator.py
@@ -253,9 +253,10 @@
         """Discard holders that are lost or have not reported for very long.
 
         The credits of a dead instance are free, because endpoints have seen its
-        connections break.  An instance that is only partitioned may continue until its
-        grant expires, beside the instances that receive its part; this takes less than
-        the duration of a grant, because detecting the loss took part of it.
+        connections break.  An instance that is only cut off by a network partition may
+        continue until its grant expires, beside the instances that receive its part;
+        this takes less than the duration of a grant, because detecting the loss took
+        part of it.
 
         :param alive: names of the members that are alive or leaving.
         :param now_ms: the current time.
--- a/savorychute/credits/home_handler.py
+++ b/savorychute/credits/home_handler.py
@@ -65,9 +65,9 @@
             return
         # Only members that are alive may hold credits of the previous home.  The
         # credits of a dead member are free, because endpoints have seen its connections
-        # break.  A member that is only partitioned may use its part until its grant
-        # expires, beside the instances that receive the part now; the duration of a
-        # grant bounds this.
+        # break.  A member that is only cut off by a network partition may use its part
+        # until its grant expires, beside the instances that receive the part now; the
+        # duration of a grant bounds this.
         expected = self._members.list_alive(holding.group.region)
         self._allocators[holding.group.key] = GroupAllocator(
             self._groups.settings, holding, self._groups.instance, expected, now_ms
--- a/savorychute/credits/region_members.py
+++ b/savorychute/credits/region_members.py
@@ -9,7 +9,7 @@
 
 
 class RegionMembers:
-    """Remembers members, to distinguish a majority from a partitioned minority.
+    """Remembers members, to distinguish a majority from a minority that is cut off.
 
     :param remember_ms: how long a lost member is remembered.
     """
@@ -64,7 +64,7 @@
     def alive_share(self, region: str, now_ms: int) -> float:
         """Return 1 if a majority is alive, else the share of members that are alive.
 
-        Instances that are partitioned from each other would each claim the whole
+        Instances that a network partition separates would each claim the whole
         capacity.  With this scale the minorities together claim at most once the
         capacity, in addition to the majority.  Of two equal halves, the one that
         contains the first name counts as the majority (dynamic linear voting, Jajodia
--- a/savorychute/limits/quorum_tracker.py
+++ b/savorychute/limits/quorum_tracker.py
@@ -97,9 +97,9 @@
     def apply_listed(self, listed: frozenset[str]) -> list[str]:
         """Apply the platform's list; return the members that have terminated.
 
-        A member that is no longer seen may be partitioned from this instance and still
-        running.  One that the platform has removed from its list has terminated: it has
-        no vote, and no home has to wait for it.  Without this rule, the last instance
+        A member that is no longer seen may be cut off by a network partition and still
+        be running.  One that the platform has removed from its list has terminated: it
+        has no vote, and no home has to wait for it.  Without this rule, the last instance
         of a group whose others crashed would serve no requests for as long as a
         minority remembers lost members.
 
--- a/savorychute/testing/configuration_monitor.py
+++ b/savorychute/testing/configuration_monitor.py
@@ -27,7 +27,8 @@
 
     A version must never decrease, and an accepted version must be in force at
     every serving instance within ``MAX_PROPAGATION_MS``.  For an instance that
-    was paused, partitioned or started later, this time starts with its return.
+    was paused, cut off by a network partition or started later, this time starts
+    with its return.
 
     :param simulation: the simulation.
     """
--- a/savorychute/testing/connection.py
+++ b/savorychute/testing/connection.py
@@ -23,7 +23,7 @@
 class Pipe:
     """One direction of a connection, which delivers in order.
 
-    As with TCP, nothing is lost: bytes that are held back by a partition arrive
+    As with TCP, nothing is lost: bytes that are held back by a network partition arrive
     when it ends.  After ``BROKEN_AFTER_MS`` the connection counts as broken.
     """
 
--- a/savorychute/testing/faults/network_faults.py
+++ b/savorychute/testing/faults/network_faults.py
@@ -39,7 +39,7 @@
 
 @FAULTS.register('domains-cut')
 def cut(context: FaultContext, step: FaultStep) -> None:
-    """Partition a failure domain from another, or from all others."""
+    """Separate a failure domain from another or all others by a network partition."""
     simulation = context.simulation
     for source, target in _list_domain_pairs(simulation, step):
         simulation.network.cut(source, target)
--- a/savorychute/testing/invariants.py
+++ b/savorychute/testing/invariants.py
@@ -141,15 +141,15 @@
 def check_poison(simulation: Simulation) -> Iterator[str]:
     """One poison request crashes at most two endpoints, over all instances.
 
-    While failure domains are partitioned, neither side learns of the crashes of
-    the other, so the bound applies to each side.
+    During a network partition, neither side learns of the crashes of the other, so
+    the bound applies to each side.
     """
     crashes = sum(
         host.engine.poison_crashes
         for host in simulation.endpoints.values()
         if isinstance(host, EngineHost)
     )
-    sides = 2 if simulation.network.was_partitioned else 1
+    sides = 2 if simulation.network.had_network_partition else 1
     if crashes > MAX_POISON_CRASHES * simulation.poison_count * sides:
         yield f'{crashes} crashes by {simulation.poison_count} poison requests'
 
--- a/savorychute/testing/network.py
+++ b/savorychute/testing/network.py
@@ -1,4 +1,4 @@
-"""Simulated network: delays, partitions and unreliable messages."""
+"""Simulated network: delays, network partitions and unreliable messages."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         self.peer_faults = NO_PEER_FAULTS
         self.peer_messages = 0
         self.cancel_delay_ms = 0.0
-        self.was_partitioned = False
+        self.had_network_partition = False
         self._rng = rng
         self._cuts: set[tuple[str, str]] = set()
 
@@ -56,11 +56,11 @@
 
     def cut(self, source: str, target: str) -> None:
         """Block traffic from one failure domain to another."""
-        self.was_partitioned = True
+        self.had_network_partition = True
         self._cuts.add((source, target))
 
     def heal(self) -> None:
-        """End all partitions."""
+        """End all network partitions."""
         self._cuts.clear()
 
     def is_cut(self, source: str, target: str) -> bool:
--- a/tests/test_configuration/test_broadcast.py
+++ b/tests/test_configuration/test_broadcast.py
@@ -69,8 +69,8 @@
     assert offsets == {0}
 
 
-def test_partitioned_region_catches_up(region_cluster):
-    """A region is partitioned from the others and from the log for half a minute."""
+def test_region_catches_up_after_a_network_partition(region_cluster):
+    """A network partition cuts off a region, also from the log, for half a minute."""
     region_cluster.cut_regions = {'r2'}
     region_cluster.cut_from_log = {
         name
--- a/tests/test_configuration/test_join.py
+++ b/tests/test_configuration/test_join.py
@@ -69,7 +69,7 @@
 def test_joiner_is_not_ready_with_the_state_of_a_peer_that_is_behind(
     joiner, view, folds
 ):
-    """The first instance that responds was partitioned and has an old state.
+    """The first instance that responds was cut off and has an old state.
 
     Another instance reported a higher offset.  Serving from the older state would
     restore limits that an operator has replaced.
--- a/tests/test_limits/test_limiter.py
+++ b/tests/test_limits/test_limiter.py
@@ -120,7 +120,7 @@
 
 
 def test_instances_that_are_cut_off_fall_back_to_their_floors(make_cluster):
-    """A partitioned instance continues with its share, then with its floor.
+    """An instance that is cut off continues with its share, then with its floor.
 
     An instance loses the others while the organisation's callers reach both sides.  The
     others receive the rest only when it can no longer be in use.
--- a/tests/test_limits/test_listing.py
+++ b/tests/test_limits/test_listing.py
@@ -17,9 +17,9 @@
 def test_last_instance_serves_once_the_others_are_off_the_list(make_cluster):
     """The last instance would serve no requests for hours.
 
-    Two of three instances crash within seconds.  The last one may be partitioned from
-    two that are running, and so grants nothing, until the platform's list shows that
-    the two have terminated.
+    Two of three instances crash within seconds.  A network partition may separate the
+    last one from two that are running, so it grants nothing until the platform's list
+    shows that the two have terminated.
     """
     cluster = make_cluster('abc', greed=UNLIMITED)
     announce_list(cluster, 'abc')
@@ -36,7 +36,7 @@
 
 
 def test_list_without_this_instance_is_ignored(make_cluster):
-    """A partitioned instance would claim a contract that others use, too.
+    """An instance that is cut off would claim a contract that others use, too.
 
     Its list is empty, because the platform's service has lost its entries.
     """
--- a/tests/test_membership/test_membership_faults.py
+++ b/tests/test_membership/test_membership_faults.py
@@ -124,7 +124,7 @@
 
 
 def test_sides_of_a_partition_reconnect(start_mesh):
-    """Two failure domains are partitioned for several minutes.
+    """A network partition separates two failure domains for several minutes.
 
     Each side declares the other dead.  Unless dead members are probed, the
     system stays split after the partition has healed.
@@ -144,7 +144,7 @@
 
 
 def test_region_is_found_after_replacing_all_members_during_a_partition(start_mesh):
-    """Two regions are partitioned while one replaces all its instances.
+    """A network partition separates two regions while one replaces all its instances.
 
     None of the known representatives exists any more.  The list names the new
     ones, and both regions must see each other's members again.
