--- a/savorychute/placement/fleet.py
+++ b/savorychute/placement/fleet.py
@@ -18,7 +18,7 @@
 MIN_DOMAINS = 2
 
 #: Fewer slots than this count as none, because sums of shares have rounding errors.
-MIN_SLOTS = 1e-6
+SLOT_TOLERANCE = 1e-6
 
 
 class Fleet:
@@ -149,7 +149,7 @@
 
     def _utilisation_of_slots(self, model: str, slots: float) -> float:
         requests = self._demand.demand_of(model).requests
-        if slots < MIN_SLOTS:
+        if slots < SLOT_TOLERANCE:
             return math.inf if requests > 0 else 0.0
         return requests / slots
 
