--- a/benches/repeat_bound.py
+++ b/benches/repeat_bound.py
@@ -1,4 +1,4 @@
-"""Share of the retry limit that a fleet uses, by its size and by preceding faults.
+"""Share of the retry bound that a fleet uses, by its size and by preceding faults.
 
 All endpoints refuse every attempt, and every instance retries as often as it can, on
 virtual time. The share is measured in the first window of a retry storm after a calm
@@ -111,5 +111,5 @@
 
 
 def measure_used_share(fleet: RetryFleet) -> float:
-    """Return the share of the retry limit used in the first window of the storm."""
+    """Return the share of the retry bound used in the first window of the storm."""
     return fleet.count_retries(CALM_MS) / fleet.find_allowed(CALM_MS)
--- a/savorychute/gateway/dispatch/request_requirements.py
+++ b/savorychute/gateway/dispatch/request_requirements.py
@@ -12,10 +12,10 @@
     """The prompt of a request, and its objectives.
 
     ``prompt`` is None for a plain service.  ``gap_target_ms`` is the longest permitted
-    gap between events, 0 for no limit; ``target_ms`` is the objective for the first
-    event, and ``rank`` the urgency (0 first).  ``is_retry`` is true if an engine
-    refused the request before, and ``any_engine`` if its partition had no capacity for
-    it.
+    gap between events, 0 for no limit.  ``target_ms`` is the objective for the first
+    event, or for the whole response of a plain service, and ``rank`` the urgency (0
+    first).  ``is_retry`` is true if an engine refused the request before, and
+    ``any_engine`` if its partition had no capacity for it.
     """
 
     prompt: Prompt | None = None
--- a/tests/test_fleet/test_attempt_sender.py
+++ b/tests/test_fleet/test_attempt_sender.py
@@ -113,8 +113,8 @@
     assert sender_fixture.listener.events == ['withheld']
 
 
-def test_attempt_is_withheld_from_resting_endpoint(sender_fixture):
-    """Guards against a call that was prepared before its endpoint requested rest."""
+def test_attempt_is_withheld_from_endpoint_in_backoff(sender_fixture):
+    """Guards against a call prepared before its endpoint requested a backoff."""
     handler = sender_fixture.start_attempt()
     sender_fixture.statements.backoffs.record_backoff(ENTRY.run, 500, NOW_MS)
 
--- a/tests/test_fleet/test_dialects.py
+++ b/tests/test_fleet/test_dialects.py
@@ -219,13 +219,13 @@
     ('text', 'rest_ms'),
     [('3', 3_000), ('0.25', 250), ('0', 0), ('1e300', 3_600_000)],
 )
-def test_requested_rest_is_decoded(text, rest_ms):
+def test_requested_backoff_is_decoded(text, rest_ms):
     statement = statement_dialect.decode_statement(503, {'retry-after': text})
 
     assert statement == EndpointStatement(backoff_ms=rest_ms)
 
 
-def test_only_status_503_requests_rest():
+def test_only_status_503_requests_backoff():
     statement = statement_dialect.decode_statement(429, {'retry-after': '3'})
 
     assert statement == EndpointStatement()
--- a/tests/test_fleet/test_explaining.py
+++ b/tests/test_fleet/test_explaining.py
@@ -117,7 +117,7 @@
     assert 'a permit to call d1 was denied, for 2000 ms' in story
 
 
-def test_refusal_if_the_only_endpoint_rests(tmp_path):
+def test_refusal_if_the_only_endpoint_is_in_backoff(tmp_path):
     async def scenario(fleet):
         endpoint = fleet.endpoints['d1']
         endpoint.sheds, endpoint.statement_headers = True, (('retry-after', '3'),)
--- a/tests/test_fleet/test_leaving_and_rest.py
+++ b/tests/test_fleet/test_leaving_and_backoff.py
@@ -1,4 +1,4 @@
-"""Tests of endpoints that leave or request rest, over sockets."""
+"""Tests of endpoints that leave or request a backoff, over sockets."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 TEST_S = 120
 # From the response that states leaving until no new requests may arrive.
 DRAIN_NOTICE_S = 2.0
-REST_S = 3.0
-# From the response that requests rest until the rest must be observed.
-REST_NOTICE_S = 0.5
+BACKOFF_S = 3.0
+# From the response that requests a backoff until the backoff must be observed.
+BACKOFF_NOTICE_S = 0.5
 LEAVING_HEADERS = (('server-leaving', '1'),)
-REST_HEADERS = (('retry-after', str(REST_S)),)
+BACKOFF_HEADERS = (('retry-after', str(BACKOFF_S)),)
 CALL_INTERVAL_S = 0.1
 DURATION_S = 8.0
 STREAM_CALL = {'path': '/s/1', 'method': 'POST'}
@@ -124,14 +124,14 @@
 @pytest.mark.parametrize(
     ('name', 'call'), [('d1', {}), ('e1', {'extra': LONG_PROMPT, **STREAM_CALL})]
 )
-def test_endpoint_receives_the_rest_that_it_requests(name, call):
+def test_endpoint_receives_the_backoff_that_it_requests(name, call):
     """Guards against requests to an endpoint that has just shed one."""
 
     async def scenario(fleet):
         endpoint = fleet.endpoints[name]
-        endpoint.sheds, endpoint.statement_headers = True, REST_HEADERS
+        endpoint.sheds, endpoint.statement_headers = True, BACKOFF_HEADERS
         started_s = fleet.now_s()
-        await call_repeatedly(fleet, REST_S - CALL_INTERVAL_S, **call)
+        await call_repeatedly(fleet, BACKOFF_S - CALL_INTERVAL_S, **call)
         return [
             at_s - started_s for at_s in endpoint.received_times_s if at_s >= started_s
         ]
@@ -140,17 +140,20 @@
     first_s = min(calls_s)
 
     assert (
-        sum(first_s + REST_NOTICE_S <= at_s < first_s + REST_S for at_s in calls_s) <= 2
+        sum(
+            first_s + BACKOFF_NOTICE_S <= at_s < first_s + BACKOFF_S for at_s in calls_s
+        )
+        <= 2
     )
 
 
-def test_caller_is_refused_early_if_all_endpoints_rest():
-    """Guards against a caller that waits, or retries before the end of the rest."""
+def test_caller_is_refused_early_if_all_endpoints_are_in_backoff():
+    """Guards against a caller that waits, or retries before the end of the backoff."""
 
     async def scenario(fleet):
         for name in ('d1', 'd2'):
             fleet.endpoints[name].sheds = True
-            fleet.endpoints[name].statement_headers = REST_HEADERS
+            fleet.endpoints[name].statement_headers = BACKOFF_HEADERS
         await fleet.call()
         await fleet.call()
         started_s = fleet.now_s()
@@ -162,7 +165,7 @@
     assert response.status == 503
     assert waited_s < CALL_INTERVAL_S
     assert (
-        REST_S - CALL_INTERVAL_S
+        BACKOFF_S - CALL_INTERVAL_S
         < float(response.headers['retry-after'])
-        <= REST_S + 0.5
+        <= BACKOFF_S + 0.5
     )
--- a/tests/test_gateway/fleet_simulation.py
+++ b/tests/test_gateway/fleet_simulation.py
@@ -76,7 +76,7 @@
     end_ms: int
 
 
-class Breach(NamedTuple):
+class Violation(NamedTuple):
     """Five seconds in which a kind was unserved while a less urgent one started."""
 
     start_ms: int
@@ -269,14 +269,14 @@
         served = [caller.served for caller in self.callers if caller.kind is kind]
         return sum(served) / len(served) if served else 1.0
 
-    def find_breaches(self, end_ms):
+    def find_violations(self, end_ms):
         """Return the spans in which the guarantee between tiers was violated."""
         found = []
         for start_ms in range(0, end_ms - WINDOW_MS + 1, 500):
             for kind in KINDS[:-1]:
-                breach = self._breach(kind, start_ms)
-                if breach is not None:
-                    found.append(breach)
+                violation = self._find_violation(kind, start_ms)
+                if violation is not None:
+                    found.append(violation)
         return found
 
     def find_unshed_requests(self, end_ms):
@@ -311,7 +311,7 @@
             if start_ms <= arrived_ms - START_MS < start_ms + CHECK_INTERVAL_MS
         ]
 
-    def _breach(self, kind, start_ms):
+    def _find_violation(self, kind, start_ms):
         end_ms = start_ms + WINDOW_MS
         sent = [
             caller
@@ -328,7 +328,7 @@
             for started_ms in self._starts[each.name]
         )
         return (
-            Breach(start_ms, kind.name, len(sent), unserved, started)
+            Violation(start_ms, kind.name, len(sent), unserved, started)
             if started
             else None
         )
--- a/tests/test_gateway/test_tiers_under_load.py
+++ b/tests/test_gateway/test_tiers_under_load.py
@@ -58,7 +58,7 @@
     fleet.drain_engine('e2', 4_000)
     fleet.run(16_000 + DRAIN_MS)
 
-    assert not fleet.find_breaches(16_000)
+    assert not fleet.find_violations(16_000)
 
 
 def run_long_overload(seed):
@@ -77,7 +77,7 @@
     """
     fleet = run_long_overload(seed)
 
-    assert not fleet.find_breaches(24_000)
+    assert not fleet.find_violations(24_000)
     assert fleet.served_share(CHAT) > 0.95
 
 
@@ -90,7 +90,7 @@
     one that becomes free, as they are more urgent; the callers of the notes leave.
     Summaries had started just before.
     """
-    assert not run_long_overload(seed).find_breaches(24_000)
+    assert not run_long_overload(seed).find_violations(24_000)
 
 
 # A run takes a second, so failing examples are not shrunk.
