--- a/tests/test_soak/test_short_soak.py
+++ b/tests/test_soak/test_short_soak.py
@@ -7,12 +7,15 @@
 
 import pytest
 
+from benches.gateway_soak.ledger import Ledger
 from benches.gateway_soak.play import play
+from benches.gateway_soak.site import Site
 
 SOAK_S = 2.0
 GATEWAYS = 2
 CALLERS = 6
 TEST_TIMEOUT_S = 120
+POLL_INTERVAL_S = 0.05
 
 
 # Long enough for a duty holder to be elected and for a usage window to end under it.
@@ -87,3 +90,31 @@
 
     assert result.violations == []
     assert result.counts['statements'] > 0
+
+
+class InvalidValueChooser(random.Random):
+    """Chooses the invalid value among the values of a setting."""
+
+    def choice(self, values):
+        """Return the last value."""
+        return values[-1]
+
+
+def test_reload_does_not_end_a_gateway_that_is_starting(tmp_path):
+    """Guards against a gateway that starts with the invalid settings of a reload."""
+
+    async def main():
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            site = Site(tmp_path, Ledger(), random.Random(1))
+            try:
+                await site.start(1)
+                gateway = site.gateways[0]
+                gateway.change_settings(InvalidValueChooser())
+                while not gateway.has_read_settings():
+                    assert gateway.process.returncode is None
+                    await asyncio.sleep(POLL_INTERVAL_S)
+            finally:
+                await site.stop()
+            return gateway.process.returncode
+
+    assert asyncio.run(main()) == 0
