--- a/tests/test_soak/test_short_soak.py
+++ b/tests/test_soak/test_short_soak.py
@@ -3,16 +3,20 @@
 from __future__ import annotations
 
 import asyncio
+import json
 import random
 
 import pytest
 
-from benches.gateway_soak.play import play
+from benches.gateway_soak.ledger import Ledger
+from benches.gateway_soak.play import find_tracebacks, play
+from benches.gateway_soak.site import Site
 
 SOAK_S = 2.0
 GATEWAYS = 2
 CALLERS = 6
 TEST_TIMEOUT_S = 120
+POLL_INTERVAL_S = 0.05
 
 
 # Long enough for a duty holder to be elected and for a usage window to end under it.
@@ -87,3 +91,54 @@
 
     assert result.violations == []
     assert result.counts['statements'] > 0
+
+
+class InvalidValueChooser(random.Random):
+    """Chooses the invalid value among the values of a setting."""
+
+    def choice(self, values):
+        """Return the last value."""
+        return values[-1]
+
+
+def test_reload_does_not_end_a_gateway_that_is_starting(tmp_path):
+    """Guards against a gateway that starts with the invalid settings of a reload."""
+
+    async def main():
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            site = Site(tmp_path, Ledger(), random.Random(1))
+            try:
+                await site.start(1)
+                gateway = site.gateways[0]
+                gateway.change_settings(InvalidValueChooser())
+                while not gateway.has_read_settings():
+                    assert gateway.process.returncode is None
+                    await asyncio.sleep(POLL_INTERVAL_S)
+            finally:
+                await site.stop()
+            return gateway.process.returncode
+
+    assert asyncio.run(main()) == 0
+
+
+def make_library_line(**fields):
+    line = {'logger': 'asyncio', 'level': 'warning', 'error': ''} | fields
+    return json.dumps(line | {'message_type': 'library-logged'}) + '\n'
+
+
+@pytest.mark.parametrize(
+    ('line', 'count'),
+    [
+        ('Traceback (most recent call last):\n', 1),
+        (make_library_line(level='error', error='KeyError'), 1),
+        (make_library_line(error='OSError'), 1),
+        (make_library_line(level='error'), 1),
+        (make_library_line(logger='h11'), 1),
+        (make_library_line(), 0),
+    ],
+)
+def test_reports_of_libraries_are_violations(line, count, tmp_path):
+    """Guards against missing an exception beside warnings of lost connections."""
+    (tmp_path / 'gateway-0.log').write_text(make_library_line() + line)
+
+    assert len(find_tracebacks(tmp_path)) == count
