--- a/tests/test_gateway/test_settings_monitor.py
+++ b/tests/test_gateway/test_settings_monitor.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 import os
+from contextlib import suppress
 from pathlib import Path
 
 import pytest
@@ -14,7 +16,12 @@
 from savorychute.gateway.platform_adapter import PLATFORMS
 from savorychute.gateway.settings.table import GATEWAY_SCHEMA
 from savorychute.settings.settings_file import read_schema
+from savorychute.testing.virtual_loop import run_virtual
 
+# Enough for several polls of the file.
+POLLED_S = 5
+# A modification time that differs from that of the first version of the file.
+CHANGED_NS = 1
 DOCUMENT = {
     'instance': 'kochi-1',
     'region': 'kerala',
@@ -62,6 +69,27 @@
     assert [settings.retry_slack for settings in changes] == [7]
 
 
+def test_change_before_the_monitor_starts_is_applied(path, changes):
+    """Guards against a gateway that keeps settings which changed while it started.
+
+    The settings are read before the servers listen, and the monitor starts afterwards.
+    """
+    settings = read_schema(path, GATEWAY_SCHEMA)
+    path.write_text(json.dumps(DOCUMENT | {'retry_slack': 7}))
+    os.utime(path, ns=(CHANGED_NS, CHANGED_NS))
+    telemetry = make_telemetry(ManualClock())
+    monitor = SettingsMonitor(path, settings, telemetry, changes.append)
+
+    async def main():
+        with suppress(TimeoutError):
+            async with asyncio.timeout(POLLED_S):
+                await monitor.run()
+
+    run_virtual(main())
+
+    assert [settings.retry_slack for settings in changes] == [7]
+
+
 def test_file_with_faults_changes_nothing(path, monitor, changes):
     """Guards against a partly written file that ends the process.
 
