--- a/savorychute/configuration/amendment_check.py
+++ b/savorychute/configuration/amendment_check.py
@@ -89,7 +89,7 @@
         return []
     return [
         f'classes.{position}.{field}: unknown field'
-        for position, each in enumerate(classes)
-        if isinstance(each, dict)
-        for field in unknown_fields(each, ClassDocument)
+        for position, class_document in enumerate(classes)
+        if isinstance(class_document, dict)
+        for field in unknown_fields(class_document, ClassDocument)
     ]
--- a/savorychute/configuration/broadcaster.py
+++ b/savorychute/configuration/broadcaster.py
@@ -145,13 +145,13 @@
         self._pull_sent_ms = now_ms
         return [send_to(peer, RecordsRequest(own_offset))]
 
-    def record_answer(self, instance: str) -> None:
+    def record_response(self, instance: str) -> None:
         """Record that an instance responded to a pull."""
         if self._pull_target == instance:
             self._pull_target = None
 
     def compare(self, notice: OffsetNotice) -> None:
-        """Count a notice that shows a different state at the own offset.
+        """Count a notice that shows a different state at this instance's offset.
 
         This cannot happen as long as all instances fold by the same rules.  If it
         does, operators must see it.
--- a/savorychute/configuration/configuration_store.py
+++ b/savorychute/configuration/configuration_store.py
@@ -57,7 +57,7 @@
         return True
 
     def adopt(self, data: bytes, offset: int) -> bool:
-        """Adopt an encoded state if it is later than the own state.
+        """Adopt an encoded state if it is later than the current state.
 
         The state of a peer that is behind and an obsolete snapshot both have an
         older offset; adopting one would revert a change that is in force.
@@ -92,7 +92,7 @@
     def _differences(
         self, before: ConfigurationState, after: ConfigurationState
     ) -> Iterator[AppliedChange]:
-        amended = {
+        accepted_by_version = {
             each.version: each for each in self.fold.verdicts.all() if each.accepted
         }
         for item in sorted({*before.versions, *after.versions}):
@@ -100,7 +100,7 @@
             new = after.versions.get(item, 0)
             if old == new:
                 continue
-            verdict = amended.get(new)
+            verdict = accepted_by_version.get(new)
             yield AppliedChange(
                 item=item,
                 from_version=old,
--- a/savorychute/configuration/contract_rules.py
+++ b/savorychute/configuration/contract_rules.py
@@ -43,12 +43,14 @@
 
 
 def _check_classes(classes: list[ClassDocument]) -> list[str]:
-    faults = check_names('classes', (each['name'] for each in classes))
+    faults = check_names('classes', (document['name'] for document in classes))
     if not 1 <= len(classes) <= MAX_CLASSES:
         faults.append(f'classes: {len(classes)} of them, not 1 to {MAX_CLASSES}')
-    for each in classes:
-        faults += _check_class(each)
-    reserved = sum(share_units(each.get('minimum_share', 0.0)) for each in classes)
+    for document in classes:
+        faults += _check_class(document)
+    reserved = sum(
+        share_units(document.get('minimum_share', 0.0)) for document in classes
+    )
     if reserved > SHARE_UNITS:
         faults.append(
             f'classes: minimum shares add up to {reserved / SHARE_UNITS}, above 1'
--- a/savorychute/configuration/fold.py
+++ b/savorychute/configuration/fold.py
@@ -97,7 +97,7 @@
         if decoded['kind'] != AMENDMENT_KIND:
             return FoldStep(record.offset, snapshot=cast('SnapshotRecord', decoded))
         amendment = cast('AmendmentRecord', decoded)
-        # If the reply to an append is lost, the record may be appended again and
+        # If the response to an append is lost, the record may be appended again and
         # appear twice in the log.  The second record has no effect because its id is
         # remembered; one so late that its id may have been discarded is rejected
         # below as too old.
--- a/savorychute/configuration/log_follower.py
+++ b/savorychute/configuration/log_follower.py
@@ -16,9 +16,10 @@
     from savorychute.inputs.records_read import RecordsRead
 
 MIN_READS_BEHIND = 3
-"""Consecutive reads that must end before the own offset until the log counts as behind.
+"""The number of consecutive reads after which the log counts as behind.
 
-A single read may be outdated by records that another instance pushed meanwhile.
+Each of them must end before this instance's offset.  A single read may be outdated by
+records that another instance pushed meanwhile.
 """
 
 
--- a/savorychute/configuration/log_reader.py
+++ b/savorychute/configuration/log_reader.py
@@ -20,7 +20,7 @@
     """Schedules one read at a time, and tracks the state of the log.
 
     :param settings: intervals and timeouts.
-    :param rng: adds jitter, which max_jitter_mss the reads of many instances over time.
+    :param rng: adds jitter, which spreads the reads of many instances over time.
     """
 
     def __init__(self, settings: ConfigurationSettings, rng: random.Random) -> None:
@@ -29,7 +29,7 @@
         self._sent_ms: int | None = None
         self._due_ms = 0
         self._failed_ms: int | None = None
-        self.has_answered = False
+        self.has_responded = False
         self.first_offset = 0
         self.end_offset = 0
 
@@ -79,7 +79,7 @@
         if not read.ok:
             self.fail(now_ms)
             return False
-        self.has_answered = True
+        self.has_responded = True
         self._failed_ms = None
         self.first_offset = max(self.first_offset, read.first_offset)
         self.end_offset = max(self.end_offset, read.end_offset)
--- a/savorychute/configuration/manager.py
+++ b/savorychute/configuration/manager.py
@@ -161,8 +161,12 @@
             or to propose it again idempotently.
         """
         if not self._ready:
-            answer = {'item': item, 'accepted': False, 'message': 'still starting'}
-            return [make_reply(command_id, answer, ResultCode.NOT_READY)]
+            reply_document = {
+                'item': item,
+                'accepted': False,
+                'message': 'still starting',
+            }
+            return [make_reply(command_id, reply_document, ResultCode.NOT_READY)]
         return [
             *self._proposer.propose(
                 command_id,
@@ -248,7 +252,7 @@
         return []
 
     def _process_steps(self, now_ms: int) -> list[Action]:
-        """Answer operators, record snapshots and push updates after a fold."""
+        """Reply to operators, record snapshots and push updates after a fold."""
         actions: list[Action] = []
         for step in self._store.take_steps():
             if step.verdict is not None:
--- a/savorychute/configuration/peer_exchange.py
+++ b/savorychute/configuration/peer_exchange.py
@@ -126,7 +126,7 @@
     def _handle_records(
         self, peer: MemberAddress, push: RecordsPush, view: MemberView, now_ms: int
     ) -> list[SendPeer]:
-        self._broadcaster.record_answer(peer.instance)
+        self._broadcaster.record_response(peer.instance)
         self._broadcaster.offsets.record_reported(peer.instance, push.newest_offset)
         for record in push.records:
             self._store.apply(LogRecord(record.offset, record.payload))
@@ -167,7 +167,7 @@
     def _handle_part(
         self, peer: MemberAddress, part: StatePart, view: MemberView, now_ms: int
     ) -> list[SendPeer]:
-        self._broadcaster.record_answer(peer.instance)
+        self._broadcaster.record_response(peer.instance)
         if part.offset <= self._store.offset or not StateFetch.is_valid(part):
             return []
         fetch = self._fetch
--- a/savorychute/configuration/peer_offsets.py
+++ b/savorychute/configuration/peer_offsets.py
@@ -60,7 +60,7 @@
         own_offset: int,
         rng: random.Random,
     ) -> MemberAddress | None:
-        """Return the member with the highest offset above the own one, or None.
+        """Return the member with the highest offset above *own_offset*, or None.
 
         :param view: the current members; other instances cannot be reached.
         :param gossiped: offsets by instance, from membership pings.
--- a/savorychute/configuration/proposal.py
+++ b/savorychute/configuration/proposal.py
@@ -9,7 +9,7 @@
     """A change that waits for its verdict.
 
     ``appended_offset`` is -1 until the log has returned an offset; ``in_doubt``
-    means that the reply of the log was lost.
+    means that the response of the log was lost.
     """
 
     command_id: str
--- a/savorychute/configuration/proposal_handler.py
+++ b/savorychute/configuration/proposal_handler.py
@@ -19,7 +19,7 @@
 
 
 class ProposalHandler:
-    """Answers each proposal once, after its record was read back from the log.
+    """Replies to each proposal once, after its record was read back from the log.
 
     A proposal is identified by its record id.  Two commands may wait for the same
     record, because an operator may propose it again.
@@ -46,8 +46,8 @@
     def append_finished(self, finished: AppendFinished) -> list[OperatorReply]:
         """Handle the outcome of an append.
 
-        Only a refusal ends a proposal.  If the reply was lost, the record may
-        already be in the log or may still reach it.  Further reads find it, and
+        Only a refusal ends a proposal.  If the response was lost, the record
+        may already be in the log or may still reach it.  Further reads find it, and
         appending it again would not help.
 
         :param finished: the outcome.
@@ -71,7 +71,7 @@
     def apply_verdict(
         self, verdict: Verdict, state: ConfigurationState
     ) -> list[OperatorReply]:
-        """Answer the proposals that the verdict decides.
+        """Reply to the proposals that the verdict decides.
 
         :param verdict: the fold's decision.
         :param state: the state right after it.
@@ -82,7 +82,7 @@
         ]
 
     def expire(self, now_ms: int) -> list[OperatorReply]:
-        """Answer the proposals that were not read back in time."""
+        """Reply to the proposals that were not read back in time."""
         replies = []
         for record_id, proposals in list(self._waiting.items()):
             expired = [each for each in proposals if now_ms >= each.deadline_ms]
@@ -107,7 +107,7 @@
     :param verdict: the fold's decision.
     :param state: the state that contains the document in force.
     """
-    answer: dict[str, Any] = {
+    reply_document: dict[str, Any] = {
         'record_id': verdict.record_id,
         'item': verdict.item,
         'offset': verdict.offset,
@@ -116,40 +116,42 @@
         'message': verdict.message,
     }
     if verdict.code is ResultCode.VERSION_CONFLICT:
-        answer['version'] = state.versions.get(verdict.item, 0)
-        answer['document'] = state.document(verdict.item)
-    return make_reply(command_id, answer, verdict.code)
+        reply_document['version'] = state.versions.get(verdict.item, 0)
+        reply_document['document'] = state.document(verdict.item)
+    return make_reply(command_id, reply_document, verdict.code)
 
 
 def make_log_unavailable_reply(proposal: Proposal) -> OperatorReply:
     """Return the reply to a change that is certainly not in the log."""
-    answer = {
+    reply_document = {
         'record_id': proposal.record_id,
         'item': proposal.item,
         'accepted': False,
         'message': 'the log did not take the change; propose it again later',
     }
-    return make_reply(proposal.command_id, answer, ResultCode.LOG_UNAVAILABLE)
+    return make_reply(proposal.command_id, reply_document, ResultCode.LOG_UNAVAILABLE)
 
 
 def make_unconfirmed_reply(proposal: Proposal) -> OperatorReply:
     """Return the reply to a change that may be in the log."""
-    answer = {
+    reply_document = {
         'record_id': proposal.record_id,
         'item': proposal.item,
         'offset': proposal.appended_offset,
         'message': 'not read back yet; propose it again with this record id to ask',
     }
-    return make_reply(proposal.command_id, answer, ResultCode.CHANGE_UNCONFIRMED)
+    return make_reply(
+        proposal.command_id, reply_document, ResultCode.CHANGE_UNCONFIRMED
+    )
 
 
 def make_reply(
-    command_id: str, answer: dict[str, Any], code: ResultCode
+    command_id: str, reply_document: dict[str, Any], code: ResultCode
 ) -> OperatorReply:
     """Return a reply to an operator, encoded as JSON.
 
     :param command_id: the id of the operator's command.
-    :param answer: the document of the reply.
+    :param reply_document: the document of the reply.
     :param code: the result code.
     """
-    return OperatorReply(command_id, msgspec.json.encode(answer), code)
+    return OperatorReply(command_id, msgspec.json.encode(reply_document), code)
--- a/savorychute/configuration/proposer.py
+++ b/savorychute/configuration/proposer.py
@@ -94,7 +94,7 @@
         """
         self._count += 1
         record_id = record_id or self._make_record_id()
-        immediate_reply = self._answer_without_log(
+        immediate_reply = self._reply_without_log(
             command_id, item, base_version, document, record_id, now_ms
         )
         if immediate_reply is not None:
@@ -134,27 +134,27 @@
         return self._handler.append_finished(finished)
 
     def apply_verdict(self, verdict: Verdict) -> list[OperatorReply]:
-        """Answer the proposals that wait for this verdict.
+        """Reply to the proposals that wait for this verdict.
 
         :param verdict: the fold's decision on a record that was read.
         """
         return self._handler.apply_verdict(verdict, self._store.fold.state)
 
     def apply_adopted_verdicts(self) -> list[OperatorReply]:
-        """Answer the proposals whose verdicts are part of an adopted state."""
+        """Reply to the proposals whose verdicts are part of an adopted state."""
         verdicts = self._store.fold.verdicts
         return [
-            answer
+            reply
             for record_id in self._handler.waiting_ids()
             if (verdict := verdicts.find(record_id)) is not None
-            for answer in self.apply_verdict(verdict)
+            for reply in self.apply_verdict(verdict)
         ]
 
     def expire(self, now_ms: int) -> list[OperatorReply]:
-        """Answer the proposals whose deadline has passed."""
+        """Reply to the proposals whose deadline has passed."""
         return self._handler.expire(now_ms)
 
-    def _answer_without_log(
+    def _reply_without_log(
         self,
         command_id: str,
         item: str,
@@ -183,7 +183,7 @@
         # fold would reject the change as well.  A base version that it has not seen
         # yet means that this instance is behind, so the change is appended.
         if base_version != version and base_version <= state.offset + 1:
-            answer = {
+            reply_document = {
                 'record_id': record_id,
                 'item': item,
                 'accepted': False,
@@ -191,7 +191,7 @@
                 'document': state.document(item),
                 'message': f'based on {base_version}, which is not in force',
             }
-            return make_reply(command_id, answer, ResultCode.VERSION_CONFLICT)
+            return make_reply(command_id, reply_document, ResultCode.VERSION_CONFLICT)
         if self._reader.is_down(now_ms) and not self._handler.is_waiting(record_id):
             return make_log_unavailable_reply(
                 Proposal(command_id, record_id, item, now_ms)
@@ -205,5 +205,5 @@
 
 
 def _refuse(command_id: str, item: str, message: str) -> OperatorReply:
-    answer = {'item': item, 'accepted': False, 'message': message}
-    return make_reply(command_id, answer, ResultCode.INVALID_CHANGE)
+    reply_document = {'item': item, 'accepted': False, 'message': message}
+    return make_reply(command_id, reply_document, ResultCode.INVALID_CHANGE)
--- a/savorychute/configuration/snapshot_writer.py
+++ b/savorychute/configuration/snapshot_writer.py
@@ -32,7 +32,7 @@
 
     :param settings: delays and sizes.
     :param budget: limits the appends.
-    :param writer_id: an id that no other run of any instance uses.
+    :param writer_id: an id that no other incarnation of any instance uses.
     :param rng: draws the delays.
     """
 
@@ -91,7 +91,7 @@
     def append_finished(self, finished: AppendFinished) -> None:
         """Handle the outcome of an append of this writer.
 
-        If the reply was lost, the part may be missing, so the snapshot is
+        If the response was lost, the part may be missing, so the snapshot is
         abandoned; an incomplete snapshot is never used.
 
         :param finished: the outcome.
--- a/tests/test_configuration/test_broadcast.py
+++ b/tests/test_configuration/test_broadcast.py
@@ -12,8 +12,8 @@
 MEMBERS = 110
 DOMAINS = 22
 REGIONS = 8
-P95_MS = 7_000
-WORST_MS = 10_000
+MAX_P95_DELAY_MS = 7_000
+MAX_DELAY_MS = 10_000
 
 
 @pytest.fixture
@@ -33,8 +33,8 @@
     proposed_ms = cluster.now_ms
     item = f'contract:{number}'
     command = cluster.propose(f'i{number:03}', item, 0, make_contract(f'{number}'))
-    cluster.wait(WORST_MS)
-    return [each.at_ms - proposed_ms for each in cluster.applied], command
+    cluster.wait(MAX_DELAY_MS)
+    return [change.at_ms - proposed_ms for change in cluster.applied], command
 
 
 def test_change_reaches_all_instances_despite_lost_messages(region_cluster):
@@ -43,7 +43,7 @@
         delays, command = propose_and_measure(region_cluster, number)
         assert region_cluster.replies[command].code is ResultCode.OK
         assert len(delays) == MEMBERS
-        assert statistics.quantiles(delays, n=20)[18] <= P95_MS
+        assert statistics.quantiles(delays, n=20)[18] <= MAX_P95_DELAY_MS
 
 
 def test_region_without_the_log_receives_changes_from_other_regions(region_cluster):
@@ -64,7 +64,7 @@
     """
     region_cluster.propose('i005', 'contract:x', 0, make_contract('x'))
     region_cluster.stop('i005')
-    region_cluster.wait(WORST_MS)
+    region_cluster.wait(MAX_DELAY_MS)
     offsets = {manager.state.offset for manager in region_cluster.managers.values()}
     assert offsets == {0}
 
@@ -83,6 +83,6 @@
     assert behind == {-1}
     region_cluster.cut_regions = set()
     region_cluster.cut_from_log = set()
-    region_cluster.wait(WORST_MS)
+    region_cluster.wait(MAX_DELAY_MS)
     offsets = {manager.state.offset for manager in region_cluster.managers.values()}
     assert offsets == {2}
--- a/tests/test_configuration/test_fold.py
+++ b/tests/test_configuration/test_fold.py
@@ -49,8 +49,8 @@
 def test_record_appended_twice_has_one_effect(fold, amend):
     """A delayed duplicate of an append must not restore a removed contract.
 
-    An operator creates a contract and removes it.  The reply to the first append was
-    lost, and a copy of the record is delayed in the network.  It reaches the log
+    An operator creates a contract and removes it.  The response to the first append
+    was lost, and a copy of the record is delayed in the network.  It reaches the log
     after the removal, when its base version 0 is in force again.
     """
     amend(fold, 'contract:a', 0, make_contract('a'), record_id='first')
--- a/tests/test_configuration/test_join.py
+++ b/tests/test_configuration/test_join.py
@@ -161,18 +161,18 @@
     The snapshot covers offset 0 and the log starts at 3, so the effect of the records
     at 1 and 2 is unknown.
     """
-    store, log = follower
+    store, log_follower = follower
     old = snapshot_at(3, folds[0])
-    log.records_read(RecordsRead('configuration', True, (old,), 3, 5), 0)
+    log_follower.records_read(RecordsRead('configuration', True, (old,), 3, 5), 0)
     assert store.offset == -1
-    assert not log.end_reached
+    assert not log_follower.end_reached
     new = snapshot_at(4, folds[2])
-    log.records_read(RecordsRead('configuration', True, (new,), 3, 5), 0)
+    log_follower.records_read(RecordsRead('configuration', True, (new,), 3, 5), 0)
     assert store.offset == 2
-    assert log.next_offset == 3
-    log.records_read(RecordsRead('configuration', True, (old, new), 3, 5), 0)
+    assert log_follower.next_offset == 3
+    log_follower.records_read(RecordsRead('configuration', True, (old, new), 3, 5), 0)
     assert store.offset == 4
-    assert log.end_reached
+    assert log_follower.end_reached
 
 
 def test_snapshot_of_a_later_offset_than_its_own_is_not_used(follower, folds):
@@ -181,22 +181,22 @@
     An instance that adopted it would wait for offsets that the log reaches only years
     later.
     """
-    store, log = follower
+    store, log_follower = follower
     foreign = snapshot_at(2, folds[2])
-    log.records_read(RecordsRead('configuration', True, (foreign,), 2, 3), 0)
+    log_follower.records_read(RecordsRead('configuration', True, (foreign,), 2, 3), 0)
     assert store.offset == -1
 
 
 def test_log_that_lost_its_end_reverts_nothing_and_is_reported(follower, folds):
     """The platform restores the log from an older backup."""
-    store, log = follower
+    store, log_follower = follower
     store.adopt(encode_state(folds[2]), 2)
     for _ in range(3):
-        assert not log.log_is_behind
+        assert not log_follower.log_is_behind
         records = (LogRecord(0, b'new'), LogRecord(1, b'newer'))
-        log.records_read(RecordsRead('configuration', True, records, 0, 2), 0)
+        log_follower.records_read(RecordsRead('configuration', True, records, 0, 2), 0)
     assert store.offset == 2
-    assert log.log_is_behind
+    assert log_follower.log_is_behind
 
 
 def test_snapshot_is_due_by_age_by_record_count_and_by_expiry():
--- a/tests/test_configuration/test_manager.py
+++ b/tests/test_configuration/test_manager.py
@@ -35,8 +35,8 @@
     assert msgspec.json.decode(reply.document)['record_id']
 
 
-def test_lost_append_reply_is_resolved_by_reading_without_a_retry(cluster):
-    """The log accepts the record, and its reply is lost in the network."""
+def test_lost_append_response_is_resolved_by_reading_without_a_retry(cluster):
+    """The log accepts the record, and its response is lost in the network."""
     cluster.log.lose_replies = True
     command = cluster.propose('a', 'contract:m', 0, make_contract('m'))
     cluster.wait(3_000)
@@ -55,9 +55,9 @@
     cluster.wait(3_000)
     assert cluster.replies[first].code is ResultCode.OK
     assert cluster.replies[second].code is ResultCode.VERSION_CONFLICT
-    answer = msgspec.json.decode(cluster.replies[second].document)
-    assert answer['version'] == 1
-    assert answer['document']['pool_share'] == 0.1
+    reply_document = msgspec.json.decode(cluster.replies[second].document)
+    assert reply_document['version'] == 1
+    assert reply_document['document']['pool_share'] == 0.1
 
 
 def test_change_during_a_log_outage_is_refused_at_once(cluster):
@@ -94,7 +94,7 @@
 
 
 def test_change_proposed_again_by_its_record_id_has_one_effect(cluster):
-    """The reply is lost, and the append is delayed in the network by 10 s.
+    """The response of the log is lost, and the append is delayed by 10 s.
 
     The operator receives 'unconfirmed', proposes again at another instance with the
     record id, and gets a reply.  Afterwards the first append arrives as well.
@@ -102,14 +102,14 @@
     cluster.late_append_ms = 10_000
     first = cluster.propose('a', 'contract:m', 0, make_contract('m'))
     cluster.wait(6_000)
-    answer = msgspec.json.decode(cluster.replies[first].document)
+    reply_document = msgspec.json.decode(cluster.replies[first].document)
     assert cluster.replies[first].code is ResultCode.CHANGE_UNCONFIRMED
     cluster.late_append_ms = 0
-    second = propose_again(cluster, 'b', answer['record_id'])
+    second = propose_again(cluster, 'b', reply_document['record_id'])
     cluster.wait(2_000)
     assert cluster.replies[second].code is ResultCode.OK
     cluster.wait(10_000)
-    third = propose_again(cluster, 'c', answer['record_id'])
+    third = propose_again(cluster, 'c', reply_document['record_id'])
     assert cluster.replies[third].code is ResultCode.OK
     assert cluster.log.appends == 2
     manager = cluster.managers['a']
--- a/tests/test_configuration/test_snapshots.py
+++ b/tests/test_configuration/test_snapshots.py
@@ -69,17 +69,17 @@
     """Return the fold of the changes and their records."""
     fold = ConfigurationFold()
     records = []
-    for offset, (item, way, share, state) in enumerate(changes):
+    for offset, (item, kind, share, state) in enumerate(changes):
         name = item.partition(':')[2] or 'x'
         document = make_endpoint(name, state)
         if item.startswith('contract'):
-            owner = 'a' if way == 'token' else name
+            owner = 'a' if kind == 'token' else name
             document = {**make_contract(owner, share), 'organisation': name}
-        base = fold.state.versions.get(item, 0) + (way == 'old')
-        record_id = 'r0' if way == 'repeat' else f'r{offset}'
-        proposed = None if way == 'remove' else document
-        payload = make_payload(offset, item, base, proposed, record_id)
-        record = LogRecord(offset, b'{' if way == 'garbage' else payload)
+        base_version = fold.state.versions.get(item, 0) + (kind == 'old')
+        record_id = 'r0' if kind == 'repeat' else f'r{offset}'
+        proposed = None if kind == 'remove' else document
+        payload = make_payload(offset, item, base_version, proposed, record_id)
+        record = LogRecord(offset, b'{' if kind == 'garbage' else payload)
         records.append(record)
         fold.apply(record)
     return fold, records
@@ -122,11 +122,11 @@
     ring = RecordRing(10_000_000)
     record = LogRecord(0, payload + b' ' * 500_000)
     ring.add(record)
-    (passed,) = ring.read_after(-1, 1_000)
-    assert passed.payload == b''
+    (pushed,) = ring.read_after(-1, 1_000)
+    assert pushed.payload == b''
     whole, other = ConfigurationFold(), ConfigurationFold()
     whole.apply(record)
-    other.apply(LogRecord(0, passed.payload))
+    other.apply(LogRecord(0, pushed.payload))
     assert observe(whole) == observe(other)
     assert not whole.verdicts.all()[0].accepted
 
@@ -171,7 +171,7 @@
     assert b''.join(parts) == data
 
 
-SHORT = ConfigurationSettings(
+SHORT_INTERVALS = ConfigurationSettings(
     snapshot_interval_ms=60_000,
     snapshot_jitter_ms=20_000,
     snapshot_part_bytes=400,
@@ -179,17 +179,18 @@
 
 
 def count_snapshots(log):
-    ids = []
+    """Return the number of snapshots in the log, and the number of their parts."""
+    snapshot_ids = []
     for payload in log.streams.get('configuration', []):
         record = decode_record(payload)
         if record is not None and record['kind'] == SNAPSHOT_KIND:
-            ids.append(record['snapshot_id'])
-    return len(set(ids)), len(ids)
+            snapshot_ids.append(record['snapshot_id'])
+    return len(set(snapshot_ids)), len(snapshot_ids)
 
 
 @pytest.fixture
 def short_interval_cluster():
-    cluster = ConfigurationSimulation(seed=5, settings=SHORT)
+    cluster = ConfigurationSimulation(seed=5, settings=SHORT_INTERVALS)
     for number in range(6):
         cluster.add(f'i{number}', 'north', f'north-{number % 3}')
     cluster.wait(7_000)
