--- a/savorychute/audit/audit_entry.py
+++ b/savorychute/audit/audit_entry.py
@@ -9,8 +9,8 @@
     """A change of an item from one version or state to another.
 
     ``kind`` is a value of :class:`~savorychute.audit.audit_kind.AuditKind`.
-    ``operator`` is the name of the person or token, or empty for a decision of the
-    system.  ``why`` is the reason.  A ``lasting`` entry is also written to the log.
+    ``operator`` is the name of the operator, or empty for a decision of the system.
+    ``why`` is the reason.  A ``lasting`` entry is also written to the log.
     """
 
     kind: str
--- a/savorychute/audit/audit_record.py
+++ b/savorychute/audit/audit_record.py
@@ -12,7 +12,7 @@
 
 
 class AuditRecord(TypedDict):
-    """Entries of one run of an instance, in order of their sequence numbers."""
+    """Entries of one incarnation of an instance, in order of their sequence numbers."""
 
     batch_id: str
     entries: list[RecordedEntry]
--- a/savorychute/audit/audit_search.py
+++ b/savorychute/audit/audit_search.py
@@ -27,7 +27,7 @@
     ) -> None:
         self.command_id = command_id
         self.query = query
-        self.found: list[RecordedEntry] = []
+        self.results: list[RecordedEntry] = []
         self.end_reached = False
         self._settings = settings
         self.next_offset = max(0, query.since_offset)
@@ -48,7 +48,7 @@
                 continue
             self.next_offset += 1
             self._collect_matches(record.offset, record.payload)
-            if len(self.found) >= self._settings.max_results:
+            if len(self.results) >= self._settings.max_results:
                 return True
         self.end_reached = self.next_offset >= read.end_offset
         is_stuck = self.next_offset == before
@@ -61,4 +61,4 @@
         for recorded in record['entries']:
             located = recorded._replace(offset=offset)
             if self.query.matches(located):
-                self.found.append(located)
+                self.results.append(located)
--- a/savorychute/audit/audit_trail.py
+++ b/savorychute/audit/audit_trail.py
@@ -34,7 +34,7 @@
     """Keeps recent entries, and writes the lasting ones to the log in batches.
 
     :param settings: limits and delays.
-    :param instance: this instance's name, including an identifier of its run.
+    :param instance: this instance's name and incarnation.
     :param budget: the append budget of this instance; None creates a separate one.
     """
 
@@ -93,10 +93,14 @@
         :param operator: restricts the result to this operator, if not empty.
         :param since_offset: restricts the result to entries from this log offset on.
         """
-        wanted = AuditQuery(item, operator, since_offset)
-        return [recorded for recorded in self._recorded if wanted.matches(recorded)]
+        audit_query = AuditQuery(item, operator, since_offset)
+        return [
+            recorded for recorded in self._recorded if audit_query.matches(recorded)
+        ]
 
-    def request(self, command_id: str, query: AuditQuery, now_ms: int) -> list[Action]:
+    def start_search(
+        self, command_id: str, query: AuditQuery, now_ms: int
+    ) -> list[Action]:
         """Start a search of the log, which ends with one ``OperatorReply``.
 
         :param command_id: the id of the operator's command.
@@ -194,7 +198,7 @@
         belong to the next search.
         """
         matching = self.query(*search.query)
-        if not search.found or search.end_reached:
+        if not search.results or search.end_reached:
             return matching
         return [each for each in matching if each.offset < search.next_offset]
 
@@ -202,7 +206,7 @@
         """Return the reply with entries of the log and of this instance's memory."""
         unique = {
             (recorded.instance, recorded.sequence): recorded
-            for recorded in [*self._matching_entries(search), *search.found]
+            for recorded in [*self._matching_entries(search), *search.results]
         }
         entries = sorted(unique.values(), key=_sort_key)
         document: dict[str, Any] = {
--- a/savorychute/audit/recorded_entry.py
+++ b/savorychute/audit/recorded_entry.py
@@ -14,7 +14,8 @@
 
     ``at_ms`` is the instance's wall-clock time since the epoch.  ``offset`` is
     the offset of the log record that contains the entry, or :data:`NOT_IN_LOG` if
-    it is not known.  ``sequence`` numbers the entries of one run of an instance.
+    it is not known.  ``sequence`` numbers the entries of one incarnation
+    of an instance.
     """
 
     entry: AuditEntry
--- a/savorychute/instance/operator_commands/records.py
+++ b/savorychute/instance/operator_commands/records.py
@@ -23,7 +23,7 @@
         operator=arguments.get('operator') or '',
         since_offset=arguments.get('since_offset') or 0,
     )
-    return call.parts.audit.request(call.command_id, query, call.now_ms)
+    return call.parts.audit.start_search(call.command_id, query, call.now_ms)
 
 
 @OPERATOR_VERBS.register('explain')
--- a/tests/test_audit/test_audit_trail.py
+++ b/tests/test_audit/test_audit_trail.py
@@ -99,7 +99,7 @@
     other = AuditTrail(AuditSettings(read_records=1), 'b.1')
     other.record(make_entry('contract:a', lasting=False), now_ms=3_000)
     query = AuditQuery(item='contract:a')
-    replies = run_actions(other, log, other.request('c1', query, 4_000), 4_000)
+    replies = run_actions(other, log, other.start_search('c1', query, 4_000), 4_000)
     assert [each['instance'] for each in entries_of(replies[0])] == ['a.1', 'b.1']
     assert replies[0].code is ResultCode.OK
 
@@ -113,21 +113,21 @@
     tick(trail, log, 60_000)
     assert log.appends == 2
     other = AuditTrail(AuditSettings(), 'b.1')
-    request = other.request('c1', AuditQuery(), 61_000)
-    assert len(entries_of(run_actions(other, log, request, 61_000)[0])) == 1
+    actions = other.start_search('c1', AuditQuery(), 61_000)
+    assert len(entries_of(run_actions(other, log, actions, 61_000)[0])) == 1
 
 
 def test_search_during_an_outage_reports_the_log_as_unavailable(trail, log):
     log.is_up = False
     trail.record(make_entry('contract:a'), now_ms=1)
-    request = trail.request('c1', AuditQuery(), 10)
-    reply = run_actions(trail, log, request, 10)[0]
+    actions = trail.start_search('c1', AuditQuery(), 10)
+    reply = run_actions(trail, log, actions, 10)[0]
     assert reply.code is ResultCode.LOG_UNAVAILABLE
     assert len(entries_of(reply)) == 1
 
 
 def test_search_without_a_response_of_the_log_ends(trail):
-    assert trail.request('c1', AuditQuery(), 10)
+    assert trail.start_search('c1', AuditQuery(), 10)
     assert trail.tick(1_000) == []
     reply = trail.tick(4_000)[0]
     assert reply.code is ResultCode.LOG_UNAVAILABLE
@@ -173,9 +173,11 @@
     seen, offset, complete = [], 0, False
     while not complete:
         query = AuditQuery(since_offset=offset)
-        reply = run_actions(trail, log, trail.request('c1', query, 99_000), 99_000)[0]
-        answer = msgspec.json.decode(reply.document)
-        seen += [each['item'] for each in answer['entries']]
-        assert offset < answer['next_offset']
-        offset, complete = answer['next_offset'], answer['complete']
+        reply = run_actions(
+            trail, log, trail.start_search('c1', query, 99_000), 99_000
+        )[0]
+        reply_document = msgspec.json.decode(reply.document)
+        seen += [each['item'] for each in reply_document['entries']]
+        assert offset < reply_document['next_offset']
+        offset, complete = reply_document['next_offset'], reply_document['complete']
     assert seen == [f'contract:{number}' for number in range(8)]
