--- a/savorychute/settings/path_reader.py
+++ b/savorychute/settings/path_reader.py
@@ -20,10 +20,10 @@
     """
     if not isinstance(value, list) or not all(isinstance(each, str) for each in value):
         raise ValueError(EXPECTED)
-    for each in value:
-        if not Path(each).is_dir():
-            raise ValueError(f'{EXPECTED}; "{each}" does not')
-        path = str(Path(each).resolve())
+    for folder in value:
+        if not Path(folder).is_dir():
+            raise ValueError(f'{EXPECTED}; "{folder}" does not')
+        path = str(Path(folder).resolve())
         if path not in sys.path:
             sys.path.append(path)
     return tuple(value)
--- a/tests/test_platforms/test_http_platform.py
+++ b/tests/test_platforms/test_http_platform.py
@@ -37,7 +37,9 @@
         (respond(502), 'unknown', -1),
     ],
 )
-def test_outcome_of_an_append(response, outcome, offset):
+def test_append_counts_as_refused_only_if_it_cannot_be_in_the_log(
+    response, outcome, offset
+):
     expected = AppendFinished('p1', 'audit', outcome, offset)
 
     assert LOG.finish_append(APPEND, response) == expected
--- a/tests/test_plumbing/test_log_writer.py
+++ b/tests/test_plumbing/test_log_writer.py
@@ -23,11 +23,11 @@
     os.close(reading)
 
 
-def read_lines(number):
+def read_lines(descriptor):
     text = b''
     while True:
         try:
-            part = os.read(number, 65_536)
+            part = os.read(descriptor, 65_536)
         except BlockingIOError:
             break
         text += part
--- a/tests/test_plumbing/test_metrics.py
+++ b/tests/test_plumbing/test_metrics.py
@@ -50,16 +50,16 @@
     for value in (1, 1.5, 60, 99_999):
         metrics.observe('token_gap_ms', value, tier=1)
     for _ in range(2):
-        read = samples()
+        series = samples()
         base = 'savorychute_token_gap_ms'
         labels = 'instance="a-1",tier="1"'
-        assert read[f'{base}_count{{{labels}}}'] == 4
-        assert read[f'{base}_sum{{{labels}}}'] == 1 + 1.5 + 60 + 99_999
-        at = {
-            bound: read[f'{base}_bucket{{instance="a-1",le="{bound}",tier="1"}}']
+        assert series[f'{base}_count{{{labels}}}'] == 4
+        assert series[f'{base}_sum{{{labels}}}'] == 1 + 1.5 + 60 + 99_999
+        cumulative = {
+            bound: series[f'{base}_bucket{{instance="a-1",le="{bound}",tier="1"}}']
             for bound in ('1.0', '2.0', '52.0', '75.0', '10000.0', '+Inf')
         }
-        assert list(at.values()) == [1, 2, 2, 3, 3, 4]
+        assert list(cumulative.values()) == [1, 2, 2, 3, 3, 4]
 
 
 def test_arbitrary_names_do_not_increase_memory_without_limit(metrics, samples):
@@ -70,9 +70,9 @@
     """
     for number in range(5_000):
         metrics.finish_request('a', f'c-{number}', ResultCode.OVERLOADED, Ran.NOT_RUN)
-    read = samples()
-    assert len(read) == MAX_LABEL_VALUES + 1
-    assert sum(read.values()) == 5_000
+    series = samples()
+    assert len(series) == MAX_LABEL_VALUES + 1
+    assert sum(series.values()) == 5_000
 
 
 def test_combinations_are_limited_too(metrics, samples):
@@ -81,9 +81,9 @@
             metrics.count(
                 'goodput_total', organisation=f'c{organisation}', class_name=f'{name}'
             )
-    read = samples()
-    assert len(read) == MAX_SERIES + 1
-    assert sum(read.values()) == 3_600
+    series = samples()
+    assert len(series) == MAX_SERIES + 1
+    assert sum(series.values()) == 3_600
 
 
 def test_every_metric_is_described(metrics):
--- a/tests/test_plumbing/test_telemetry.py
+++ b/tests/test_plumbing/test_telemetry.py
@@ -77,15 +77,15 @@
     [line] = telemetry.read_lines()
     assert line['request_id'] == 'q-1'
     assert (line['organisation'], line['code'], line['ran']) == ('malanadu', 0, 'ran')
-    read = read_metrics(telemetry)
+    metrics = read_metrics(telemetry)
     labels = 'class="diagnosis",instance="a-1",organisation="malanadu"'
-    assert read[f'goodput_total{{{labels}}}'] == 2
+    assert metrics[f'goodput_total{{{labels}}}'] == 2
     tier = 'instance="a-1",tier="0"'
-    assert read[f'attempts_total{{{tier}}}'] == 2
-    assert read[f'wasted_tokens_total{{{tier}}}'] == 7
-    assert read[f'token_gap_ms_count{{{tier}}}'] == 40
-    assert read[f'token_gap_ms_sum{{{tier}}}'] == 340
-    assert read[f'first_token_ms_sum{{{tier}}}'] == 120
+    assert metrics[f'attempts_total{{{tier}}}'] == 2
+    assert metrics[f'wasted_tokens_total{{{tier}}}'] == 7
+    assert metrics[f'token_gap_ms_count{{{tier}}}'] == 40
+    assert metrics[f'token_gap_ms_sum{{{tier}}}'] == 340
+    assert metrics[f'first_token_ms_sum{{{tier}}}'] == 120
 
 
 def test_refused_request_gives_no_goodput_and_no_first_token(events, telemetry):
@@ -98,9 +98,9 @@
         target_met=False,
     )
     events.emit('request-finished', refused)
-    read = read_metrics(telemetry)
-    assert not any(name.startswith(('goodput', 'first_token')) for name in read)
-    assert any('code="2001"' in name for name in read)
+    metrics = read_metrics(telemetry)
+    assert not any(name.startswith(('goodput', 'first_token')) for name in metrics)
+    assert any('code="2001"' in name for name in metrics)
 
 
 def test_stored_answer_counts_once_for_goodput(events, telemetry):
@@ -111,8 +111,8 @@
     """
     events.emit('request-finished', ANSWERED)
     events.emit('request-finished', ANSWERED._replace(attempts=0, tokens=0))
-    read = read_metrics(telemetry)
-    [goodput] = [value for name, value in read.items() if name.startswith('goodput')]
+    metrics = read_metrics(telemetry)
+    [goodput] = [value for name, value in metrics.items() if name.startswith('goodput')]
     assert goodput == 2
 
 
@@ -144,10 +144,10 @@
 def test_gauges_are_read_when_rendered(telemetry):
     status = dict(STATUS)
     telemetry.set_gauge_sources(lambda: status, lambda: HostSample(5, 4_096, 0, 2))
-    read = read_metrics(telemetry)
-    assert read['queued_requests{instance="a-1",pool="llama",tier="0"}'] == 4
-    assert read['configuration_offset{instance="a-1"}'] == 17
-    assert read['peer_rejected_total{instance="a-1"}'] == 2
+    metrics = read_metrics(telemetry)
+    assert metrics['queued_requests{instance="a-1",pool="llama",tier="0"}'] == 4
+    assert metrics['configuration_offset{instance="a-1"}'] == 17
+    assert metrics['peer_rejected_total{instance="a-1"}'] == 2
     status['waiting_by_pool'] = {}
     assert not any('queued_requests' in name for name in read_metrics(telemetry))
 
--- a/tests/test_settings/test_part_settings.py
+++ b/tests/test_settings/test_part_settings.py
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize(
     'name', [row.name for row in SETTINGS if row.name not in NOT_FORWARDED]
 )
-def test_every_setting_changes_something(settings, name):
+def test_every_setting_changes_the_settings_of_a_part(settings, name):
     value = getattr(settings, name)
     other = settings._replace(**{name: _change_value(value)})
     before = (make_instance_settings(settings), make_host_settings(settings))
--- a/tests/test_settings/test_settings_file.py
+++ b/tests/test_settings/test_settings_file.py
@@ -130,7 +130,7 @@
         ),
     ],
 )
-def test_rules_between_settings(fault_list, added, fault):
+def test_violated_rule_or_unknown_variant_is_a_fault(fault_list, added, fault):
     assert fault_list(MINIMAL.replace('{\n', f'{{\n  {added},\n', 1)) == [fault]
 
 
