--- a/savorychute/configuration/broadcaster.py
+++ b/savorychute/configuration/broadcaster.py
@@ -150,7 +150,7 @@
         if self._pull_target == instance:
             self._pull_target = None
 
-    def compare(self, notice: OffsetNotice) -> None:
+    def check_divergence(self, notice: OffsetNotice) -> None:
         """Count a notice that shows a different state at this instance's offset.
 
         This cannot happen as long as all instances fold by the same rules.  If it
--- a/savorychute/configuration/peer_exchange.py
+++ b/savorychute/configuration/peer_exchange.py
@@ -114,7 +114,7 @@
             self._snapshot_monitor.record_reported(
                 notice.snapshot_offset, notice.snapshot_age_ms, now_ms
             )
-            self._broadcaster.compare(notice)
+            self._broadcaster.check_divergence(notice)
         if notice.offset > own_offset and not self.is_fetching:
             return self._broadcaster.pull(view, {}, now_ms)
         if notice.offset >= own_offset or not ready:
