--- a/savorychute/client/address_table.py
+++ b/savorychute/client/address_table.py
@@ -71,7 +71,7 @@
         if self._clock.now_ms() >= self._expiry_ms:
             await self._refresh()
         addresses = self._addresses or self._settings.seeds
-        return min(addresses, key=self._rank)
+        return min(addresses, key=self._sort_key)
 
     def record_failure(self, address: ServerAddress) -> None:
         """Avoid an address for some time.
@@ -83,7 +83,7 @@
         earliest_ms = self._queried_ms + MIN_LIFETIME_MS
         self._expiry_ms = min(self._expiry_ms, max(now_ms, earliest_ms))
 
-    def _rank(self, address: ServerAddress) -> int:
+    def _sort_key(self, address: ServerAddress) -> int:
         failed_ms = self._failed_ms.get(address)
         if failed_ms is None:
             return 0
@@ -95,7 +95,7 @@
     async def _refresh(self) -> None:
         self._queried_ms = self._clock.now_ms()
         candidates = dict.fromkeys((*self._addresses, *self._settings.seeds))
-        for address in sorted(candidates, key=self._rank):
+        for address in sorted(candidates, key=self._sort_key):
             document = await self._query(address)
             if document is None:
                 self._failed_ms[address] = self._clock.now_ms()
--- a/tests/test_daemon/daemon_fakes.py
+++ b/tests/test_daemon/daemon_fakes.py
@@ -76,7 +76,7 @@
         return []
 
     def discover(self, token: str) -> FakeDiscovery:
-        """Return the own address."""
+        """Return this instance's address."""
         if token != TOKEN:
             raise RequestError(ResultCode.UNAUTHENTICATED, 'nobody')
         return FakeDiscovery((self.address,), 1_000)
--- a/tests/test_daemon/test_caller_paths.py
+++ b/tests/test_daemon/test_caller_paths.py
@@ -135,7 +135,7 @@
     assert (bad.status, bad.headers['x-result-code']) == (401, '1004')
 
 
-def test_health_and_readiness():
+def test_ready_instance_reports_health_and_readiness():
     health, _, _ = run_one(respond_events, 'GET', '/healthz', {})
     ready, _, _ = run_one(respond_events, 'GET', '/readyz', {})
 
--- a/tests/test_daemon/test_peer_link.py
+++ b/tests/test_daemon/test_peer_link.py
@@ -40,11 +40,11 @@
         sender = PeerCodec('i1', 1, KEYS)
         receiver = PeerCodec('i2', 1, keys)
         async with (
-            open_peer_link(sender, '127.0.0.1', 0) as out,
-            open_peer_link(receiver, '127.0.0.1', 0) as into,
+            open_peer_link(sender, '127.0.0.1', 0) as sending_link,
+            open_peer_link(receiver, '127.0.0.1', 0) as receiving_link,
         ):
-            into.on_input = inputs.append
-            await act(out, into, inputs)
+            receiving_link.on_input = inputs.append
+            await act(sending_link, receiving_link, inputs)
         return inputs
 
     return asyncio.run(main())
@@ -58,13 +58,13 @@
     small = make_ping(1)
     large = make_ping(500)
 
-    async def act(out, into, inputs):
-        send(out, into, small)
+    async def act(sending_link, receiving_link, inputs):
+        send(sending_link, receiving_link, small)
         await wait_until(lambda: len(inputs) == 1)
-        assert into.open_receivers == 0
-        send(out, into, large)
+        assert receiving_link.open_receivers == 0
+        send(sending_link, receiving_link, large)
         await wait_until(lambda: len(inputs) == 2)
-        assert into.open_receivers == 1
+        assert receiving_link.open_receivers == 1
 
     received = run_link(act)
 
@@ -79,25 +79,25 @@
     key they are dropped and counted, by datagram and by connection.
     """
 
-    async def act(out, into, inputs):
-        send(out, into, make_ping(1))
-        send(out, into, make_ping(500))
-        await wait_until(lambda: into.rejected == 2)
+    async def act(sending_link, receiving_link, inputs):
+        send(sending_link, receiving_link, make_ping(1))
+        send(sending_link, receiving_link, make_ping(500))
+        await wait_until(lambda: receiving_link.rejected == 2)
 
     assert run_link(act, keys=OTHER_KEYS) == []
 
 
 def test_garbage_on_the_peer_port_is_dropped():
-    async def act(out, into, inputs):
+    async def act(sending_link, receiving_link, inputs):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-            sock.sendto(b'garbage', ('127.0.0.1', into.port))
-        reader, writer = await asyncio.open_connection('127.0.0.1', into.port)
+            sock.sendto(b'garbage', ('127.0.0.1', receiving_link.port))
+        reader, writer = await asyncio.open_connection('127.0.0.1', receiving_link.port)
         writer.write((MAX_FRAME_BYTES + 1).to_bytes(4, 'big') + b'a' * 10)
         with suppress(ConnectionResetError):
             assert await reader.read() == b''
         writer.close()
-        await wait_until(lambda: into.rejected == 1)
-        send(out, into, make_ping(0))
+        await wait_until(lambda: receiving_link.rejected == 1)
+        send(sending_link, receiving_link, make_ping(0))
         await wait_until(lambda: inputs)
 
     assert len(run_link(act)) == 1
@@ -110,16 +110,16 @@
     each.  The number of open connections is limited; the others are closed.
     """
 
-    async def act(out, into, inputs):
+    async def act(sending_link, receiving_link, inputs):
         writers = []
         for _ in range(MAX_RECEIVERS + 5):
-            _, writer = await asyncio.open_connection('127.0.0.1', into.port)
+            _, writer = await asyncio.open_connection('127.0.0.1', receiving_link.port)
             writer.write(b'\0\0\1')
             writers.append(writer)
-        await wait_until(lambda: into.open_receivers == MAX_RECEIVERS)
+        await wait_until(lambda: receiving_link.open_receivers == MAX_RECEIVERS)
         for writer in writers:
             writer.transport.abort()
-        await wait_until(lambda: into.open_receivers == 0)
+        await wait_until(lambda: receiving_link.open_receivers == 0)
 
     assert run_link(act) == []
 
--- a/tests/test_daemon/test_slow_callers.py
+++ b/tests/test_daemon/test_slow_callers.py
@@ -33,8 +33,8 @@
     """Guard against ejecting engines because of a slow caller.
 
     A caller reads nothing for some seconds, so the host stops reading from the
-    engine.  The engine then seemed unresponsive: the request was retried at another
-    engine, and one slow caller caused one engine after another to be ejected.
+    engine.  If the engine then counted as unresponsive, the request would be retried
+    at another engine, and one slow caller would get one engine after another ejected.
     """
     solo = Solo(
         contracts=[make_contract()],
--- a/tests/test_daemon/test_system.py
+++ b/tests/test_daemon/test_system.py
@@ -107,9 +107,9 @@
 async def check_stream_when_its_engine_crashes(system, client):
     async def crash_at_token_10(offset):
         if offset == 10:
-            for each in system.engines:
-                if each.engine.batch.running_count:
-                    each.crash()
+            for server in system.engines:
+                if server.engine.batch.running_count:
+                    server.crash()
 
     text = await read_stream(client, crash_at_token_10)
 
--- a/tests/test_daemon/test_tls.py
+++ b/tests/test_daemon/test_tls.py
@@ -89,12 +89,12 @@
     keys = TlsKeys(str(tmp_path / 'chain.pem'), str(tmp_path / 'key.pem'))
     before = keys.current_context
     shutil.copy(CERTIFICATES / 'second.pem', tmp_path / 'chain.pem')
-    lines = FakeLog()
+    log = FakeLog()
 
     async def main():
-        async with reload_periodically(keys, 5, lines) as reload:
+        async with reload_periodically(keys, 5, log) as reload:
             reload()
-            await wait_until(lambda: len(lines.events) > 2)
+            await wait_until(lambda: len(log.events) > 2)
             shutil.copy(CERTIFICATES / 'second.key', tmp_path / 'key.pem')
             await wait_until(lambda: keys.current_context is not before)
 
@@ -102,7 +102,7 @@
         keys.reload()
     asyncio.run(main())
 
-    assert lines.events[0] == ('tls-reload-failed', {'error': 'SSLError'})
+    assert log.events[0] == ('tls-reload-failed', {'error': 'SSLError'})
 
 
 def test_plain_request_to_a_tls_port_is_aborted(tmp_path):
