--- a/tests/test_configuration/test_join.py
+++ b/tests/test_configuration/test_join.py
@@ -99,7 +99,7 @@
     assert joiner.ready
 
 
-def test_offset_in_membership_pings_counts(joiner, view, folds):
+def test_joiner_is_not_ready_below_an_offset_in_membership_pings(joiner, view, folds):
     for peer in 'abc':
         joiner.receive(peer, notice(folds[0]), view, 100)
     joiner.receive('a', state_part(folds[0]), view, 200)
