--- a/savorychute/demo/script.py
+++ b/savorychute/demo/script.py
@@ -74,10 +74,12 @@
                 for organisation in ORGANISATIONS
             }
             async with asyncio.TaskGroup() as group:
-                for each in self._classes:
-                    client = clients[each.organisation]
+                for demo_class in self._classes:
+                    client = clients[demo_class.organisation]
                     group.create_task(
-                        self._generate_calls(client, each, each.rate_per_s, LOAD_S)
+                        self._generate_calls(
+                            client, demo_class, demo_class.rate_per_s, LOAD_S
+                        )
                     )
                 group.create_task(self._inject_faults(clients))
             self._report('waiting for the last responses')
@@ -91,15 +93,15 @@
     async def _inject_faults(self, clients: dict[str, Client]) -> None:
         await asyncio.sleep(2)
         self._report(f'burst of {BURST_CLASS}')
-        burst = next(
+        burst_class = next(
             each for each in self._classes if each.call_class.name == BURST_CLASS
         )
         await self._generate_calls(
-            clients[burst.organisation], burst, BURST_RATE_PER_S, BURST_S
+            clients[burst_class.organisation], burst_class, BURST_RATE_PER_S, BURST_S
         )
-        crashed = self._site.engines[FAULT_TARGETS['crashed']]
+        crashed_server = self._site.engines[FAULT_TARGETS['crashed']]
         self._report(f'{FAULT_TARGETS["crashed"]} crashes')
-        crashed.crash()
+        crashed_server.crash()
         await asyncio.sleep(1)
         self._report(f'{FAULT_TARGETS["drained"]} is drained')
         await self._send_command(
@@ -107,7 +109,7 @@
         )
         await asyncio.sleep(1)
         self._report(f'{FAULT_TARGETS["crashed"]} is back')
-        crashed.engine.restart(loop_ms())
+        crashed_server.engine.restart(loop_ms())
         await self._amend_contract()
         self._report(f'{FAULT_TARGETS["restarted"]} is restarted gracefully')
         await self._site.stop_instance(FAULT_TARGETS['restarted'])
--- a/savorychute/demo/site.py
+++ b/savorychute/demo/site.py
@@ -31,8 +31,8 @@
     from savorychute.daemon.host import DaemonHost
 
 DOMAINS = ('hall-a', 'hall-b', 'hall-c')
-ENGINES = 6
-INSTANCES = 4
+ENGINE_COUNT = 6
+INSTANCE_COUNT = 4
 OPERATOR = 'demo'
 LIST_LAG_MS = 500.0
 #: Short, so that the graceful restart completes within the demonstration.
@@ -91,7 +91,7 @@
         self._log_port = log_server.port
         self._list_port = list_server.port
         self.service_port = service_server.port
-        for number in range(ENGINES):
+        for number in range(ENGINE_COUNT):
             name = f'engine-{number + 1}'
             settings = EngineSettings(
                 name=name, step_ms=STEP_MS, chunk_steps=CHUNK_STEPS
@@ -158,7 +158,7 @@
     async with AsyncExitStack() as stack:
         await site.start_stand_ins(stack)
         try:
-            for number in range(INSTANCES):
+            for number in range(INSTANCE_COUNT):
                 domain = DOMAINS[number % len(DOMAINS)]
                 await site.start_instance(f'entry-{number + 1}', domain)
             yield site
--- a/savorychute/explain/retries.py
+++ b/savorychute/explain/retries.py
@@ -23,7 +23,7 @@
 
     ``run`` is the number of starts of the instance in the logs so far, 0 for a run that
     started before them; ``instances`` are the numbers of instances by which the run
-    divided the slack.
+    divided ``retry_slack``.
     """
 
     instance: str
@@ -63,9 +63,9 @@
     :param window_s: the length of a window.
     """
     decisions = _collect_decisions(lines)
-    requests = _collect_arrival_times(lines)
+    arrival_times = _collect_arrival_times(lines)
     windows = [
-        _find_worst(service, service_decisions, requests[service], window_s)
+        _find_worst(service, service_decisions, arrival_times[service], window_s)
         for service, service_decisions in decisions.items()
     ]
     return tuple(sorted(windows, key=lambda window: -window.granted))
@@ -105,7 +105,7 @@
 def _find_worst(
     service: str,
     decisions: Sequence[_Decision],
-    requests: Sequence[float],
+    arrival_times: Sequence[float],
     window_s: float,
 ) -> RetryWindow:
     granted = [decision.at_s for decision in decisions if decision.granted]
@@ -122,7 +122,7 @@
         start_s,
         sum(decision.granted for decision in window_decisions),
         sum(not decision.granted for decision in window_decisions),
-        _count_between(requests, start_s, end_s),
+        _count_between(arrival_times, start_s, end_s),
         _sum_by_run(window_decisions),
     )
 
