--- a/savorychute/cmd/docs.py
+++ b/savorychute/cmd/docs.py
@@ -48,9 +48,9 @@
             outdated.append(name)
             if not arguments.check:
                 path.write_text(text, 'utf-8')
-        verdict = 'old' if arguments.check else 'written'
+        status = 'old' if arguments.check else 'written'
         print(
-            '\n'.join(f'{name}: {verdict}' for name in outdated)
+            '\n'.join(f'{name}: {status}' for name in outdated)
             or 'all pages are current'
         )
         return ExitCode.REFUSED if arguments.check and outdated else ExitCode.OK
--- a/savorychute/cmd/faults.py
+++ b/savorychute/cmd/faults.py
@@ -14,7 +14,7 @@
 
     from savorychute.testing.matrix.cell import Cell, CellResult
 
-DEFAULT_PAIRS = 200
+DEFAULT_PAIR_COUNT = 200
 # Cells between two progress lines if standard error is not a terminal.
 PROGRESS_INTERVAL_CELLS = 50
 
@@ -36,7 +36,7 @@
             help='run a sample that covers every fault and every step',
         )
         parser.add_argument(
-            '--count', type=int, default=DEFAULT_PAIRS, help='number of pairs'
+            '--count', type=int, default=DEFAULT_PAIR_COUNT, help='number of pairs'
         )
         parser.add_argument('--seed', type=int, help='seed of the runs')
         parser.add_argument('--fault', help='only this fault')
--- a/savorychute/cmd/losses.py
+++ b/savorychute/cmd/losses.py
@@ -17,7 +17,7 @@
 
 @COMMANDS.register('losses')
 class Losses:
-    """Print which requests were late, cut or refused, and when."""
+    """Print which requests were late, truncated or refused, and when."""
 
     summary = 'print from logs which requests were lost or late, by cause'
 
--- a/savorychute/cmd/operator_command.py
+++ b/savorychute/cmd/operator_command.py
@@ -66,10 +66,10 @@
             return ExitCode.UNREACHABLE
         except NoReplyError as error:
             print(f'sent, but no response: {error}', file=sys.stderr)
-            return self.report_no_reply(document)
+            return self.report_no_response(document)
         return self.report_response(response, arguments)
 
-    def report_no_reply(self, document: Any) -> ExitCode:
+    def report_no_response(self, document: Any) -> ExitCode:
         """Print what the operator can do after a lost response."""
         record_id = document.get('record_id')
         if record_id is None:
--- a/savorychute/cmd/stand_ins.py
+++ b/savorychute/cmd/stand_ins.py
@@ -19,7 +19,7 @@
 DEFAULT_LIST_PORT = 7001
 DEFAULT_ENGINE_PORT = 7100
 DEFAULT_SERVICE_PORT = 7200
-DEFAULT_ENGINES = 2
+DEFAULT_ENGINE_COUNT = 2
 DEFAULT_MODEL = 'pump-diagnosis'
 DEFAULT_SERVICE = 'visit-log'
 SEED = 1
@@ -50,9 +50,9 @@
         parser.add_argument(
             '--engines',
             type=int,
-            default=DEFAULT_ENGINES,
+            default=DEFAULT_ENGINE_COUNT,
             metavar='N',
-            help=f'number of engines, on consecutive ports (default {DEFAULT_ENGINES})',
+            help=f'number of engines, on consecutive ports (default {DEFAULT_ENGINE_COUNT})',
         )
         parser.add_argument(
             '--model',
--- a/tests/test_cmd/test_losses.py
+++ b/tests/test_cmd/test_losses.py
@@ -65,8 +65,8 @@
 def test_table_shows_the_worst_second_and_omitted_lines(tmp_path, capsys):
     """Guards against a table that hides when requests were lost, or that lines are missing.
 
-    An engine crashes in second 4 and cuts two streams; three other streams pause in
-    second 9. The table shows both, and that seven lines were omitted.
+    An engine crashes in second 4 and truncates two streams; three other streams pause
+    in second 9. The table shows both, and that seven lines were omitted.
     """
     path = tmp_path / 'log'
     write_log(
--- a/tests/test_cmd/test_operator_commands.py
+++ b/tests/test_cmd/test_operator_commands.py
@@ -146,12 +146,12 @@
 
 
 def test_next_instance_is_tried_if_nothing_was_sent(run, stand_in, closed_port):
-    both = f'127.0.0.1:{closed_port},127.0.0.1:{stand_in.port}'
-    assert run('status', '--instances', both)[0] == ExitCode.OK
+    addresses = f'127.0.0.1:{closed_port},127.0.0.1:{stand_in.port}'
+    assert run('status', '--instances', addresses)[0] == ExitCode.OK
     assert len(stand_in.received) == 1
 
 
-def test_unreachable_instance(run, closed_port):
+def test_unreachable_instance_has_its_own_exit_code(run, closed_port):
     code, _, err = run('status', '--instances', f'127.0.0.1:{closed_port}')
     assert code == ExitCode.UNREACHABLE
     assert 'no instance reached' in err
@@ -164,7 +164,7 @@
     assert stand_in.received[0].token == 'Bearer from-file'
 
 
-def test_command_over_tls(run, tls_stand_in):
+def test_command_is_sent_over_tls_to_a_trusted_server(run, tls_stand_in):
     assert run('status', '--ca-file', str(CERTIFICATE))[0] == ExitCode.OK
     assert tls_stand_in.received[0].token == 'Bearer operator-token'
 
@@ -193,7 +193,7 @@
         ('endpoint', 'drain', 'engine-1'),
     ],
 )
-def test_invalid_command_line(run, argv):
+def test_invalid_command_line_has_the_usage_exit_code(run, argv):
     assert run(*argv)[0] == ExitCode.USAGE
 
 
--- a/tests/test_cmd/test_tutorial.py
+++ b/tests/test_cmd/test_tutorial.py
@@ -112,7 +112,7 @@
     connection = http.client.HTTPConnection('127.0.0.1', port, timeout=20)
     request_headers = {
         **ORGANISATION_HEADERS,
-        **{k.replace('_', '-'): v for k, v in headers.items()},
+        **{name.replace('_', '-'): value for name, value in headers.items()},
     }
     connection.request(
         method, path, json.dumps(body) if body else None, request_headers
@@ -123,12 +123,12 @@
     return response.status, response.headers, response_text
 
 
-def test_files_have_no_faults(run):
+def test_settings_of_the_tutorial_have_no_faults(run):
     path = FILES / 'kochi-1.jsonc'
     assert run('check', str(path)) == (ExitCode.OK, f'{path}: no faults\n', '')
 
 
-def test_tutorial(run, directory, instance):
+def test_steps_of_the_tutorial_succeed(run, directory, instance):
     process, port = instance
     while send_request(port, 'GET', '/readyz')[0] != HTTPStatus.OK:
         time.sleep(0.02)
