--- a/savorychute/configuration/configuration_store.py
+++ b/savorychute/configuration/configuration_store.py
@@ -96,15 +96,15 @@
             each.version: each for each in self.fold.verdicts.all() if each.accepted
         }
         for item in sorted({*before.versions, *after.versions}):
-            old = before.versions.get(item, 0)
-            new = after.versions.get(item, 0)
-            if old == new:
+            old_version = before.versions.get(item, 0)
+            new_version = after.versions.get(item, 0)
+            if old_version == new_version:
                 continue
-            verdict = accepted_by_version.get(new)
+            verdict = accepted_by_version.get(new_version)
             yield AppliedChange(
                 item=item,
-                from_version=old,
-                to_version=new or after.offset + 1,
+                from_version=old_version,
+                to_version=new_version or after.offset + 1,
                 document=after.document(item),
                 offset=after.offset,
                 operator=verdict.operator if verdict else '',
--- a/savorychute/configuration/peer_choice.py
+++ b/savorychute/configuration/peer_choice.py
@@ -24,9 +24,9 @@
     """
     size = len(view.alive)
     chosen = rng.sample(range(size), min(count + 1, size))
-    own = view.own.instance
+    own_instance = view.own.instance
     peers = [view.alive[index] for index in chosen]
-    return [peer for peer in peers if peer.instance != own][:count]
+    return [peer for peer in peers if peer.instance != own_instance][:count]
 
 
 def send_to(peer: MemberAddress, message: tuple[object, ...]) -> SendPeer:
--- a/savorychute/configuration/poller_selection.py
+++ b/savorychute/configuration/poller_selection.py
@@ -40,10 +40,10 @@
 
     def _choose(self, view: MemberView) -> bool:
         own = view.own
-        domain = [
+        domain_members = [
             member
             for member in view.alive
             if member.failure_domain == own.failure_domain
         ]
-        pollers = choose_homes(POLLER_KEY, domain, self._count, spread=False)
+        pollers = choose_homes(POLLER_KEY, domain_members, self._count, spread=False)
         return not pollers or any(each.instance == own.instance for each in pollers)
--- a/savorychute/configuration/record_ring.py
+++ b/savorychute/configuration/record_ring.py
@@ -49,8 +49,8 @@
         """Return whether the record that follows *after_offset* is retained."""
         if not self._records:
             return False
-        first, last = self._records[0].offset, self._records[-1].offset
-        return first <= after_offset + 1 <= last
+        first_offset, last_offset = self._records[0].offset, self._records[-1].offset
+        return first_offset <= after_offset + 1 <= last_offset
 
     def read_after(self, after_offset: int, max_bytes: int) -> list[PushedRecord]:
         """Return records that follow *after_offset*, at least one if it is retained.
@@ -62,11 +62,11 @@
             return []
         start = after_offset + 1 - self._records[0].offset
         selected: list[PushedRecord] = []
-        total = 0
+        total_bytes = 0
         for position in range(start, len(self._records)):
             record = self._records[position]
-            total += _size_bytes(record)
-            if selected and total > max_bytes:
+            total_bytes += _size_bytes(record)
+            if selected and total_bytes > max_bytes:
                 break
             selected.append(record)
         return selected
