--- a/savorychute/daemon/request_reader.py
+++ b/savorychute/daemon/request_reader.py
@@ -83,7 +83,7 @@
     :param request: the HTTP request.
     :raises RequestError: if the path names no service.
     """
-    service, _, rest = request.target[len(SERVICES_PREFIX) :].partition('/')
+    service, _, remaining_path = request.target[len(SERVICES_PREFIX) :].partition('/')
     if not service or '?' in service:
         raise RequestError(ResultCode.NOT_FOUND, 'the path names no service')
     return CallerRequest(
@@ -93,7 +93,7 @@
         model='',
         service=unquote(service),
         method=request.method,
-        path=f'/{rest}',
+        path=f'/{remaining_path}',
         body=request.body,
         stream=False,
         prompt_tokens=0,
--- a/savorychute/explain/retries.py
+++ b/savorychute/explain/retries.py
@@ -19,11 +19,11 @@
 
 
 class RunRetries(NamedTuple):
-    """The retries that one run of an instance sent within a window.
+    """The retries that one incarnation of an instance sent within a window.
 
-    ``run`` is the number of starts of the instance in the logs so far, 0 for a run that
-    started before them; ``instances`` are the numbers of instances by which the run
-    divided ``retry_slack``.
+    ``run`` is the number of starts of the instance in the logs so far, 0 for an
+    incarnation that started before them; ``instances`` are the numbers of instances by
+    which the incarnation divided ``retry_slack``.
     """
 
     instance: str
--- a/savorychute/member_address.py
+++ b/savorychute/member_address.py
@@ -9,7 +9,7 @@
     """An instance's name, location and ports.
 
     ``incarnation`` increases with each start under the same name, so that updates of
-    an earlier run can be distinguished from those of the current run.
+    an earlier incarnation can be distinguished from those of the current one.
     """
 
     instance: str
--- a/tests/test_client/test_keys.py
+++ b/tests/test_client/test_keys.py
@@ -52,7 +52,7 @@
     assert raised.value.ran is Ran.UNKNOWN
 
 
-def test_refusal_that_ignores_the_key_is_no_outcome():
+def test_refusal_decided_without_the_key_is_no_outcome():
     code = ResultCode.SLOW_CALLER
     instance = FakeInstance(
         'i1', [refuse(code, Ran.UNKNOWN, retry_after_ms=1), respond]
--- a/tests/test_client/test_streams.py
+++ b/tests/test_client/test_streams.py
@@ -57,10 +57,10 @@
 
 def test_reader_that_stops_early_cancels_the_stream():
     instance = FakeInstance('i1', [stream(0, 2, 'open')])
-    left = []
+    left_events = []
 
     def keep_open(exchange):
-        exchange.on_left = lambda: left.append(True)
+        exchange.on_left = lambda: left_events.append(True)
         exchange.start(200, [('x-result-code', '0')])
         exchange.send(
             b'id: 0\ndata: {"choices":[{"delta":{"content":"a"}}],"token_count":1}\n\n'
@@ -73,9 +73,9 @@
         await anext(tokens)
         await tokens.aclose()
         async with asyncio.timeout(10):
-            while not left:
+            while not left_events:
                 await asyncio.sleep(0.005)
 
     run(act, instance)
 
-    assert left == [True]
+    assert left_events == [True]
--- a/tests/test_cmd/test_losses.py
+++ b/tests/test_cmd/test_losses.py
@@ -40,7 +40,7 @@
         ({'state': 'caller-left'}, LossCause.CALLER_LEFT),
     ],
 )
-def test_cause_of_a_loss(fields, cause):
+def test_fields_of_the_last_line_determine_the_cause(fields, cause):
     assert find_cause(fields) is cause
 
 
--- a/tests/test_cmd/test_with_instance.py
+++ b/tests/test_cmd/test_with_instance.py
@@ -137,20 +137,20 @@
 def test_contract_is_created_amended_and_shown(run_json, write_document):
     path = write_document(CONTRACT)
     change = ('contract', 'amend', path, '--why', 'first')
-    code, made = run_json(*change, '--base-version', '0')
+    code, created = run_json(*change, '--base-version', '0')
     assert code == ExitCode.OK
     code, shown = run_json('contract', 'show', 'malanadu')
     assert code == ExitCode.OK
-    assert shown['version'] == made['version']
+    assert shown['version'] == created['version']
     assert shown['document'] == CONTRACT
 
     assert run_json(*change, '--base-version', '0')[0] == ExitCode.REFUSED
     second = write_document({**CONTRACT, 'requests_per_s': 20})
     amend = ('contract', 'amend', second, '--why', 'more pumps')
-    code, amended = run_json(*amend, '--base-version', str(made['version']))
+    code, amended = run_json(*amend, '--base-version', str(created['version']))
     assert code == ExitCode.OK
     shown = run_json('contract', 'show', 'malanadu')[1]
-    assert shown['version'] == amended['version'] > made['version']
+    assert shown['version'] == amended['version'] > created['version']
     assert shown['document']['requests_per_s'] == 20
     history = run_json('contract', 'history', 'malanadu')[1]['history']
     assert [entry['operator'] for entry in history] == ['ravi', 'ravi']
--- a/tests/test_daemon/test_peer_link.py
+++ b/tests/test_daemon/test_peer_link.py
@@ -50,8 +50,8 @@
     return asyncio.run(main())
 
 
-def send(link, to, message):
-    link.send(SendPeer('i2', '127.0.0.1', to.port, message))
+def send(sending_link, receiving_link, message):
+    sending_link.send(SendPeer('i2', '127.0.0.1', receiving_link.port, message))
 
 
 def test_small_message_is_sent_by_datagram_and_large_one_by_connection():
--- a/tests/test_daemon/test_tls.py
+++ b/tests/test_daemon/test_tls.py
@@ -80,7 +80,7 @@
 
 
 def test_failed_reload_keeps_the_keys_and_is_logged(tmp_path):
-    """Guard against a reload in the middle of a renewal.
+    """Guard against a daemon without keys after a reload in the middle of a renewal.
 
     The reload happens after the chain was written and before its key was.  The
     daemon continues with its current keys and logs the failure.
