--- a/tests/test_cmd/test_losses.py
+++ b/tests/test_cmd/test_losses.py
@@ -40,7 +40,7 @@
         ({'state': 'caller-left'}, LossCause.CALLER_LEFT),
     ],
 )
-def test_cause_of_a_loss(fields, cause):
+def test_fields_of_the_last_line_determine_the_cause(fields, cause):
     assert find_cause(fields) is cause
 
 
@@ -65,8 +65,8 @@
 def test_table_shows_the_worst_second_and_omitted_lines(tmp_path, capsys):
     """Guards against a table that hides when requests were lost, or that lines are missing.
 
-    An engine crashes in second 4 and cuts two streams; three other streams pause in
-    second 9. The table shows both, and that seven lines were omitted.
+    An engine crashes in second 4 and truncates two streams; three other streams pause
+    in second 9. The table shows both, and that seven lines were omitted.
     """
     path = tmp_path / 'log'
     write_log(
--- a/tests/test_daemon/test_tls.py
+++ b/tests/test_daemon/test_tls.py
@@ -80,7 +80,7 @@
 
 
 def test_failed_reload_keeps_the_keys_and_is_logged(tmp_path):
-    """Guard against a reload in the middle of a renewal.
+    """Guard against a daemon without keys after a reload in the middle of a renewal.
 
     The reload happens after the chain was written and before its key was.  The
     daemon continues with its current keys and logs the failure.
@@ -89,12 +89,12 @@
     keys = TlsKeys(str(tmp_path / 'chain.pem'), str(tmp_path / 'key.pem'))
     before = keys.current_context
     shutil.copy(CERTIFICATES / 'second.pem', tmp_path / 'chain.pem')
-    lines = FakeLog()
+    log = FakeLog()
 
     async def main():
-        async with reload_periodically(keys, 5, lines) as reload:
+        async with reload_periodically(keys, 5, log) as reload:
             reload()
-            await wait_until(lambda: len(lines.events) > 2)
+            await wait_until(lambda: len(log.events) > 2)
             shutil.copy(CERTIFICATES / 'second.key', tmp_path / 'key.pem')
             await wait_until(lambda: keys.current_context is not before)
 
@@ -102,7 +102,7 @@
         keys.reload()
     asyncio.run(main())
 
-    assert lines.events[0] == ('tls-reload-failed', {'error': 'SSLError'})
+    assert log.events[0] == ('tls-reload-failed', {'error': 'SSLError'})
 
 
 def test_plain_request_to_a_tls_port_is_aborted(tmp_path):
