--- a/savorychute/routing/endpoint_group.py
+++ b/savorychute/routing/endpoint_group.py
@@ -18,7 +18,7 @@
 
 
 class EndpointGroup:
-    """Endpoints that serve the same, and the figures that they share.
+    """Endpoints that serve the same models or service, and figures over all of them.
 
     :param settings: the initial values.
     """
@@ -43,8 +43,12 @@
 
     def _summarise(self, now_ms: int) -> GroupSummary:
         step_times_ms = [member.measured_step_ms(now_ms) for member in self.members]
-        known_ms = [step_ms for step_ms in step_times_ms if step_ms > 0]
-        step_ms = median(known_ms) if known_ms else self._summary.median_step_ms
+        known_step_times_ms = [step_ms for step_ms in step_times_ms if step_ms > 0]
+        step_ms = (
+            median(known_step_times_ms)
+            if known_step_times_ms
+            else self._summary.median_step_ms
+        )
         peer_requests = sum(member.peer_requests for member in self.members)
         own_requests = sum(member.outstanding for member in self.members)
         own_weight = min(1 + peer_requests / max(own_requests, 1), self._max_own_weight)
--- a/savorychute/routing/endpoint_state.py
+++ b/savorychute/routing/endpoint_state.py
@@ -30,7 +30,7 @@
 
     :param settings: the initial values.
     :param document: the endpoint, as operators entered it.
-    :param group: the endpoints that serve the same.
+    :param group: the endpoints that serve the same models or service.
     :param distance_ms: the one-way latency to the endpoint.
     :param prefix_entries: the maximum number of prefix hashes to remember.
     """
@@ -124,8 +124,8 @@
         """Estimate the current requests of other instances: mean and variance.
 
         The other instances act on the same report.  An endpoint whose load
-        deviates by one standard deviation, ``sqrt(mean)``, is levelled as soon
-        as that many requests have arrived, which takes
+        deviates by one standard deviation, ``sqrt(mean)``, is balanced again as
+        soon as that many requests have arrived, which takes
         ``holding / sqrt(mean)`` by Little's law.  The reported load therefore
         decays towards the mean of the group at that rate (after Dahlin,
         Interpreting stale load information, 1999), while its uncertainty grows.
--- a/savorychute/routing/predicted_router.py
+++ b/savorychute/routing/predicted_router.py
@@ -78,8 +78,8 @@
         that one report shows to be idle.  The load of the other instances is
         therefore drawn from its estimated distribution, own requests, of which
         the others do not know, have a higher weight, and an occupied slot adds
-        a small cost even if no request waits yet, because it will be lacking
-        when more requests arrive.
+        a small cost even if no request waits yet, because it will not be
+        available when more requests arrive.
         """
         settings = self._settings
         median_ms, _, own_weight = state.group.summary(now_ms)
@@ -105,8 +105,8 @@
         tokens = uncached_tokens + state.backlog_tokens
         score_ms += step_ms * (1 + tokens / state.group.prefill_tokens_per_step)
         if is_slow:
-            # By its first token alone a straggler without a queue would be
-            # chosen, and then miss the token gap target for the whole answer.
+            # Scored by its time to first token alone, a straggler without a queue
+            # would be chosen, and miss the token gap target for the whole answer.
             excess_step_ms = step_ms - median_ms
             score_ms += settings.slow_decode_weight * expected_tokens * excess_step_ms
         return score_ms
--- a/savorychute/routing/routing_settings.py
+++ b/savorychute/routing/routing_settings.py
@@ -15,8 +15,9 @@
     0 scores all of them.  ``own_weight`` is the maximum weight of a request of
     this instance relative to a reported one, ``congestion_weight`` the weight
     of an occupied slot relative to a request ahead in the queue, and
-    ``doubt_weight`` the share of a report's uncertainty that is drawn at
-    random; docs/design/routing.rst has the measurements behind them.
+    ``doubt_weight`` the size of the random term in the estimated load of other
+    instances, relative to the standard deviation of that estimate;
+    docs/design/routing.rst has the measurements behind them.
     """
 
     domain_distance_ms: float = 0.5
--- a/savorychute/routing/token_quantiles.py
+++ b/savorychute/routing/token_quantiles.py
@@ -48,9 +48,9 @@
         :param share: between 0 and 1.
         """
         target = share * self._total_weight
-        cumulated_count = 0
+        cumulative_count = 0
         for bucket, count in enumerate(self._counts):
-            cumulated_count += count
-            if count and cumulated_count >= target:
+            cumulative_count += count
+            if count and cumulative_count >= target:
                 return float(2 ** ((bucket + 0.5) / BUCKETS_PER_DOUBLING))
         return 1.0
