--- a/savorychute/recovery/crash_monitor.py
+++ b/savorychute/recovery/crash_monitor.py
@@ -1,4 +1,4 @@
-"""The distinction of endpoint crashes from a loss of the own network."""
+"""Distinguishes crashes of endpoints from a network failure of this instance."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 class CrashMonitor:
     """Records which endpoints are in use and which have crashed recently.
 
-    When this instance loses its network, the connections to most endpoints in
-    use break at once.  This looks like that many crashes, and a second loss
-    would quarantine innocent requests.
+    When the network of this instance fails, the connections to most endpoints
+    in use break at once.  This looks like that many crashes, and a second
+    network failure would quarantine innocent requests.
 
-    :param settings: how many simultaneous crashes count as an own fault.
+    :param settings: how many simultaneous crashes count as a network failure.
     """
 
     def __init__(self, settings: QuarantineSettings) -> None:
@@ -31,7 +31,7 @@
         self._record_time(self._used_ms, endpoint, now_ms)
 
     def record_crash(self, endpoint: str, now_ms: int) -> bool:
-        """Record a crash; return whether this instance itself is at fault."""
+        """Record a crash; return whether it is due to this instance's own network."""
         self._record_time(self._crashed_ms, endpoint, now_ms)
         window_ms = self._settings.own_fault_window_ms
         crashed = count_since(self._crashed_ms, now_ms - window_ms)
--- a/savorychute/recovery/ejector.py
+++ b/savorychute/recovery/ejector.py
@@ -21,7 +21,7 @@
 
 
 class Ejector:
-    """Outlier ejection with a cap and slow start; also tracks leaving endpoints.
+    """Outlier ejection with a limit and slow start; also tracks leaving endpoints.
 
     Only failures cause an ejection.  A straggler does respond, though late, and
     is handled by the score of the router: removing its capacity would make a
@@ -35,7 +35,7 @@
         self._settings = settings
         self._rng = rng
         self._records: dict[str, HealthRecord] = {}
-        self._members: dict[str, set[str]] = {}
+        self._members_by_pool: dict[str, set[str]] = {}
         self._changes: list[EndpointChange] = []
 
     def set_endpoints(self, documents: Mapping[str, EndpointDocument]) -> None:
@@ -43,12 +43,12 @@
         self._records = {
             name: self._records.get(name, HealthRecord(())) for name in documents
         }
-        self._members = {}
+        self._members_by_pool = {}
         for name, document in documents.items():
-            groups = list_groups(document)
-            self._records[name].groups = groups
-            for group in groups:
-                self._members.setdefault(group, set()).add(name)
+            pools = list_pools(document)
+            self._records[name].pools = pools
+            for pool in pools:
+                self._members_by_pool.setdefault(pool, set()).add(name)
 
     def take_changes(self) -> list[EndpointChange]:
         """Return the changes since the last call."""
@@ -176,15 +176,15 @@
         share = self._settings.ejected_share_max
         if crashed:
             share = self._settings.crashed_share_max
-        for group in record.groups:
-            group_members = self._members[group]
+        for pool in record.pools:
+            pool_members = self._members_by_pool[pool]
             ejected = 0
-            for name in group_members:
+            for name in pool_members:
                 other_record = self._records[name]
                 self._refresh(name, other_record, now_ms)
                 if name != endpoint and other_record.health is EndpointHealth.EJECTED:
                     ejected += 1
-            if ejected + 1 > min(share * len(group_members), len(group_members) - 1):
+            if ejected + 1 > min(share * len(pool_members), len(pool_members) - 1):
                 return False
         return True
 
@@ -244,8 +244,8 @@
         record.since_ms = now_ms
 
 
-def list_groups(document: EndpointDocument) -> tuple[str, ...]:
-    """Return the pools that an endpoint serves, each with its own cap.
+def list_pools(document: EndpointDocument) -> tuple[str, ...]:
+    """Return the pools that an endpoint serves, each with its own ejection limit.
 
     :param document: the endpoint.
     """
--- a/savorychute/recovery/poison_broadcaster.py
+++ b/savorychute/recovery/poison_broadcaster.py
@@ -18,7 +18,7 @@
     from savorychute.recovery.poison_record import PoisonRecord
     from savorychute.recovery.quarantine_settings import QuarantineSettings
 
-FEW_ENTRIES = 8
+SAMPLED_ENTRIES = 8
 
 
 class PoisonBroadcaster:
@@ -113,7 +113,7 @@
         addresses = [peer for peer in self._peers if peer.instance == sender]
         if not addresses:
             return []
-        count = FEW_ENTRIES
+        count = SAMPLED_ENTRIES
         if message.entries < len(records) / 2:
             count = self._settings.gossip_entries
         chosen = list(records.values())
--- a/savorychute/recovery/quarantine.py
+++ b/savorychute/recovery/quarantine.py
@@ -294,9 +294,9 @@
         # only one of them.
         return not record.is_confirmed and bool(self._list_overlapping_suspects(record))
 
-    def _reopen_overlapping(self, culprit: PoisonRecord, now_ms: int) -> None:
-        """Run requests alone that were quarantined for a crash of *culprit*."""
-        for record in self._list_overlapping_suspects(culprit):
+    def _reopen_overlapping(self, confirmed_record: PoisonRecord, now_ms: int) -> None:
+        """Run alone the requests quarantined for a crash of *confirmed_record*."""
+        for record in self._list_overlapping_suspects(confirmed_record):
             if record.quarantined and not record.is_confirmed:
                 record.lift(record.endpoints)
                 self._start_settling(record, now_ms)
--- a/savorychute/recovery/retry_budget.py
+++ b/savorychute/recovery/retry_budget.py
@@ -12,7 +12,8 @@
 
 
 # The budget of an organisation without a bucket: enough for one request.  It may have
-# spent its burst at an earlier run of this instance, or before its bucket was dropped.
+# spent its burst in an earlier incarnation of this instance, or before its bucket was
+# dropped.
 INITIAL_RETRIES = 2.0
 
 
--- a/savorychute/recovery/suspect_lanes.py
+++ b/savorychute/recovery/suspect_lanes.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from savorychute.recovery.ejector import list_groups
+from savorychute.recovery.ejector import list_pools
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -62,7 +62,7 @@
     def _assign_endpoints(self) -> None:
         groups: dict[tuple[str, ...], list[str]] = {}
         for name, document in sorted(self._endpoints.items()):
-            groups.setdefault(list_groups(document), []).append(name)
+            groups.setdefault(list_pools(document), []).append(name)
         self._turns = {}
         if self._instance in self._members:
             position = self._members.index(self._instance)
--- a/tests/test_recovery/poison_history.py
+++ b/tests/test_recovery/poison_history.py
@@ -12,7 +12,7 @@
 from savorychute.recovery import PoisonVerdict, Quarantine, QuarantineSettings
 
 TICK_MS = 100
-WAIT_MS = 50
+REDISPATCH_MS = 50
 POISON = 'poison'
 
 
@@ -140,7 +140,7 @@
             )
         if endpoint is None:
             self.schedule(
-                self.now_ms + WAIT_MS, self._dispatch, fingerprint, index, attempt
+                self.now_ms + REDISPATCH_MS, self._dispatch, fingerprint, index, attempt
             )
             return
         self._start(fingerprint, index, attempt, endpoint)
@@ -171,22 +171,28 @@
         self.crashed_by.setdefault(fingerprint, []).append(endpoint)
         self._available.discard(endpoint)
         self.schedule(self.now_ms + self.plan.restart_ms, self._available.add, endpoint)
-        lost_attempts = [
-            key for key, value in self._running.items() if value[2] == endpoint
+        lost_attempt_ids = [
+            lost_attempt_id
+            for lost_attempt_id, running in self._running.items()
+            if running[2] == endpoint
         ]
         by_instance = {}
-        for key in lost_attempts:
-            by_instance.setdefault(self._running[key][1], []).append(key)
-        for index, keys in by_instance.items():
-            self.schedule(self.now_ms + 1, self._record_crashes, index, keys)
+        for lost_attempt_id in lost_attempt_ids:
+            by_instance.setdefault(self._running[lost_attempt_id][1], []).append(
+                lost_attempt_id
+            )
+        for index, attempt_ids in by_instance.items():
+            self.schedule(self.now_ms + 1, self._record_crashes, index, attempt_ids)
 
-    def _record_crashes(self, index, keys):
+    def _record_crashes(self, index, attempt_ids):
         quarantine = self._quarantines[index]
         lost_attempts = [
-            (key, *self._running.pop(key)) for key in keys if key in self._running
+            (attempt_id, *self._running.pop(attempt_id))
+            for attempt_id in attempt_ids
+            if attempt_id in self._running
         ]
-        for key, fingerprint, _, endpoint, _ in lost_attempts:
-            quarantine.record_crash(fingerprint, key, endpoint, self.now_ms)
+        for attempt_id, fingerprint, _, endpoint, _ in lost_attempts:
+            quarantine.record_crash(fingerprint, attempt_id, endpoint, self.now_ms)
         self._deliver(index, quarantine.tick(self._views[index], self.now_ms))
         for _, fingerprint, _, _, attempt in lost_attempts:
             if attempt < self.plan.attempts:
--- a/tests/test_recovery/test_suspect_lanes.py
+++ b/tests/test_recovery/test_suspect_lanes.py
@@ -14,9 +14,9 @@
     def make(instances, endpoints):
         names = [f'i{number}' for number in range(instances)]
         lanes = [SuspectLanes(name, TURN_MS) for name in names]
-        for name, each in zip(names, lanes, strict=True):
-            each.set_endpoints(make_documents(endpoints))
-            each.set_view(make_view(name, names))
+        for name, own_lanes in zip(names, lanes, strict=True):
+            own_lanes.set_endpoints(make_documents(endpoints))
+            own_lanes.set_view(make_view(name, names))
         return lanes
 
     return make
@@ -31,7 +31,11 @@
     lanes = make_lanes(instances, endpoints)
     for age_ms in range(0, 10_000, 500):
         for number in range(endpoints):
-            owners = [each for each in lanes if each.is_assigned(f'e{number}', age_ms)]
+            owners = [
+                own_lanes
+                for own_lanes in lanes
+                if own_lanes.is_assigned(f'e{number}', age_ms)
+            ]
             assert len(owners) == 1
 
 
