--- a/savorychute/placement/change_log.py
+++ b/savorychute/placement/change_log.py
@@ -106,7 +106,7 @@
 
     def incoming_models(self, endpoint: str) -> set[str]:
         """Return the models that are being loaded or have a reservation there."""
-        models = self._list_open(endpoint, LOAD)
+        models = self._list_open_models(endpoint, LOAD)
         reservation = self._reservations.get(endpoint)
         if reservation is not None:
             models.add(reservation.model)
@@ -114,7 +114,7 @@
 
     def outgoing_models(self, endpoint: str) -> set[str]:
         """Return the models that are being unloaded at an engine."""
-        return self._list_open(endpoint, UNLOAD)
+        return self._list_open_models(endpoint, UNLOAD)
 
     @property
     def pending_loads(self) -> int:
@@ -133,8 +133,8 @@
     def can_change(self, endpoint: str, model: str, now_ms: int) -> bool:
         """Return whether the dwell time since the last change has elapsed.
 
-        It is false also while a change is open, or a failed one must not be
-        retried yet.
+        Also false while a change is open, or until a failed change may be
+        retried.
         """
         key = (endpoint, model)
         if key in self._open_changes or now_ms < self._blocked_until_ms.get(
@@ -156,7 +156,9 @@
             self._changed_ms.setdefault((name, model), now_ms)
             if previous is not None and (name, model) not in self._open_changes:
                 self._changed_ms[name, model] = now_ms
-        for model in self._list_open(name, LOAD) | self._list_open(name, UNLOAD):
+        for model in self._list_open_models(name, LOAD) | self._list_open_models(
+            name, UNLOAD
+        ):
             change = self._open_changes[name, model]
             is_loaded = model in engine.loaded
             if engine.as_of_ms > change.sent_ms and is_loaded == (change.verb == LOAD):
@@ -186,13 +188,22 @@
             del self._open_changes[key]
 
     def _drop_removed_engines(self, names: set[str]) -> None:
-        tables = (self._loaded, self._max_loaded, self._reservations, self._failures)
-        for known in tables:
-            for name in [name for name in known if name not in names]:
-                del known[name]  # type: ignore[attr-defined]
-        for table in (self._open_changes, self._changed_ms, self._blocked_until_ms):
-            for key in [key for key in table if key[0] not in names]:
-                del table[key]  # type: ignore[attr-defined]
+        engine_tables = (
+            self._loaded,
+            self._max_loaded,
+            self._reservations,
+            self._failures,
+        )
+        for engine_table in engine_tables:
+            for name in [name for name in engine_table if name not in names]:
+                del engine_table[name]  # type: ignore[attr-defined]
+        for change_table in (
+            self._open_changes,
+            self._changed_ms,
+            self._blocked_until_ms,
+        ):
+            for key in [key for key in change_table if key[0] not in names]:
+                del change_table[key]  # type: ignore[attr-defined]
 
     def _block(self, endpoint: str, model: str, now_ms: int) -> None:
         """Block this change for a delay that doubles with each failure there.
@@ -207,7 +218,7 @@
         self._blocked_until_ms[endpoint, model] = now_ms + delay_ms
         self._changed_ms.pop((endpoint, model), None)
 
-    def _list_open(self, endpoint: str, verb: str) -> set[str]:
+    def _list_open_models(self, endpoint: str, verb: str) -> set[str]:
         return {
             model
             for (name, model), change in self._open_changes.items()
--- a/savorychute/placement/demand_average.py
+++ b/savorychute/placement/demand_average.py
@@ -54,11 +54,11 @@
 
         :param demand: the demand of each model; a missing model has none.
         """
-        current = {each.model: each for each in demand}
+        current = {model_demand.model: model_demand for model_demand in demand}
         self._required = frozenset(
-            each.model
-            for each in current.values()
-            if each.is_named or each.requests > 0
+            model_demand.model
+            for model_demand in current.values()
+            if model_demand.is_named or model_demand.requests > 0
         )
         elapsed_ms = 0
         if self._updated_ms is not None:
--- a/savorychute/placement/engine_finder.py
+++ b/savorychute/placement/engine_finder.py
@@ -138,7 +138,7 @@
     def _lowers_utilisation(
         self, model: str, reason: ShortageReason, endpoint: str
     ) -> bool:
-        """Return whether the models already there can do with fewer slots.
+        """Return whether the models there would stay less utilised than *model*.
 
         Otherwise an overloaded model would be loaded on engines that are as
         overloaded, without any gain.
--- a/savorychute/placement/planner.py
+++ b/savorychute/placement/planner.py
@@ -101,15 +101,15 @@
     def _can_order(self, engines: Sequence[EngineState], now_ms: int) -> bool:
         """Return whether enough engines have reported to send orders.
 
-        A lease holder that receives reports of few engines is more likely cut
-        off itself than alone with the survivors; acting on such reports would
+        If few engines report, it is more likely that the lease holder is cut off
+        from them than that all others have failed; acting on such reports would
         load models a second time.
         """
         settings = self._settings
         if self._started_ms is None or now_ms - self._started_ms < settings.warm_up_ms:
             return False
         reported_engines = sum(
-            is_reported_within(each, settings.forget_ms, now_ms) for each in engines
+            is_reported_within(engine, settings.forget_ms, now_ms) for engine in engines
         )
         return 0 < reported_engines >= settings.min_heard_share * len(engines)
 
@@ -152,13 +152,14 @@
         return None
 
     def _list_shortages(self, fleet: Fleet) -> list[tuple[ShortageReason, str]]:
-        found = [
+        reasons = [
             (fleet.find_shortage(model), model)
             for model in self._demand.required_models()
         ]
-        shortages = [(reason, model) for reason, model in found if reason is not None]
+        shortages = [(reason, model) for reason, model in reasons if reason is not None]
         return sorted(
-            shortages, key=lambda each: (each[0], -fleet.utilisation(each[1]))
+            shortages,
+            key=lambda shortage: (shortage[0], -fleet.utilisation(shortage[1])),
         )
 
     def _plan_replica(
--- a/tests/test_placement/simulated_region.py
+++ b/tests/test_placement/simulated_region.py
@@ -58,7 +58,9 @@
         if not self.is_up:
             return
         self._history.append((frozenset(self.loaded), now_ms))
-        delayed_reports = [each for each in self._history if each[1] <= now_ms - lag_ms]
+        delayed_reports = [
+            report for report in self._history if report[1] <= now_ms - lag_ms
+        ]
         if (
             self.delivers_reports
             and delayed_reports
@@ -124,7 +126,7 @@
         for order in self.planner.plan(demand, states, self.now_ms):
             self._execute_order(order)
 
-    def holders(self, model):
+    def engines_with(self, model):
         """Return the engines that are up and have a model loaded."""
         return [
             engine.name
@@ -157,7 +159,7 @@
         self.engines[order.endpoint].execute(order, self.load_ms, self.now_ms)
 
     def _check_unload(self, sent):
-        """A required model keeps a replica that a fresh report shows as ready."""
+        """Check that a required model keeps a replica that a fresh report shows."""
         model = sent.target
         if model not in self.named and not self.demand.get(model):
             return
@@ -168,7 +170,7 @@
         ]
         assert others, f'the last ready replica of {model} is unloaded'
         if self.now_ms - self.crashed_ms > self.settings.fresh_ms:
-            remaining = set(self.holders(model)) - {sent.endpoint}
+            remaining = set(self.engines_with(model)) - {sent.endpoint}
             assert remaining, f'{model} is served nowhere'
 
     def _shows_ready(self, engine, model):
@@ -184,14 +186,14 @@
         return model in loaded and is_fresh and not unloaded
 
     def _check_dwell(self, sent):
-        """No model is loaded and unloaded at one engine within the dwell time."""
+        """Check that the dwell time passes between opposite orders for one model."""
         for previous in self.orders:
             same = (previous.endpoint, previous.target) == (sent.endpoint, sent.target)
             if same and previous.verb != sent.verb and not self.refuses_orders:
                 assert sent.at_ms - previous.at_ms >= self.settings.min_dwell_ms
 
     def _check_rate(self):
-        """The rate of the weight store is kept in every window that ends now."""
+        """Check the rate of the weight store over every window that ends now."""
         rate_per_ms = self.settings.loads_per_min / MS_PER_MIN
         times = [order.at_ms for order in self.orders if order.verb == LOAD]
         for index, window_start_ms in enumerate(times):
--- a/tests/test_placement/test_planner.py
+++ b/tests/test_placement/test_planner.py
@@ -35,7 +35,7 @@
 
     def run(self, duration_ms, **requests):
         """Plan for a while under one demand and return all orders."""
-        demand = [ModelDemand(model, each) for model, each in requests.items()]
+        demand = [ModelDemand(model, count) for model, count in requests.items()]
         return self.run_demand(duration_ms, demand)
 
     def run_demand(self, duration_ms, demand):
