--- a/savorychute/membership/digest.py
+++ b/savorychute/membership/digest.py
@@ -13,7 +13,7 @@
 class Digest(NamedTuple):
     """A digest of each region's members.
 
-    The receiver answers with a :class:`RegionSummary` if its own digest differs.
+    The receiver responds with a :class:`RegionSummary` if its own digest differs.
     """
 
     origin: MemberUpdate
--- a/savorychute/membership/discovery.py
+++ b/savorychute/membership/discovery.py
@@ -40,13 +40,13 @@
         ``min_seats`` of the settings.
     :param loads: the known loads of the region's instances.
     """
-    usable = [m for m in view.alive if m.instance not in view.suspects]
-    local_members = [m for m in usable if m.region == view.own.region]
-    remote_members = [m for m in usable if m.region != view.own.region]
+    usable_members = [m for m in view.alive if m.instance not in view.suspects]
+    local_members = [m for m in usable_members if m.region == view.own.region]
+    remote_members = [m for m in usable_members if m.region != view.own.region]
     count = min(len(local_members), max(settings.min_seats, seats))
     ranked = choose_homes(organisation, local_members, len(local_members))
-    mean = _mean_load(local_members, loads or {})
-    chosen = _skip_busy(ranked, count, settings, loads or {}, mean, rng)
+    mean_load = _mean_load(local_members, loads or {})
+    chosen = _skip_busy(ranked, count, settings, loads or {}, mean_load, rng)
     rng.shuffle(chosen)
     chosen.extend(
         choose_homes(organisation, remote_members, _count_remote(settings, len(chosen)))
@@ -60,7 +60,7 @@
     count: int,
     settings: DiscoverySettings,
     loads: Mapping[str, int],
-    mean: float,
+    mean_load: float,
     rng: Random,
 ) -> list[MemberAddress]:
     """Return the first members, skipping some whose load is far above the mean.
@@ -75,8 +75,8 @@
         if len(chosen) == count:
             break
         load = loads.get(member.instance, 0)
-        is_busy = load > mean * settings.busy_ratio
-        if is_busy and rng.random() > mean / load:
+        is_busy = load > mean_load * settings.busy_ratio
+        if is_busy and rng.random() > mean_load / load:
             skipped.append(member)
         else:
             chosen.append(member)
@@ -84,8 +84,8 @@
 
 
 def _mean_load(members: Sequence[MemberAddress], loads: Mapping[str, int]) -> float:
-    known = [loads[m.instance] for m in members if m.instance in loads]
-    return sum(known) / len(known) if known else 0.0
+    known_loads = [loads[m.instance] for m in members if m.instance in loads]
+    return sum(known_loads) / len(known_loads) if known_loads else 0.0
 
 
 def _count_remote(settings: DiscoverySettings, local_seats: int) -> int:
--- a/savorychute/membership/home_table.py
+++ b/savorychute/membership/home_table.py
@@ -34,9 +34,9 @@
         """
         for key in [k for k, r in self._regions.items() if regions.get(k) != r]:
             self._drop_key(key)
-        fresh = [key for key in regions if key not in self._regions]
-        self._regions.update((key, regions[key]) for key in fresh)
-        self._assign_homes(fresh)
+        new_keys = [key for key in regions if key not in self._regions]
+        self._regions.update((key, regions[key]) for key in new_keys)
+        self._assign_homes(new_keys)
 
     def set_view(self, view: MemberView) -> None:
         """Update the homes after a change of the members.
@@ -72,17 +72,19 @@
         Their homes are in any region, so every change may move them.  They return
         to their own region as soon as a member is alive there.
         """
-        before = {member.region for member in previous.values()}
-        after = {member.region for member in self._members.values()}
-        populated = before & after
-        return [k for k, region in self._regions.items() if region not in populated]
+        regions_before = {member.region for member in previous.values()}
+        regions_after = {member.region for member in self._members.values()}
+        populated_regions = regions_before & regions_after
+        return [
+            k for k, region in self._regions.items() if region not in populated_regions
+        ]
 
     def _apply_joins(self, previous: Mapping[str, MemberAddress]) -> None:
         for instance, member in self._members.items():
-            known = previous.get(instance)
-            if known == member:
+            previous_member = previous.get(instance)
+            if previous_member == member:
                 continue
-            if known is not None and known.region == member.region:
+            if previous_member is not None and previous_member.region == member.region:
                 self._update_home_address(member)
                 continue
             for key, region in self._regions.items():
@@ -91,9 +93,9 @@
 
     def _apply_departures(self, previous: Mapping[str, MemberAddress]) -> None:
         orphaned_keys: list[str] = []
-        for instance, known in previous.items():
+        for instance, previous_member in previous.items():
             member = self._members.get(instance)
-            if member is None or member.region != known.region:
+            if member is None or member.region != previous_member.region:
                 orphaned_keys.extend(self._keys_of.get(instance, ()))
         self._assign_homes(orphaned_keys)
 
--- a/savorychute/membership/member_table.py
+++ b/savorychute/membership/member_table.py
@@ -62,30 +62,30 @@
         if update.state not in KNOWN_STATES:
             return False  # A later version may know more states than this one.
         instance = update.address.instance
-        known = self._records.get(instance)
-        if known is not None and update.precedence <= known.update.precedence:
+        current = self._records.get(instance)
+        if current is not None and update.precedence <= current.update.precedence:
             return False
-        if known is None and update.state == MemberState.DEAD:
+        if current is None and update.state == MemberState.DEAD:
             return self._store_tombstone(update, now_ms)
-        is_same_run = (
-            known is not None
-            and known.update.address.incarnation == update.address.incarnation
+        is_same_incarnation = (
+            current is not None
+            and current.update.address.incarnation == update.address.incarnation
         )
         record = MemberRecord(update, now_ms, update.state == MemberState.LEAVING)
-        if known is not None and is_same_run:
+        if current is not None and is_same_incarnation:
             record = record._replace(
-                announced_leaving=record.announced_leaving or known.announced_leaving,
-                listed_leaving=known.listed_leaving,
+                announced_leaving=record.announced_leaving or current.announced_leaving,
+                listed_leaving=current.listed_leaving,
             )
         self._store(record, now_ms)
-        self._record_change(known, update, why, now_ms)
+        self._record_change(current, update, why, now_ms)
         return True
 
     def set_listed_leaving(self, leaving: frozenset[str], now_ms: int) -> None:
         """Mark the members that the platform's list shows as leaving.
 
-        The list lags, so it may describe an earlier run of the same name; the mark
-        therefore holds only as long as the list repeats it.
+        The list lags, so it may describe an earlier incarnation; the mark therefore
+        holds only as long as the list repeats it.
 
         :param leaving: the names that the list marks as leaving.
         """
@@ -115,9 +115,9 @@
         """
         dead = sorted(self.in_state(MemberState.DEAD), key=lambda r: r.since_ms)
         surplus = max(0, len(dead) - self._settings.max_dead)
-        limit_ms = now_ms - self._settings.forget_dead_ms
+        cutoff_ms = now_ms - self._settings.forget_dead_ms
         for position, record in enumerate(dead):
-            if position < surplus or record.since_ms <= limit_ms:
+            if position < surplus or record.since_ms <= cutoff_ms:
                 self._remove(record)
 
     def in_state(self, state: MemberState) -> list[MemberRecord]:
@@ -145,10 +145,10 @@
 
     def _store(self, record: MemberRecord, now_ms: int) -> None:
         address = record.update.address
-        known = self._records.get(address.instance)
-        if known is not None:
-            self._toggle_hash(known.update, now_ms)
-            self._remove(known)
+        current = self._records.get(address.instance)
+        if current is not None:
+            self._toggle_hash(current.update, now_ms)
+            self._remove(current)
         self._records[address.instance] = record
         self._by_state[record.update.state][address.instance] = None
         self._by_region.setdefault(address.region, {})[address.instance] = None
@@ -195,13 +195,13 @@
         )
 
     def _record_change(
-        self, known: MemberRecord | None, update: MemberUpdate, why: str, now_ms: int
+        self, previous: MemberRecord | None, update: MemberUpdate, why: str, now_ms: int
     ) -> None:
-        from_state = known.state.name.lower() if known is not None else ''
+        from_state = previous.state.name.lower() if previous is not None else ''
         to_state = MemberState(update.state).name.lower()
         is_restart = (
-            known is not None
-            and known.update.address.incarnation != update.address.incarnation
+            previous is not None
+            and previous.update.address.incarnation != update.address.incarnation
         )
         if from_state == to_state and not is_restart:
             return
--- a/savorychute/membership/membership.py
+++ b/savorychute/membership/membership.py
@@ -102,8 +102,8 @@
     def peer_loads(self) -> dict[str, int]:
         """Return the loads advertised by members of the region, and the own load.
 
-        Each is as old as the last probe between the two instances: on average half as
-        many seconds as the region has members.
+        Each is as old as the last probe between the two instances: with one probe a
+        second, on average half as many seconds as the region has members.
         """
         return {
             **self._peer_status.loads,
@@ -141,7 +141,7 @@
         return self._announce(now_ms) if is_first and self._listed else []
 
     def leave(self, now_ms: int) -> list[Action]:
-        """Announce that this instance leaves: no new work, but answers to probes.
+        """Announce that this instance takes no new work; it still acknowledges probes.
 
         :param now_ms: the time.
         """
@@ -168,7 +168,7 @@
             self._apply((origin,), 'heard from it', now_ms)
             self._sync.record_contact(origin.address.region, now_ms)
         if isinstance(message, Ping):
-            return self._answer_ping(message, now_ms)
+            return self._acknowledge_ping(message, now_ms)
         if isinstance(message, Ack):
             return self._handle_ack(message, now_ms)
         if isinstance(message, PingRequest):
@@ -215,16 +215,16 @@
         resumes, and would declare healthy members dead.  All waits are extended by
         the length of the pause, so that unread messages are handled first.
         """
-        last_ms = self._last_tick_ms
+        last_tick_ms = self._last_tick_ms
         self._last_tick_ms = now_ms
-        if last_ms is None:
+        if last_tick_ms is None:
             self._queue.add(self._own, now_ms)
             return
-        if now_ms - last_ms < self._settings.pause_ms:
+        if now_ms - last_tick_ms < self._settings.pause_ms:
             return
-        self._prober.extend_waits(now_ms - last_ms)
-        self._table.extend_waits(now_ms - last_ms)
-        self._sync.extend_waits(now_ms - last_ms)
+        self._prober.extend_waits(now_ms - last_tick_ms)
+        self._table.extend_waits(now_ms - last_tick_ms)
+        self._sync.extend_waits(now_ms - last_tick_ms)
 
     def _apply(
         self,
@@ -257,7 +257,7 @@
         self._own = own._replace(counter=update.counter + 1)
         self._queue.add(self._own, now_ms)
 
-    def _answer_ping(self, ping: Ping, now_ms: int) -> list[Action]:
+    def _acknowledge_ping(self, ping: Ping, now_ms: int) -> list[Action]:
         self._peer_status.record(ping)
         self._apply(ping.updates, 'gossip', now_ms)
         updates = self._updates_for(ping.origin, now_ms)
@@ -311,7 +311,7 @@
         return now_ms + offset_ms if offset_ms is not None else 0
 
     def _announce(self, now_ms: int) -> list[Action]:
-        """Send this instance's state to members of its region and of all others."""
+        """Send this instance's state to some members of each region."""
         targets = self._regions.announcement_targets()
         updates = (self._own,)
         actions: list[Action] = [send_to(t, Gossip(updates)) for t in targets]
--- a/savorychute/membership/prober.py
+++ b/savorychute/membership/prober.py
@@ -66,7 +66,7 @@
         self._relays: dict[int, Relay] = {}
         self._next_probe_ms = 0
         self._state_updates: list[MemberUpdate] = []
-        self._challenges: dict[str, int] = {}
+        self._challenged_ms: dict[str, int] = {}
         self._new_suspicion: MemberUpdate | None = None
 
     def tick(
@@ -92,9 +92,9 @@
         """Return new suspicions, and deaths of suspects that did not refute in time."""
         updates = self._state_updates
         self._state_updates = []
-        limit_ms = now_ms - self._settings.suspicion_ms
+        cutoff_ms = now_ms - self._settings.suspicion_ms
         for record in self._table.in_state(MemberState.SUSPECT):
-            if record.since_ms <= limit_ms:
+            if record.since_ms <= cutoff_ms:
                 updates.append(record.update._replace(state=int(MemberState.DEAD)))
         return updates
 
@@ -114,7 +114,7 @@
     def record_ack(self, instance: str, sequence: int) -> None:
         """Complete the probe with this member and sequence number.
 
-        :param instance: the member that answered.
+        :param instance: the member that acknowledged it.
         :param sequence: the sequence number of the probe.
         """
         probe = self._probe
@@ -206,25 +206,25 @@
         suspicion, so the acknowledgement carries the refutation.
         """
         actions: list[Action] = []
-        challenges = {}
-        limit_ms = now_ms - self._settings.suspicion_ms + self._settings.challenge_ms
+        challenged_ms = {}
+        cutoff_ms = now_ms - self._settings.suspicion_ms + self._settings.challenge_ms
         for record in self._table.in_state(MemberState.SUSPECT):
             update = record.update
             instance = update.address.instance
-            last_ms = self._challenges.get(instance)
-            is_near_expiry = record.since_ms <= limit_ms
-            is_recently_pinged = last_ms is not None and (
-                now_ms - last_ms < self._settings.probe_timeout_ms
+            last_challenge_ms = self._challenged_ms.get(instance)
+            is_near_expiry = record.since_ms <= cutoff_ms
+            is_recently_pinged = last_challenge_ms is not None and (
+                now_ms - last_challenge_ms < self._settings.probe_timeout_ms
             )
             is_new = update == self._new_suspicion
             if is_new:
                 self._new_suspicion = None
             if is_new or (is_near_expiry and not is_recently_pinged):
                 actions.append(self._challenge(update.address, make_ping, now_ms))
-                challenges[instance] = now_ms
-            elif last_ms is not None:
-                challenges[instance] = last_ms
-        self._challenges = challenges
+                challenged_ms[instance] = now_ms
+            elif last_challenge_ms is not None:
+                challenged_ms[instance] = last_challenge_ms
+        self._challenged_ms = challenged_ms
         return actions
 
     def _challenge(
@@ -267,7 +267,7 @@
         return SendPeer(target.instance, target.host, target.peer_port, ping)
 
     def _expire_relays(self, now_ms: int) -> None:
-        limit_ms = now_ms - self._settings.probe_period_ms
-        expired = [s for s, relay in self._relays.items() if relay.sent_ms <= limit_ms]
+        cutoff_ms = now_ms - self._settings.probe_period_ms
+        expired = [s for s, relay in self._relays.items() if relay.sent_ms <= cutoff_ms]
         for sequence in expired:
             del self._relays[sequence]
--- a/savorychute/membership/region_sync.py
+++ b/savorychute/membership/region_sync.py
@@ -120,19 +120,19 @@
         return [self._send(target, digest) for target in targets]
 
     def compare(self, digest: Digest, own: MemberUpdate, now_ms: int) -> list[Action]:
-        """Answer a digest with the summary of one region that differs.
+        """Respond to a digest with the summary of one region that differs.
 
         :param digest: the digest of another member's table.
         :param own: this instance's state.
         """
         self._apply_beats(digest, now_ms)
         differing = self._find_differing(digest, own)
-        settled = [r for r in differing if self._is_settled(r, now_ms)]
-        if not settled and differing and self._rng.randrange(UNSETTLED_ONE_IN) == 0:
-            settled = differing
-        if not settled:
+        candidates = [r for r in differing if self._is_settled(r, now_ms)]
+        if not candidates and differing and self._rng.randrange(UNSETTLED_ONE_IN) == 0:
+            candidates = differing
+        if not candidates:
             return []
-        region = self._rng.choice(settled)
+        region = self._rng.choice(candidates)
         summary = RegionSummary(own, region, self._stamps_of(region, own))
         return [self._send(digest.origin.address, summary)]
 
@@ -142,13 +142,13 @@
         :param summary: the other side's records of a region.
         :param own: this instance's state.
         """
-        theirs = {stamp.instance: stamp for stamp in summary.stamps}
-        missing = self._find_missing(theirs.values())
+        their_stamps = {stamp.instance: stamp for stamp in summary.stamps}
+        missing = self._find_missing(their_stamps.values())
         newer = [
             update
             for update in self._updates_of(summary.region, own)
-            if update.address.instance not in theirs
-            or theirs[update.address.instance].precedence < update.precedence
+            if update.address.instance not in their_stamps
+            or their_stamps[update.address.instance].precedence < update.precedence
         ]
         target = summary.origin.address
         actions: list[Action] = []
@@ -200,10 +200,10 @@
         return tuple(digests)
 
     def _find_differing(self, digest: Digest, own: MemberUpdate) -> list[str]:
-        theirs = {entry.region: entry.hash for entry in digest.regions}
-        ours = {entry.region: entry.hash for entry in self._digest_regions(own)}
-        regions = sorted({*theirs, *ours})
-        return [r for r in regions if theirs.get(r, 0) != ours.get(r, 0)]
+        their_hashes = {entry.region: entry.hash for entry in digest.regions}
+        own_hashes = {entry.region: entry.hash for entry in self._digest_regions(own)}
+        regions = sorted({*their_hashes, *own_hashes})
+        return [r for r in regions if their_hashes.get(r, 0) != own_hashes.get(r, 0)]
 
     def _apply_beats(self, digest: Digest, now_ms: int) -> None:
         for entry in digest.regions:
@@ -247,9 +247,9 @@
         return tuple(missing)
 
     def _find_unreachable(self, now_ms: int) -> None:
-        limit_ms = now_ms - self._settings.region_silence_ms
+        cutoff_ms = now_ms - self._settings.region_silence_ms
         self._unreachable = frozenset(
             region
             for region, contact_ms in self._last_contact_ms.items()
-            if contact_ms <= limit_ms and region != self._address.region
+            if contact_ms <= cutoff_ms and region != self._address.region
         )
--- a/savorychute/membership/relayed_ack.py
+++ b/savorychute/membership/relayed_ack.py
@@ -10,7 +10,7 @@
 
 @peer_message(13)
 class RelayedAck(NamedTuple):
-    """Report that *target* answered; ``sequence`` is the requester's number."""
+    """Report an acknowledgement of *target*, with the requester's sequence number."""
 
     sequence: int
     target: MemberUpdate
--- a/savorychute/membership/settings.py
+++ b/savorychute/membership/settings.py
@@ -9,7 +9,7 @@
     """Periods, limits and fan-outs.
 
     ``probe_period_ms`` is the time between two probes, ``probe_timeout_ms``
-    the wait for a direct answer before others are asked to probe.
+    the wait for a direct acknowledgement before others are asked to probe.
     ``suspicion_ms`` is the time to refute a suspicion; in the last
     ``challenge_ms`` of it each member pings the suspect itself.  ``pause_ms`` is
     the gap between two ticks from which the instance assumes that it was paused.
--- a/savorychute/membership/tier_shortage.py
+++ b/savorychute/membership/tier_shortage.py
@@ -6,7 +6,7 @@
 
 
 class TierShortage(NamedTuple):
-    """The number of a tier's recent requests that lack of capacity left unserved."""
+    """The number of a tier's recent requests not served for lack of capacity."""
 
     service: str
     tier: int
--- a/savorychute/membership/told_limit.py
+++ b/savorychute/membership/told_limit.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-# Reports that an endpoint no longer limits its calls.
+# The rate that is reported if an endpoint no longer limits its calls.
 NO_LIMIT = -1.0
 
 
--- a/savorychute/membership/update_queue.py
+++ b/savorychute/membership/update_queue.py
@@ -69,10 +69,12 @@
             return ()
         self._refill(now_ms)
         count = min(self._settings.updates_per_message, int(self._tokens))
-        limit = ceil(self._settings.spread_factor * log2(members + 2))
-        self._drop_finished(limit, now_ms)
-        order = sorted(self._queued.items(), key=lambda item: item[1].transmissions)
-        batch = order[:count]
+        max_transmissions = ceil(self._settings.spread_factor * log2(members + 2))
+        self._drop_finished(max_transmissions, now_ms)
+        sorted_updates = sorted(
+            self._queued.items(), key=lambda item: item[1].transmissions
+        )
+        batch = sorted_updates[:count]
         for instance, queued in batch:
             self._queued[instance] = queued._replace(
                 transmissions=queued.transmissions + 1
@@ -80,13 +82,13 @@
         self._tokens -= len(batch)
         return tuple(queued.update for _, queued in batch)
 
-    def _drop_finished(self, limit: int, now_ms: int) -> None:
+    def _drop_finished(self, max_transmissions: int, now_ms: int) -> None:
         """Drop updates that were sent often enough or are covered by digests."""
         oldest_ms = now_ms - self._settings.max_update_age_ms
         finished = [
             instance
             for instance, queued in self._queued.items()
-            if queued.transmissions >= limit or queued.since_ms < oldest_ms
+            if queued.transmissions >= max_transmissions or queued.since_ms < oldest_ms
         ]
         for instance in finished:
             del self._queued[instance]
--- a/tests/test_membership/test_membership_faults.py
+++ b/tests/test_membership/test_membership_faults.py
@@ -89,10 +89,10 @@
     assert not member.view().is_alive('entry-0004')
 
 
-def test_restarted_instance_replaces_its_earlier_run(start_mesh):
+def test_restarted_instance_replaces_its_earlier_incarnation(start_mesh):
     """An instance crashes and restarts at once at another address.
 
-    A late update of the earlier run must not override the new run.
+    A late update of the earlier incarnation must not override the new one.
     """
     mesh = start_mesh(6)
     earlier = mesh.addresses['entry-0004']
--- a/tests/test_membership/test_membership_wire.py
+++ b/tests/test_membership/test_membership_wire.py
@@ -15,15 +15,15 @@
     load_peer_messages()
     keys = PeerKeys(PeerKey(1, b'a secret of 32 bytes for a test.'))
     mesh = start_mesh(9, regions=3)
-    seen = set()
+    seen_types = set()
 
     def check(sender, target, message):
-        data = encode_message(sender, 1, message, keys, target, 1)
-        assert decode_message(data, keys, target).message == message
-        seen.add(type(message).__name__)
+        encoded = encode_message(sender, 1, message, keys, target, 1)
+        assert decode_message(encoded, keys, target).message == message
+        seen_types.add(type(message).__name__)
 
     mesh.on_send = check
     mesh.leave('entry-0001')
     mesh.stop('entry-0002')
     mesh.run(20_000)
-    assert {'Ping', 'Ack', 'PingRequest', 'Gossip', 'Digest'} <= seen
+    assert {'Ping', 'Ack', 'PingRequest', 'Gossip', 'Digest'} <= seen_types
--- a/tests/test_membership/test_rendezvous.py
+++ b/tests/test_membership/test_rendezvous.py
@@ -85,6 +85,8 @@
         answer_discovery('organisation-1', view, settings, Random(seed), 3, loads)
         for seed in range(400)
     ]
-    named = sum(home in {a.instance for a in each.addresses} for each in answers)
-    assert 60 <= named <= 160
-    assert all(len(each.addresses) == 3 for each in answers)
+    named_count = sum(
+        home in {a.instance for a in answer.addresses} for answer in answers
+    )
+    assert 60 <= named_count <= 160
+    assert all(len(answer.addresses) == 3 for answer in answers)
