--- a/savorychute/membership/discovery.py
+++ b/savorychute/membership/discovery.py
@@ -66,7 +66,7 @@
     """Return the first members, skipping some whose load is far above the mean.
 
     An instance with a load of L times the mean is skipped with probability
-    1 - 1/L, which brings it back to the mean once all answers are renewed.  A
+    1 - 1/L, which brings it back to the mean once all responses are renewed.  A
     hard threshold would make all callers leave at once and return at once.
     """
     chosen: list[MemberAddress] = []
--- a/savorychute/membership/discovery_answer.py
+++ b/savorychute/membership/discovery_answer.py
@@ -1,4 +1,4 @@
-"""The answer to a discovery request."""
+"""The response to a discovery request."""
 
 from __future__ import annotations
 
--- a/savorychute/membership/discovery_settings.py
+++ b/savorychute/membership/discovery_settings.py
@@ -1,4 +1,4 @@
-"""Settings of discovery answers."""
+"""Settings of discovery."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class DiscoverySettings(NamedTuple):
-    """The number of instances per organisation and the lifetime of an answer.
+    """The number of instances per organisation and the lifetime of a response.
 
-    At least ``min_seats`` instances are in the region of the answering instance,
+    At least ``min_seats`` instances are in the region of the responding instance,
     ``far_seats`` in other regions.  Instances above ``busy_ratio`` times the mean
-    load are skipped with some probability.  The lifetime of an answer is drawn
+    load are skipped with some probability.  The lifetime of a response is drawn
     uniformly between ``min_lifetime_ms`` and ``max_lifetime_ms``, so that callers
     that asked at the same time do not all ask again at the same time.
     """
