--- a/savorychute/leases/lease_manager.py
+++ b/savorychute/leases/lease_manager.py
@@ -45,7 +45,7 @@
 
 
 class LeaseManager:
-    """Claims, renews and releases leases for one run of one instance.
+    """Claims, renews and releases leases for one incarnation of an instance.
 
     Safety depends on durations only, never on synchronised clocks.  The holder
     counts from before it sent the claim and stops ``stop_margin_ms`` early; a
@@ -68,8 +68,8 @@
         self._settings = settings
         self._rng = rng
         self._budget = budget or LogBudget(LogBudgetSettings())
-        # A restarted instance counts as another holder: it must wait until the lease
-        # of its earlier run ends, because orders of that run may still be in flight.
+        # A restarted instance counts as another holder: it must wait until the lease of
+        # its earlier incarnation ends, because its orders may still be in flight.
         self.holder = f'{instance}.{rng.getrandbits(HOLDER_BITS):012x}'
         self._table = LeaseTable()
         self._wanted: dict[str, None] = {}
--- a/savorychute/leases/lease_record.py
+++ b/savorychute/leases/lease_record.py
@@ -16,10 +16,10 @@
 class LeaseRecord(TypedDict):
     """A claim to a lease, or its release by the holder.
 
-    ``holder`` identifies one run of an instance.  ``seen_offset`` is the last offset
-    that it had read; a claim is accepted only if no other claim was accepted after
-    it.  ``fencing`` is the offset of the holder's first claim in a renewal, and -1
-    in a first claim.
+    ``holder`` identifies one incarnation of an instance.  ``seen_offset`` is the last
+    offset that it had read; a claim is accepted only if no other claim was accepted
+    after it.  ``fencing`` is the offset of the holder's first claim in a renewal, and
+    -1 in a first claim.
     """
 
     kind: str
--- a/savorychute/leases/order_handler.py
+++ b/savorychute/leases/order_handler.py
@@ -129,15 +129,15 @@
             self._observed_since_ms = None
         elif self._observed_since_ms is None:
             self._observed_since_ms = now_ms
-        late = [
+        overdue = [
             order
             for order in self._sent_orders.values()
             if now_ms - order.sent_ms >= self._settings.order_timeout_ms
         ]
-        for order in late:
+        for order in overdue:
             del self._sent_orders[order.request.order_id]
             self._record_completion(order, False, now_ms)
-        return [self._finish(order, 'unknown') for order in late]
+        return [self._finish(order, 'unknown') for order in overdue]
 
     def _send(
         self, request: OrderRequest, late: bool, now_ms: int
--- a/tests/test_leases/test_lease_faults.py
+++ b/tests/test_leases/test_lease_faults.py
@@ -69,18 +69,18 @@
         self.max_delay_ms = 50
         self.now_ms = 0
         self.events = []
-        self.count = 0
+        self.event_count = 0
         self.highest_fencing = -1
         self.accepted_fencing = []
         self.holders = set()
 
     def schedule(self, delay_ms, call):
         """Schedule a call after a delay."""
-        self.count += 1
-        heapq.heappush(self.events, (self.now_ms + delay_ms, self.count, call))
+        self.event_count += 1
+        heapq.heappush(self.events, (self.now_ms + delay_ms, self.event_count, call))
 
     def run(self, until_ms):
-        """Run events until a true time."""
+        """Run events until a time of the simulation."""
         while self.events and self.events[0][0] <= until_ms:
             self.now_ms, _, call = heapq.heappop(self.events)
             call()
@@ -88,15 +88,17 @@
         self.now_ms = until_ms
 
     def check(self):
-        """Check for at most one holder.
+        """Check that there is at most one holder.
 
         Paused instances count, because they act on their state when they resume.
         """
         holders = [
-            each for each in self.candidates if each.fencing(self.now_ms) is not None
+            candidate
+            for candidate in self.candidates
+            if candidate.fencing(self.now_ms) is not None
         ]
-        assert len(holders) <= 1, [each.name for each in holders]
-        self.holders.update(each.name for each in holders)
+        assert len(holders) <= 1, [candidate.name for candidate in holders]
+        self.holders.update(candidate.name for candidate in holders)
 
     def expire(self):
         """Drop log records that are older than the retention time."""
@@ -107,11 +109,11 @@
 
     def restart(self, number):
         """Restart an instance under the same name."""
-        old = self.candidates[number]
-        self.count += 1
-        fresh = Candidate(old.name, old.rate, 1_000 + self.count)
-        self.candidates[number] = fresh
-        self.start(fresh)
+        previous = self.candidates[number]
+        self.event_count += 1
+        restarted = Candidate(previous.name, previous.rate, 1_000 + self.event_count)
+        self.candidates[number] = restarted
+        self.start(restarted)
 
     def start(self, candidate):
         """Start the ticks of an instance."""
@@ -163,7 +165,8 @@
             if self.rng.random() < self.loss_share:
                 finished = AppendFinished(action.append_id, action.stream, 'unknown')
             self.respond(
-                candidate, lambda now: candidate.manager.append_finished(finished, now)
+                candidate,
+                lambda clock_ms: candidate.manager.append_finished(finished, clock_ms),
             )
 
         self.schedule(self.rng.randrange(1, self.max_delay_ms), arrive)
@@ -173,7 +176,8 @@
         read = self.log.read(action)
         if self.rng.random() >= self.loss_share:
             self.respond(
-                candidate, lambda now: candidate.manager.records_read(read, now)
+                candidate,
+                lambda clock_ms: candidate.manager.records_read(read, clock_ms),
             )
 
     def order(self, candidate, action):
@@ -185,7 +189,8 @@
             outcome = 'done'
         finished = OrderFinished(action.order_id, 'e', outcome)
         self.respond(
-            candidate, lambda now: candidate.handler.order_finished(finished, now)
+            candidate,
+            lambda clock_ms: candidate.handler.order_finished(finished, clock_ms),
         )
 
 
--- a/tests/test_leases/test_order_handler.py
+++ b/tests/test_leases/test_order_handler.py
@@ -63,10 +63,10 @@
 
 
 def test_late_old_order_is_detected_counted_and_corrected(candidates, handler):
-    """An earlier holder's 'unload' reaches the engine after our 'load'.
+    """An earlier holder's 'unload' reaches the engine after this holder's 'load'.
 
     The engine does not check fencing numbers, so it unloads the model.  The next
-    report lacks the model that our order loaded.
+    report lacks the model that this holder loaded.
     """
     (order,) = handler.request_order(make_request(), candidates.now_ms)
     now_ms = candidates.now_ms
