--- a/savorychute/endpoints/chat_documents.py
+++ b/savorychute/endpoints/chat_documents.py
@@ -1,4 +1,4 @@
-"""The fields of OpenAI-style documents that the router reads."""
+"""The fields of OpenAI-style documents that an instance reads."""
 
 from __future__ import annotations
 
--- a/savorychute/endpoints/document_reader.py
+++ b/savorychute/endpoints/document_reader.py
@@ -32,7 +32,7 @@
 class DocumentReader:
     """Buffers the document until it is complete, up to ``MAX_ANSWER_BYTES``.
 
-    If the document breaks off, the caller has received nothing of it, so an
+    If the document is truncated, the caller has received nothing of it, so an
     idempotent request can be retried at another endpoint.
 
     :param start: the attempt.
--- a/savorychute/endpoints/openai_engine.py
+++ b/savorychute/endpoints/openai_engine.py
@@ -63,7 +63,7 @@
         """Return the request for a chat completion, or for resuming its stream.
 
         :param start: the attempt.
-        :param passed_headers: not used, because the router writes the body itself.
+        :param passed_headers: not used, because the instance writes the body itself.
         """
         headers = [
             JSON_HEADER,
@@ -186,7 +186,7 @@
 
 
 def _write_body(start: StartAttempt) -> bytes:
-    """Return the caller's document with the fields that the router sets."""
+    """Return the caller's document with the fields that the instance sets."""
     fields = _body_decoder.decode(start.body)
     fields['model'] = msgspec.Raw(msgspec.json.encode(start.model))
     fields['priority'] = msgspec.Raw(msgspec.json.encode(start.priority))
--- a/tests/test_endpoints/test_openai_engine.py
+++ b/tests/test_endpoints/test_openai_engine.py
@@ -71,7 +71,7 @@
     return failed._replace(**changes)
 
 
-def test_attempt_carries_ids_and_sets_the_routers_fields():
+def test_attempt_carries_ids_and_the_fields_that_the_instance_sets():
     request = ENGINE.build_attempt(START, ())
 
     assert json.loads(request.body) == {
@@ -166,7 +166,7 @@
     assert read([], resumed, 404, {}) == [fault('the engine has no such stream')]
 
 
-def test_4xx_of_the_engine_is_an_answer():
+def test_4xx_of_the_engine_is_passed_on_as_a_response():
     inputs = read([b'{"error"', b':1}'], status=400, headers={'content-type': 'x'})
 
     assert inputs == [
