--- a/savorychute/requests/claim_index.py
+++ b/savorychute/requests/claim_index.py
@@ -18,8 +18,8 @@
     A key is decidable only if all records that can hold a claim of it were
     read.  Let D be ``clock_margin_ms``, the maximum difference between any two
     wall clocks.  An instance claims a key only if the key's timestamp is at
-    most D ahead of its own clock, so a claim that was in the log when some
-    clock showed F is of a key whose timestamp is at most F + 2 D.  Keys with a
+    most D ahead of its own clock, so the key of a claim that was in the log
+    when some clock showed F has a timestamp of at most F + 2 D.  Keys with a
     later timestamp are covered.
 
     :param settings: limits.
@@ -75,7 +75,7 @@
         return self._entries.get(sequence)
 
     def remove_expired(self, wall_ms: int) -> None:
-        """Remove expired and surplus entries and store up to which timestamp.
+        """Remove expired and surplus entries; record which timestamps are removed.
 
         :param wall_ms: the current wall-clock time.
         """
--- a/savorychute/requests/continuation_handle.py
+++ b/savorychute/requests/continuation_handle.py
@@ -31,8 +31,8 @@
 
     def encode(self) -> str:
         """Return the handle as text that is valid in an HTTP header."""
-        data = base64.urlsafe_b64encode(msgspec.json.encode(self))
-        return HANDLE_PREFIX + data.decode().rstrip('=')
+        encoded = base64.urlsafe_b64encode(msgspec.json.encode(self))
+        return HANDLE_PREFIX + encoded.decode().rstrip('=')
 
 
 def decode_handle(text: str) -> ContinuationHandle:
@@ -43,11 +43,11 @@
     """
     if not text.startswith(HANDLE_PREFIX) or len(text) > MAX_HANDLE_CHARACTERS:
         raise _malformed(text)
-    data = text.removeprefix(HANDLE_PREFIX)
-    padding = '=' * (-len(data) % 4)
+    encoded = text.removeprefix(HANDLE_PREFIX)
+    padding = '=' * (-len(encoded) % 4)
     try:
-        raw = base64.urlsafe_b64decode(data + padding)
-        handle = msgspec.json.decode(raw, type=ContinuationHandle)
+        document = base64.urlsafe_b64decode(encoded + padding)
+        handle = msgspec.json.decode(document, type=ContinuationHandle)
     except (binascii.Error, ValueError):
         raise _malformed(text) from None
     if handle.offset < 0:
--- a/savorychute/requests/key_issuer.py
+++ b/savorychute/requests/key_issuer.py
@@ -44,7 +44,7 @@
         self._secret = rng.randbytes(SECRET_BYTES)
         self._sequence = 0
         self._recent_witnesses: dict[str, MemberAddress] = {}
-        self._unresponsive: dict[str, int] = {}
+        self._unresponsive_until_ms: dict[str, int] = {}
 
     def issue(self, view: MemberView, now_ms: int) -> str:
         """Return a new key, with a witness if there is another instance.
@@ -93,15 +93,15 @@
         :param witness: an instance that did not respond to a start notice.
         :param now_ms: the current time.
         """
-        self._unresponsive[witness] = now_ms + UNRESPONSIVE_MS
+        self._unresponsive_until_ms[witness] = now_ms + UNRESPONSIVE_MS
 
     def _choose_witness(self, view: MemberView, now_ms: int) -> MemberAddress | None:
-        self._unresponsive = {
+        self._unresponsive_until_ms = {
             witness: until_ms
-            for witness, until_ms in self._unresponsive.items()
+            for witness, until_ms in self._unresponsive_until_ms.items()
             if until_ms > now_ms
         }
-        witnesses = choose_witnesses(self._address, view, self._unresponsive)
+        witnesses = choose_witnesses(self._address, view, self._unresponsive_until_ms)
         if not witnesses:
             return None
         witness = witnesses[self._sequence % len(witnesses)]
--- a/savorychute/requests/key_manager.py
+++ b/savorychute/requests/key_manager.py
@@ -217,7 +217,7 @@
                 self._witness_handler.handle_start_notice(sender, message, now_ms)
             )
         if isinstance(message, StartAnswer):
-            return self._start_handler.handle_answer(sender, message, now_ms)
+            return self._start_handler.handle_response(sender, message, now_ms)
         if isinstance(message, KeyQuestion):
             return list(self._witness_handler.handle_question(sender, message, now_ms))
         if isinstance(message, KeyVerdict):
--- a/savorychute/requests/key_phase.py
+++ b/savorychute/requests/key_phase.py
@@ -9,7 +9,7 @@
     """The phases of a key; the last three are final.
 
     ``HELD``: granted to a request, start not announced.  ``ANNOUNCED``: a start
-    notice was sent to the witness, which has not answered.  ``STARTED``: the
+    notice was sent to the witness, which has not responded.  ``STARTED``: the
     request may be sent to an endpoint.
     """
 
--- a/savorychute/requests/key_settings.py
+++ b/savorychute/requests/key_settings.py
@@ -12,7 +12,7 @@
     ``witness_margin_ms``: how much longer than that a witness retains a record,
     because clocks run at different rates.  ``notice_interval_ms`` and
     ``notice_timeout_ms``: when a start notice is resent, and when the issuer
-    stops waiting for the answer.  ``question_*``: the same for a query to a
+    stops waiting for the response.  ``question_*``: the same for a query to a
     witness.  ``clock_margin_ms``: the maximum difference between the wall clocks
     of callers and instances.  ``claim_lifetime_ms``: older caller-supplied keys
     are refused.  ``claim_wait_ms``: how long a request waits for its claim.
@@ -20,8 +20,8 @@
     callers to them.  ``claim_follow_ms``: how long an instance that is not a
     home reads the claims stream after a caller retried a key there.
     ``log_retry_ms``: how long claims are refused immediately after the log
-    failed.  ``redirect_memory_ms``: a key retried within this time was not
-    answered by the instance to which it was redirected.  ``outcome_*``: limits
+    failed.  ``redirect_memory_ms``: a key retried within this time got no
+    response from the instance to which it was redirected.  ``outcome_*``: limits
     of stored responses.
     """
 
--- a/savorychute/requests/pending_start.py
+++ b/savorychute/requests/pending_start.py
@@ -1,4 +1,4 @@
-"""A start notice that waits for the answer of the witness."""
+"""A start notice that waits for the response of the witness."""
 
 from __future__ import annotations
 
--- a/savorychute/requests/request_transitions.py
+++ b/savorychute/requests/request_transitions.py
@@ -4,17 +4,22 @@
 
 from savorychute.requests.request_state import RequestState
 
-_ENDS = frozenset({RequestState.NOT_RUN, RequestState.UNKNOWN, RequestState.CANCELLED})
+_UNSUCCESSFUL_ENDS = frozenset(
+    {RequestState.NOT_RUN, RequestState.UNKNOWN, RequestState.CANCELLED}
+)
 
 TRANSITIONS: dict[RequestState, frozenset[RequestState]] = {
-    RequestState.RECEIVED: _ENDS
+    RequestState.RECEIVED: _UNSUCCESSFUL_ENDS
     | {RequestState.QUEUED, RequestState.GRANTED, RequestState.ANSWERED},
-    RequestState.QUEUED: _ENDS | {RequestState.GRANTED},
-    RequestState.GRANTED: _ENDS | {RequestState.QUEUED, RequestState.SENDING},
-    RequestState.SENDING: _ENDS | {RequestState.QUEUED, RequestState.RUNNING},
-    RequestState.RUNNING: _ENDS
+    RequestState.QUEUED: _UNSUCCESSFUL_ENDS | {RequestState.GRANTED},
+    RequestState.GRANTED: _UNSUCCESSFUL_ENDS
+    | {RequestState.QUEUED, RequestState.SENDING},
+    RequestState.SENDING: _UNSUCCESSFUL_ENDS
+    | {RequestState.QUEUED, RequestState.RUNNING},
+    RequestState.RUNNING: _UNSUCCESSFUL_ENDS
     | {RequestState.QUEUED, RequestState.STREAMING, RequestState.ANSWERED},
-    RequestState.STREAMING: _ENDS | {RequestState.QUEUED, RequestState.ANSWERED},
+    RequestState.STREAMING: _UNSUCCESSFUL_ENDS
+    | {RequestState.QUEUED, RequestState.ANSWERED},
     RequestState.ANSWERED: frozenset(),
     RequestState.NOT_RUN: frozenset(),
     RequestState.UNKNOWN: frozenset(),
@@ -26,4 +31,6 @@
 ``STREAMING`` to ``QUEUED``: the request waits to resume its stream.
 """
 
-FINAL_STATES = frozenset(state for state, after in TRANSITIONS.items() if not after)
+FINAL_STATES = frozenset(
+    state for state, next_states in TRANSITIONS.items() if not next_states
+)
--- a/savorychute/requests/settled_key_queue.py
+++ b/savorychute/requests/settled_key_queue.py
@@ -40,9 +40,9 @@
         if not key.witness:
             return
         keys_by_witness = self._ran if ran else self._not_run
-        texts = keys_by_witness.setdefault(key.witness, [])
-        if len(texts) < MAX_KEYS_PER_MESSAGE:
-            texts.append(key.text)
+        key_texts = keys_by_witness.setdefault(key.witness, [])
+        if len(key_texts) < MAX_KEYS_PER_MESSAGE:
+            key_texts.append(key.text)
 
     def tick(self, view: MemberView, now_ms: int) -> list[Action]:
         """Send the queued reports if the interval has passed.
--- a/savorychute/requests/start_answer.py
+++ b/savorychute/requests/start_answer.py
@@ -1,4 +1,4 @@
-"""The answer of a witness to a start notice."""
+"""The response of a witness to a start notice."""
 
 from __future__ import annotations
 
--- a/savorychute/requests/start_handler.py
+++ b/savorychute/requests/start_handler.py
@@ -27,10 +27,10 @@
 
 
 class StartHandler:
-    """Announces each start to the witness of the key and waits for its answer.
+    """Announces each start to the witness of the key and waits for its response.
 
     No byte may be sent to an endpoint before the witness has accepted the start.
-    If the witness does not answer in time, the key is settled as not run.  This is
+    If the witness does not respond in time, the key is settled as not run.  This is
     correct whatever the witness recorded, because only this incarnation runs the
     key.
 
@@ -64,7 +64,7 @@
         view: MemberView,
         now_ms: int,
     ) -> list[KeyOutcome | Action]:
-        """Announce a start, or permit it if no answer of a witness is required.
+        """Announce a start, or permit it if no response of a witness is required.
 
         :param record: the record of the key.
         :param endpoint: the endpoint to which the request will be sent.
@@ -100,22 +100,22 @@
         )
         return [_make_send(witness, notice)]
 
-    def handle_answer(
-        self, sender: str, answer: StartAnswer, now_ms: int
+    def handle_response(
+        self, sender: str, response: StartAnswer, now_ms: int
     ) -> list[KeyOutcome | Action]:
-        """Handle the answer of a witness.
+        """Handle the response of a witness.
 
-        :param sender: the instance that sent the answer.
-        :param answer: the answer.
+        :param sender: the instance that sent the response.
+        :param response: the response.
         :param now_ms: the current time.
         """
-        pending = self._find_pending(answer.key, sender)
+        pending = self._find_pending(response.key, sender)
         if pending is None:
             return []
         record = pending.record
         del self._pending[record.runner]
-        if not answer.accepted:
-            return self._deny(record, ResultCode.KEY_REVOKED, answer.reason, now_ms)
+        if not response.accepted:
+            return self._deny(record, ResultCode.KEY_REVOKED, response.reason, now_ms)
         if self._is_too_old(record, now_ms):
             # Before this notice arrived, the witness may have revoked the key,
             # reported 'not run' to a caller and forgotten the revocation; it
--- a/savorychute/requests/start_notice.py
+++ b/savorychute/requests/start_notice.py
@@ -11,7 +11,7 @@
 class StartNotice(NamedTuple):
     """The issuer is about to start *key* at *endpoint* as *stream_id*.
 
-    ``host`` and ``peer_port`` are the address for the answer, because the issuer
+    ``host`` and ``peer_port`` are the address for the response, because the issuer
     may not be among the members that the witness knows.
     """
 
--- a/savorychute/requests/witness_choice.py
+++ b/savorychute/requests/witness_choice.py
@@ -31,16 +31,16 @@
 
     :param own: the address of the issuer.
     :param view: the current members.
-    :param unresponsive: members that did not answer a notice recently.
+    :param unresponsive: members that did not respond to a notice recently.
     """
     others = [member for member in view.alive if _can_witness(own, member, view)]
 
-    def rank(member: MemberAddress) -> tuple[bool, bool, bool, int]:
+    def sort_key(member: MemberAddress) -> tuple[bool, bool, bool, int]:
         name = member.instance
         is_unreliable = name in view.suspects or name in unresponsive
-        return (is_unreliable, *_rank(own, member))
+        return (is_unreliable, *_rank_by_location(own, member))
 
-    others.sort(key=rank)
+    others.sort(key=sort_key)
     return tuple(others[:WITNESS_COUNT])
 
 
@@ -50,7 +50,9 @@
     return member.instance not in view.leaving
 
 
-def _rank(own: MemberAddress, member: MemberAddress) -> tuple[bool, bool, int]:
+def _rank_by_location(
+    own: MemberAddress, member: MemberAddress
+) -> tuple[bool, bool, int]:
     same_domain = member.failure_domain == own.failure_domain
     other_region = member.region != own.region
     weight = xxhash.xxh64_intdigest(f'{own.instance}/{member.instance}'.encode())
--- a/savorychute/requests/witness_handler.py
+++ b/savorychute/requests/witness_handler.py
@@ -18,7 +18,7 @@
 
 
 class WitnessHandler:
-    """Answers issuers and queries from the records of the witness.
+    """Responds to start notices and queries from the records of the witness.
 
     :param table: the records of this instance.
     """
@@ -29,7 +29,7 @@
     def handle_start_notice(
         self, sender: str, notice: StartNotice, now_ms: int
     ) -> list[Action]:
-        """Record or refuse a start and answer the issuer.
+        """Record or refuse a start and respond to the issuer.
 
         :param sender: the instance that sent the notice; ignored unless it issued
             the key.
@@ -39,8 +39,8 @@
         key = _parse_issued(notice.key)
         if key is None or key.instance != sender:
             return []
-        answer = self._table.record_start(key, notice, now_ms)
-        return [SendPeer(sender, notice.host, notice.peer_port, answer)]
+        response = self._table.record_start(key, notice, now_ms)
+        return [SendPeer(sender, notice.host, notice.peer_port, response)]
 
     def handle_question(
         self, sender: str, question: KeyQuestion, now_ms: int
--- a/savorychute/requests/witness_table.py
+++ b/savorychute/requests/witness_table.py
@@ -46,7 +46,7 @@
     def record_start(
         self, key: RequestKey, notice: StartNotice, now_ms: int
     ) -> StartAnswer:
-        """Record a start unless the key is revoked, and return the answer.
+        """Record a start unless the key is revoked, and return the response.
 
         :param key: the parsed key of the notice.
         :param notice: the notice.
@@ -111,10 +111,10 @@
 
         :param now_ms: the current time.
         """
-        limit_ms = self._settings.key_lifetime_ms + self._settings.witness_margin_ms
+        max_age_ms = self._settings.key_lifetime_ms + self._settings.witness_margin_ms
         expired = []
         for text, record in self._records.items():
-            if now_ms - record.recorded_ms <= limit_ms:
+            if now_ms - record.recorded_ms <= max_age_ms:
                 break
             expired.append(text)
         for text in expired:
--- a/tests/test_requests/claim_fixture.py
+++ b/tests/test_requests/claim_fixture.py
@@ -18,15 +18,15 @@
 
 
 def make_uuid7(time_ms: int, rng: random.Random) -> str:
-    low = rng.getrandbits(TIME_SHIFT_BITS)
-    value = (time_ms << TIME_SHIFT_BITS) | low
+    random_bits = rng.getrandbits(TIME_SHIFT_BITS)
+    value = (time_ms << TIME_SHIFT_BITS) | random_bits
     value = value & ~(0xF << 76) | (0x7 << 76)
     value = value & ~(0x3 << 62) | (0x2 << 62)
     return str(uuid.UUID(int=value))
 
 
 class ClaimFixture(KeyFixture):
-    """Appends stay in ``appends`` until completed; reads are answered at once."""
+    """Appends stay in ``appends`` until completed; reads get a response at once."""
 
     ignores_log = False
 
@@ -57,11 +57,11 @@
         return outcomes
 
     def read(self, instance, request):
-        """Answer a read from the log."""
-        first = max(self.expired, request.from_offset)
-        records = tuple(self.records[first : first + request.max_records])
-        end = len(self.records)
-        response = RecordsRead('claims', True, records, self.expired, end)
+        """Respond to a read from the log."""
+        first_offset = max(self.expired, request.from_offset)
+        records = tuple(self.records[first_offset : first_offset + request.max_records])
+        end_offset = len(self.records)
+        response = RecordsRead('claims', True, records, self.expired, end_offset)
         if not self.is_readable:
             response = RecordsRead('claims', False)
         results = self.managers[instance].records_read(response, self.now_ms)
--- a/tests/test_requests/key_explorer.py
+++ b/tests/test_requests/key_explorer.py
@@ -34,23 +34,23 @@
     transitions = 0
     end_states = 0
     while stack:
-        data, trace = stack.pop()
-        state = pickle.loads(data)
+        frozen_state, trace = stack.pop()
+        state = pickle.loads(frozen_state)
         events = state.events()
         if not any(event.kind not in FAULTS for event in events):
             end_states += 1
             verify(state.check_end, trace)
         for event in events:
             transitions += 1
-            successor = pickle.loads(data)
+            successor = pickle.loads(frozen_state)
             next_trace = (*trace, event)
             verify(partial(successor.apply, event), next_trace)
             verify(successor.check, next_trace)
-            frozen = freeze(successor)
-            digest = hashlib.blake2b(frozen, digest_size=12).digest()
+            frozen_successor = freeze(successor)
+            digest = hashlib.blake2b(frozen_successor, digest_size=12).digest()
             if digest not in visited:
                 visited.add(digest)
-                stack.append((frozen, next_trace))
+                stack.append((frozen_successor, next_trace))
     return Exploration(len(visited), transitions, end_states)
 
 
--- a/tests/test_requests/measure_keys.py
+++ b/tests/test_requests/measure_keys.py
@@ -70,10 +70,10 @@
     def summary(self):
         """Return the measured figures as text."""
         waits = sorted(self.waits_ms)
-        median = waits[len(waits) // 2]
-        p99 = waits[int(len(waits) * 0.99)]
+        median_ms = waits[len(waits) // 2]
+        p99_ms = waits[int(len(waits) * 0.99)]
         per_s = 1_000 / (DURATION_MS - 2 * MARGIN_MS)
-        text = f'{len(waits)} run, wait p50 {median} ms p99 {p99} ms'
+        text = f'{len(waits)} run, wait p50 {median_ms} ms p99 {p99_ms} ms'
         text += f', {self.appends * per_s:.1f} appends/s, {self.reads * per_s:.1f}'
         text += f' reads/s, {len(self.refusals_ms)} refused'
         if self.refusals_ms:
@@ -104,9 +104,9 @@
         return self.manager.append_finished(finished, now_ms)
 
     def respond_to_read(self, now_ms, request):
-        """Answer a read from the log."""
-        first = request.from_offset
-        records = tuple(self.records[first : first + request.max_records])
+        """Respond to a read from the log."""
+        first_offset = request.from_offset
+        records = tuple(self.records[first_offset : first_offset + request.max_records])
         read = RecordsRead('claims', True, records, 0, len(self.records))
         if self.is_in_outage(now_ms):
             read = RecordsRead('claims', False)
--- a/tests/test_requests/test_claims.py
+++ b/tests/test_requests/test_claims.py
@@ -52,7 +52,7 @@
 
 
 def test_claim_with_lost_append_reply_is_found_in_the_log(claims):
-    """A request was refused although its claim is in the log.
+    """Guards against refusing a request although its claim is in the log.
 
     The append completes, but its reply is lost.
     """
@@ -75,9 +75,9 @@
 
 
 def test_refusal_during_log_outage_is_unknown(claims):
-    """'Not run' was reported although the request ran.
+    """Guards against reporting 'not run' although the request ran.
 
-    The request ran at one instance and the response was lost; the caller retries at
+    The request runs at one instance and the response is lost; the caller retries at
     another instance, which cannot reach the log.
     """
     key = claims.make_key()
@@ -91,7 +91,7 @@
 
 
 def test_late_claim_is_used_by_the_retry(claims):
-    """A caller retried without end while the log was slow.
+    """Guards against a caller that retries without end while the log is slow.
 
     Each attempt times out before its claim reaches the log.
     """
@@ -144,9 +144,9 @@
 
 
 def test_new_instance_does_not_claim_a_key_older_than_it_has_read():
-    """A request ran twice.
+    """Guards against running a request twice.
 
-    It ran under a claim; its caller retries at an instance that started later and
+    It runs under a claim; its caller retries at an instance that started later and
     reads only the end of the log, which does not contain the claim.
     """
     claims = ClaimFixture(KeySettings(claim_backlog_records=2))
@@ -168,7 +168,7 @@
 
 
 def test_claim_in_flight_over_a_gap_is_not_decided(claims):
-    """A request ran twice.
+    """Guards against running a request twice.
 
     An instance claims a key and is paused; an earlier claim of another instance
     expires before the first instance reads it, which then treats its own claim as the
@@ -186,9 +186,9 @@
 
 
 def test_restarted_owner_does_not_run_its_old_claim(claims):
-    """A request ran twice.
+    """Guards against running a request twice.
 
-    Its instance ran it, crashed and restarted without any state; the claim in the log
+    Its instance runs it, crashes and restarts without any state; the claim in the log
     has the name of the instance.
     """
     key = claims.make_key()
@@ -202,10 +202,10 @@
 
 
 def test_claim_evicted_from_a_full_index_is_not_claimed_again():
-    """A request ran twice.
+    """Guards against running a request twice.
 
-    After many further claims an instance evicted the claim from its index, treated the
-    key as new and claimed it.
+    After many further claims an instance evicts the claim from its index.  It must not
+    treat the key as new and claim it.
     """
     claims = ClaimFixture(KeySettings(max_claims=2))
     key = claims.make_key()
@@ -224,10 +224,10 @@
 
 
 def test_older_claims_are_dated_only_by_what_a_writer_had_read():
-    """A request ran twice.
+    """Guards against running a request twice.
 
-    A new instance assumes that the claims before its first offset are older than they
-    are, and claims a key that is among them.
+    A new instance must not assume that the claims before its first offset are older
+    than they are, and claim a key that is among them.
     """
     settings = KeySettings()
     margin_ms = 2 * settings.clock_margin_ms
@@ -241,7 +241,7 @@
 
 
 def test_key_is_redirected_to_its_home_and_claimed_locally_on_a_retry():
-    """A caller was redirected in a loop.
+    """Guards against redirecting a caller in a loop.
 
     It cannot reach the home of its key, and all other instances redirect it there.
     """
--- a/tests/test_requests/test_issued_keys.py
+++ b/tests/test_requests/test_issued_keys.py
@@ -64,7 +64,7 @@
 
 
 def test_paused_issuer_cannot_start_a_revoked_key(cluster):
-    """'Not run' was reported, but the request ran later.
+    """Guards against reporting 'not run' for a request that runs later.
 
     The issuer grants the key and is paused; the caller retries at another instance,
     which considers the issuer failed; then the issuer resumes and sends the request.
@@ -96,7 +96,7 @@
 
 
 def test_restarted_witness_neither_records_nor_revokes(cluster):
-    """'Not run' was reported, but the request ran later.
+    """Guards against reporting 'not run' for a request that runs later.
 
     The witness revokes a key, reports that and restarts without any state; then the
     start notice of the issuer arrives.
@@ -114,9 +114,9 @@
 
 
 def test_unresponsive_witness_settles_the_key_as_not_run(cluster):
-    """'Not run' was reported, but a late answer of the witness started the request.
+    """Guards against a late response of the witness that starts a request.
 
-    The answer of the witness arrives after the timeout of the issuer.
+    It arrives after the timeout of the issuer, which has reported 'not run'.
     """
     key = cluster.issue('a')
     cluster.admit('a', 'r1', key)
@@ -158,7 +158,7 @@
 
 
 def test_response_that_was_not_stored_is_not_replayed(cluster):
-    """A caller received an empty response as if it were the complete one.
+    """Guards against an empty response that looks like the complete one.
 
     The response was streamed or too large to be stored; the caller lost it and retries
     with the same key.
@@ -174,10 +174,10 @@
 
 @pytest.mark.parametrize('is_started', [False, True])
 def test_key_of_a_suspected_issuer_is_queried_at_its_witness(cluster, is_started):
-    """A caller hung until its deadline.
+    """Guards against a caller that hangs until its deadline.
 
-    The issuer is paused and suspected; another instance redirected the caller to it
-    although it had not started the key.
+    The issuer is paused and suspected; another instance must not redirect the caller
+    to it unless it has started the key.
     """
     key = cluster.issue('a')
     cluster.admit('a', 'r1', key)
--- a/tests/test_requests/test_request_lifecycle.py
+++ b/tests/test_requests/test_request_lifecycle.py
@@ -96,7 +96,7 @@
 
 
 def test_request_with_undecided_key_cannot_become_not_run():
-    """'Not run' was reported while the request ran.
+    """Guards against reporting 'not run' while the request runs.
 
     The caller retries with the same key; the retry waits for the outcome of the first
     request until its own deadline passes.
--- a/tests/test_requests/test_witness_choice.py
+++ b/tests/test_requests/test_witness_choice.py
@@ -18,12 +18,12 @@
 
 
 def list_witnesses(issuer, view, now_ms, keys=8):
-    texts = [issuer.issue(view, now_ms) for _ in range(keys)]
-    return {parse_key(text).witness for text in texts}
+    key_texts = [issuer.issue(view, now_ms) for _ in range(keys)]
+    return {parse_key(text).witness for text in key_texts}
 
 
 def test_unresponsive_member_is_not_chosen_as_witness_for_a_while():
-    """Callers were refused for seconds after an instance crashed.
+    """Guards against refusing callers for seconds after an instance has crashed.
 
     A witness crashes; until the crash is detected it is alive in the view, and each
     key that names it ends in WITNESS_UNAVAILABLE.
@@ -46,11 +46,11 @@
     suspect = min(chosen)
 
     view = MemberView(members[0], members, suspects=frozenset({suspect}))
-    only = MemberView(
+    view_of_suspect = MemberView(
         members[0],
         tuple(m for m in members if m.instance in ('i0', suspect)),
         suspects=frozenset({suspect}),
     )
 
     assert suspect not in list_witnesses(issuer, view, 0)
-    assert list_witnesses(issuer, only, 0) == {suspect}
+    assert list_witnesses(issuer, view_of_suspect, 0) == {suspect}
