--- a/savorychute/instance/attempt_handler.py
+++ b/savorychute/instance/attempt_handler.py
@@ -54,7 +54,7 @@
 
     def record_sent(self, sent: AttemptSent, now_ms: int) -> list[Action]:
         """Record that the request may have run from now on."""
-        tracked = self._parts.request_table.find_attempt(sent.attempt_id)
+        tracked = self._parts.request_table.find_by_attempt(sent.attempt_id)
         if tracked is None or tracked.attempt is None:
             return [CancelAttempt(sent.attempt_id)]
         tracked.attempt.sent = True
@@ -69,7 +69,7 @@
 
     def record_started(self, started: AttemptStarted, now_ms: int) -> list[Action]:
         """Record the head of the endpoint's response."""
-        tracked = self._parts.request_table.find_attempt(started.attempt_id)
+        tracked = self._parts.request_table.find_by_attempt(started.attempt_id)
         if tracked is None or tracked.attempt is None:
             return []
         attempt = tracked.attempt
@@ -92,12 +92,12 @@
     def record_paused(self, paused: AttemptPaused, now_ms: int) -> list[Action]:
         """Record that an attempt makes no progress because its caller is slow.
 
-        If the pause counted as an unresponsive endpoint, one slow caller would
-        have its attempt abandoned and retried elsewhere, and one endpoint after
+        If the pause counted as an unresponsive endpoint, the attempt of one slow
+        caller would be abandoned and retried elsewhere, and one endpoint after
         another would be ejected.  The pause counts neither towards the timeout
         nor as a gap between tokens.
         """
-        tracked = self._parts.request_table.find_attempt(paused.attempt_id)
+        tracked = self._parts.request_table.find_by_attempt(paused.attempt_id)
         if tracked is None or tracked.attempt is None:
             return []
         tracked.attempt.last_progress_ms = now_ms
@@ -112,7 +112,7 @@
         transit.  Passing on the tokens after it would corrupt the response, so
         the attempt is abandoned instead.
         """
-        tracked = self._parts.request_table.find_attempt(chunk.attempt_id)
+        tracked = self._parts.request_table.find_by_attempt(chunk.attempt_id)
         if tracked is None or tracked.attempt is None:
             return []
         attempt = tracked.attempt
@@ -137,7 +137,7 @@
 
     def end(self, ended: AttemptEnded, now_ms: int) -> list[Action]:
         """Finish a response that its endpoint reports as complete."""
-        tracked = self._parts.request_table.find_attempt(ended.attempt_id)
+        tracked = self._parts.request_table.find_by_attempt(ended.attempt_id)
         if tracked is None or tracked.attempt is None:
             return []
         attempt = tracked.attempt
@@ -153,7 +153,7 @@
 
     def fail(self, failed: AttemptFailed, now_ms: int) -> list[Action]:
         """Handle a failed attempt: retry the request or end it."""
-        tracked = self._parts.request_table.find_attempt(failed.attempt_id)
+        tracked = self._parts.request_table.find_by_attempt(failed.attempt_id)
         if tracked is None or tracked.attempt is None:
             return []
         parts = self._parts
--- a/savorychute/instance/directory.py
+++ b/savorychute/instance/directory.py
@@ -45,7 +45,7 @@
         self.limits: dict[str, OrganisationLimits] = {}
         self.endpoints: dict[str, EndpointDocument] = {}
         self._entries: dict[str, OrganisationEntry] = {}
-        self._organisations: dict[str, str] = {}
+        self._organisation_by_token_hash: dict[str, str] = {}
         self._leaving_names: frozenset[str] = frozenset()
 
     def apply(self, changes: Iterable[AppliedChange]) -> None:
@@ -69,12 +69,14 @@
         constant time, so the time taken reveals nothing about valid tokens.
         """
         token_hash = hash_token(token)
-        organisation = self._organisations.get(token_hash)
+        organisation = self._organisation_by_token_hash.get(token_hash)
         if organisation is None:
             return None
         entry = self._entries[organisation]
-        known = entry.token_hashes
-        if not any(hmac.compare_digest(token_hash, other) for other in known):
+        valid_hashes = entry.token_hashes
+        if not any(
+            hmac.compare_digest(token_hash, valid_hash) for valid_hash in valid_hashes
+        ):
             return None
         return entry.limits
 
@@ -111,7 +113,7 @@
             services=frozenset(document.get('services', ())),
         )
         for token_hash in hashes:
-            self._organisations[token_hash] = organisation
+            self._organisation_by_token_hash[token_hash] = organisation
 
     def _remove_organisation(self, organisation: str) -> None:
         self.limits.pop(organisation, None)
@@ -119,8 +121,8 @@
         if entry is None:
             return
         for token_hash in entry.token_hashes:
-            if self._organisations.get(token_hash) == organisation:
-                del self._organisations[token_hash]
+            if self._organisation_by_token_hash.get(token_hash) == organisation:
+                del self._organisation_by_token_hash[token_hash]
 
     def _set_endpoint(self, change: AppliedChange) -> None:
         endpoint = change.item.removeprefix(ENDPOINT_PREFIX)
--- a/savorychute/instance/dispatcher.py
+++ b/savorychute/instance/dispatcher.py
@@ -34,7 +34,7 @@
     """Matches queued requests with free endpoints by tier, fairness and deadline.
 
     :param parts: the parts of the instance.
-    :param key_handler: asks for the start of requests that have a key.
+    :param key_handler: requests permission to start requests that have a key.
     :param queue_handler: requeues requests that are preempted.
     """
 
--- a/savorychute/instance/intake.py
+++ b/savorychute/instance/intake.py
@@ -90,7 +90,7 @@
 
         Only the instance that issued a key decides it.  If that instance
         redirected the request while it shuts down, the others would redirect it
-        back, and the caller would be sent in a circle.  So the issuer settles
+        back, and the caller would be redirected in a loop.  So the issuer settles
         the key as not run, which only it can do, and the caller gets a new key
         from another instance.
         """
@@ -205,7 +205,7 @@
         )
 
     def _find_retry_after_ms(self, code: ResultCode) -> int:
-        """Return after what time the same request may succeed, or 0 if never."""
+        """Return the delay after which the same request may succeed, or 0 if never."""
         is_transient = code.number >= FIRST_TRANSIENT_NUMBER
         return self._parts.settings.refusal_retry_ms if is_transient else 0
 
--- a/savorychute/instance/key_handler.py
+++ b/savorychute/instance/key_handler.py
@@ -93,7 +93,7 @@
 
     def _handle_outcome(self, outcome: object, now_ms: int) -> list[Action]:
         if isinstance(outcome, KeyGranted):
-            return self._handle_may_run(outcome, now_ms)
+            return self._handle_granted(outcome, now_ms)
         if isinstance(outcome, StartPermitted):
             return self._run_next_step(outcome.request_id, now_ms, self._send)
         if isinstance(outcome, KeyRedirect):
@@ -104,7 +104,7 @@
             return self._refuse(outcome, now_ms)
         return [outcome]  # type: ignore[list-item]
 
-    def _handle_may_run(self, outcome: KeyGranted, now_ms: int) -> list[Action]:
+    def _handle_granted(self, outcome: KeyGranted, now_ms: int) -> list[Action]:
         tracked = self._parts.request_table.find(outcome.request_id)
         if tracked is None:
             # The caller left while the witness or the log was queried.
--- a/savorychute/instance/operator_command_handler.py
+++ b/savorychute/instance/operator_command_handler.py
@@ -68,11 +68,11 @@
         through the time taken how many operators come before it.
         """
         token_hash = hash_token(token)
-        found = None
-        for operator, known in self._parts.settings.operator_token_hashes.items():
-            if hmac.compare_digest(token_hash, known):
-                found = operator
-        return found
+        matching_operator = None
+        for operator, known_hash in self._parts.settings.operator_token_hashes.items():
+            if hmac.compare_digest(token_hash, known_hash):
+                matching_operator = operator
+        return matching_operator
 
     def _refuse(
         self, command: OperatorCommand, code: ResultCode, message: str
--- a/savorychute/instance/request_table.py
+++ b/savorychute/instance/request_table.py
@@ -32,7 +32,7 @@
         """Return the request with this id, if it is in progress."""
         return self._requests.get(request_id)
 
-    def find_attempt(self, attempt_id: str) -> TrackedRequest | None:
+    def find_by_attempt(self, attempt_id: str) -> TrackedRequest | None:
         """Return the request whose current attempt has this id.
 
         An earlier attempt of the same request is not found, so a late chunk
--- a/savorychute/instance/responder.py
+++ b/savorychute/instance/responder.py
@@ -21,8 +21,8 @@
 
     HandleKeyOutcomes = Callable[[Sequence[object], int], list[Action]]
 
-#: A response that is not streamed is buffered up to this size, so that it can
-#: still be fetched from another endpoint if its endpoint fails half-way.
+#: A response that is not streamed is buffered up to this size, so that the
+#: request can be retried at another endpoint if its endpoint fails half-way.
 MAX_BUFFERED_BYTES = 256 * 1024
 STREAM_CONTENT_TYPE = 'text/event-stream'
 
--- a/tests/test_instance/test_core.py
+++ b/tests/test_instance/test_core.py
@@ -79,7 +79,7 @@
 
     actions = solo.deliver(make_failure(starts[0].attempt_id, crashed=True))
 
-    refusal = next(each for each in actions if isinstance(each, RefuseRequest))
+    refusal = next(action for action in actions if isinstance(action, RefuseRequest))
     assert refusal.code is ResultCode.OUTCOME_UNKNOWN
     assert refusal.ran is Ran.UNKNOWN
     solo.run_for(5_000)
--- a/tests/test_instance/test_draining.py
+++ b/tests/test_instance/test_draining.py
@@ -39,12 +39,12 @@
     solo.deliver(make_failure(start.attempt_id, refused=True, leaving=True))
     solo.deliver(make_request('r2'))
 
-    later = {each.endpoint for each in solo.find(StartAttempt)[1:]}
-    assert later == {'engine-1', 'engine-2'} - {start.endpoint}
+    later_endpoints = {attempt.endpoint for attempt in solo.find(StartAttempt)[1:]}
+    assert later_endpoints == {'engine-1', 'engine-2'} - {start.endpoint}
 
 
 def test_shutdown_finishes_running_requests_and_refuses_new_ones(solo):
-    """Guards against a graceful restart that cuts off running responses.
+    """Guards against a graceful shutdown that truncates running responses.
 
     The instance is shut down while a stream runs.  Then a new request arrives,
     and after that the end of the stream.
@@ -61,7 +61,7 @@
 
 
 def test_issuer_settles_its_own_keys_during_shutdown(solo):
-    """Guards against redirecting a caller in a circle.
+    """Guards against redirecting a caller in a loop.
 
     The caller has a key of an instance that starts to shut down before the
     request arrives.  Other instances would redirect the request back, because
@@ -72,7 +72,7 @@
 
     actions = solo.deliver(make_request('r1', 'booking')._replace(key=key))
 
-    refusal = next(each for each in actions if isinstance(each, RefuseRequest))
+    refusal = next(action for action in actions if isinstance(action, RefuseRequest))
     assert refusal.code is ResultCode.SHUTTING_DOWN
     assert refusal.ran is Ran.NOT_RUN
     assert not refusal.location
--- a/tests/test_instance/test_operator_command_handler.py
+++ b/tests/test_instance/test_operator_command_handler.py
@@ -18,10 +18,10 @@
     start = start_stream(solo)
     solo.deliver(AttemptEnded(start.attempt_id, 2))
 
-    code, end_actions = call_operator(solo, 'explain', request_id='r1')
+    code, explanation = call_operator(solo, 'explain', request_id='r1')
 
     assert code is ResultCode.OK
-    states = [event['after'] for event in end_actions['history']]
+    states = [event['after'] for event in explanation['history']]
     assert states == [
         'queued',
         'granted',
--- a/tests/test_instance/test_placement_handler.py
+++ b/tests/test_instance/test_placement_handler.py
@@ -40,7 +40,7 @@
         )
         for spec in small.engines
     )
-    contracts = tuple({**each, 'models': MODELS} for each in small.contracts)
+    contracts = tuple({**contract, 'models': MODELS} for contract in small.contracts)
     return small._replace(engines=engines, contracts=contracts)
 
 
--- a/tests/test_instance/test_response_streams.py
+++ b/tests/test_instance/test_response_streams.py
@@ -59,7 +59,7 @@
 
 
 def test_response_continues_elsewhere_after_an_engine_crash(solo):
-    """Guards against a response that breaks off or starts from the beginning.
+    """Guards against a response that is truncated or starts from the beginning.
 
     The engine crashes after two tokens.  Another engine must continue from the
     text that the caller already has and must not generate any of it again.
--- a/tests/test_instance/test_stream_resumption.py
+++ b/tests/test_instance/test_stream_resumption.py
@@ -60,7 +60,9 @@
     solo.deliver(make_failure(resumed.attempt_id, crashed=True))
     solo.run_for(3_000)
     return next(
-        each for each in reversed(solo.find(StartAttempt)) if each.request_id == 'r2'
+        attempt
+        for attempt in reversed(solo.find(StartAttempt))
+        if attempt.request_id == 'r2'
     )
 
 
