--- a/savorychute/instance/placement_handler.py
+++ b/savorychute/instance/placement_handler.py
@@ -131,7 +131,7 @@
             if engine.endpoint in stale_engines or engine.as_of_ms < oldest_ms
         ]
         due_engines.sort(
-            key=lambda engine: (engine.endpoint not in stale_engines, engine.as_of_ms)
+            key=lambda due: (due.endpoint not in stale_engines, due.as_of_ms)
         )
         endpoint_table = self._parts.endpoint_table
         return [
