--- a/savorychute/recovery/ejector.py
+++ b/savorychute/recovery/ejector.py
@@ -46,7 +46,7 @@
         self._members_by_pool = {}
         for name, document in documents.items():
             pools = list_pools(document)
-            self._records[name].pools = pools
+            self._records[name].groups = pools
             for pool in pools:
                 self._members_by_pool.setdefault(pool, set()).add(name)
 
@@ -176,7 +176,7 @@
         share = self._settings.ejected_share_max
         if crashed:
             share = self._settings.crashed_share_max
-        for pool in record.pools:
+        for pool in record.groups:
             pool_members = self._members_by_pool[pool]
             ejected = 0
             for name in pool_members:
--- a/savorychute/recovery/health_record.py
+++ b/savorychute/recovery/health_record.py
@@ -10,7 +10,7 @@
 class HealthRecord:
     """The health of one endpoint and its outcomes since the last readmission.
 
-    :param pools: the pools that it serves; ejection is limited in each of them.
+    :param groups: the pools that it serves; ejection is limited in each of them.
     """
 
     __slots__ = (
@@ -18,16 +18,16 @@
         'crashed',
         'ejections',
         'failures',
+        'groups',
         'health',
         'outcomes',
-        'pools',
         'since_ms',
         'suspect_until_ms',
         'until_ms',
     )
 
-    def __init__(self, pools: tuple[str, ...]) -> None:
-        self.pools = pools
+    def __init__(self, groups: tuple[str, ...]) -> None:
+        self.groups = groups
         self.health = EndpointHealth.HEALTHY
         self.since_ms = 0
         self.until_ms = 0
