--- a/savorychute/gateway/dispatch/__init__.py
+++ b/savorychute/gateway/dispatch/__init__.py
@@ -1,7 +1,9 @@
 """Choice of an endpoint for each request, and refusal of requests under overload.
 
 The modules here do no I/O and depend on no host; they work on request requirements,
-load reports and times.
+load reports and times.  Comments refer to the requests of one installation as examples:
+chats and diagnoses are streams of the most urgent tier, notes belong to the next tier,
+and summaries, which have the longest prompts, to the last.
 
 * ``endpoint_search`` searches the endpoints for one request;
 * ``chooser`` and its variants determine which endpoint is best;
--- a/savorychute/gateway/dispatch/endpoint_search.py
+++ b/savorychute/gateway/dispatch/endpoint_search.py
@@ -81,12 +81,12 @@
         granted, self._granted = self._granted, None
         if granted is not None and granted.record in self._usable(now_ms):
             return self._select(granted)
-        found = self._find(now_ms, can_have_run, on_ready)
-        if isinstance(found, NotFound):
-            return found
-        if not self._limited.is_limited(found.record):
-            return self._select(found)
-        return self._request_permit(found, now_ms, can_have_run, on_ready)
+        choice = self._find(now_ms, can_have_run, on_ready)
+        if isinstance(choice, NotFound):
+            return choice
+        if not self._limited.is_limited(choice.record):
+            return self._select(choice)
+        return self._request_permit(choice, now_ms, can_have_run, on_ready)
 
     def _find(
         self, now_ms: int, can_have_run: bool, on_ready: Callable[[], None]
--- a/savorychute/gateway/dispatch/engine_model.py
+++ b/savorychute/gateway/dispatch/engine_model.py
@@ -9,13 +9,13 @@
 if TYPE_CHECKING:
     from savorychute.gateway.dispatch.request_requirements import RequestRequirements
 
-# Values assumed before engines were observed.  They describe engines that prefill 61
-# tokens per ms and emit events of three tokens.
+# Values assumed before engines were observed.  They describe engines that prefill about
+# 60 tokens per ms and emit events of three tokens.
 PRIOR_TOKENS_PER_MS = 60.0
 # Gap between two events of a stream while the engine prefills continuously, and while
 # it prefills nothing.
-PRIOR_READING_GAP_MS = 300.0
-PRIOR_REST_GAP_MS = 30.0
+PRIOR_PREFILL_GAP_MS = 300.0
+PRIOR_DECODE_GAP_MS = 30.0
 PRIOR_EVENTS_PER_ANSWER = 20.0
 PRIOR_FRESH_TOKENS = 4_000.0
 # Time besides the prefill: network and start-up of a request at the engine.
@@ -36,8 +36,8 @@
 RATE_QUANTILE = 0.75
 # For the same reason the shorter overheads show its value.
 OVERHEAD_QUANTILE = 0.3
-READING_GAP_QUANTILE = 0.9
-REST_GAP_QUANTILE = 0.5
+PREFILL_GAP_QUANTILE = 0.9
+DECODE_GAP_QUANTILE = 0.5
 # A stream misses its gap target beside long prompts if the target is below this
 # multiple of the gap during prefill.
 ISOLATION_FACTOR = 1.2
@@ -47,7 +47,12 @@
 
 
 class EngineEstimates(NamedTuple):
-    """Learned estimates, for logs and metrics."""
+    """Learned estimates, for logs and metrics.
+
+    ``reading_gap_ms`` is the gap between two events of a stream during prefill,
+    ``rest_gap_ms`` the gap while nothing is prefilled.  ``events`` is the number of events
+    of an answer.
+    """
 
     tokens_per_ms: float
     reading_gap_ms: float
@@ -74,11 +79,11 @@
         self._overhead = RunningQuantile(
             PRIOR_OVERHEAD_MS, OVERHEAD_QUANTILE, QUANTILE_STEP
         )
-        self._reading_gap = RunningQuantile(
-            PRIOR_READING_GAP_MS, READING_GAP_QUANTILE, QUANTILE_STEP
+        self._prefill_gap = RunningQuantile(
+            PRIOR_PREFILL_GAP_MS, PREFILL_GAP_QUANTILE, QUANTILE_STEP
         )
-        self._rest_gap = RunningQuantile(
-            PRIOR_REST_GAP_MS, REST_GAP_QUANTILE, QUANTILE_STEP
+        self._decode_gap = RunningQuantile(
+            PRIOR_DECODE_GAP_MS, DECODE_GAP_QUANTILE, QUANTILE_STEP
         )
         self._events = RunningMean(PRIOR_EVENTS_PER_ANSWER, MEAN_WEIGHT)
         self._fresh_tokens = RunningMean(PRIOR_FRESH_TOKENS, FRESH_WEIGHT)
@@ -119,9 +124,9 @@
         if gap_ms < MIN_GAP_MS:
             return
         if prefilling:
-            self._reading_gap.add(gap_ms)
+            self._prefill_gap.add(gap_ms)
         elif isolated:
-            self._rest_gap.add(gap_ms)
+            self._decode_gap.add(gap_ms)
 
     def record_answer(self, events: int, isolated: bool) -> None:
         """Record a complete answer.
@@ -138,8 +143,8 @@
         """Return all estimates."""
         return EngineEstimates(
             self._prefill_rate.value,
-            self._reading_gap.value,
-            self._rest_gap.value,
+            self._prefill_gap.value,
+            self._decode_gap.value,
             self._fresh_tokens.value,
             self._overhead.value,
             self._events.value,
@@ -160,7 +165,7 @@
         :param requirements: requirements of the request.
         """
         max_gap_ms = min(
-            ISOLATION_FACTOR * self._reading_gap.value, MAX_ISOLATION_GAP_MS
+            ISOLATION_FACTOR * self._prefill_gap.value, MAX_ISOLATION_GAP_MS
         )
         return 0 < requirements.gap_target_ms <= max_gap_ms
 
@@ -169,8 +174,8 @@
 
         :param prefill_share: share of time that the engine prefills, from 0 to 1.
         """
-        rate = prefill_share / self._reading_gap.value
-        rate += (1.0 - prefill_share) / self._rest_gap.value
+        rate = prefill_share / self._prefill_gap.value
+        rate += (1.0 - prefill_share) / self._decode_gap.value
         return 1.0 / rate
 
     def answer_ms(self, prefill_share: float) -> float:
--- a/savorychute/gateway/dispatch/engine_partition.py
+++ b/savorychute/gateway/dispatch/engine_partition.py
@@ -61,10 +61,10 @@
     def _target_size(self, records: Sequence[EndpointRecord]) -> float | None:
         """Return the number of dedicated engines, or None for no partitions.
 
-        The share of the demand is too small while other requests burst: with summaries
-        at 2.4 times their usual rate, streams that needed three engines got one, and
-        the rest had gaps beside summaries on other engines.  The number of running
-        streams shows how many engines they need.
+        The share of the demand alone gives too few engines while the rate of other
+        requests is high: with summaries at 2.4 times their usual rate, streams that
+        needed three engines got one, and the rest had long gaps beside summaries on
+        other engines.  The number of running streams shows how many engines they need.
         """
         engines = len(records)
         if engines < 2:
--- a/savorychute/gateway/dispatch/overload_guard.py
+++ b/savorychute/gateway/dispatch/overload_guard.py
@@ -31,7 +31,7 @@
 MAX_RETRY_DELAY_MS = 2_000
 # Random addition to the delay where the time until an endpoint is available is known.
 RETRY_SPREAD_MS = 400
-# Share of the recently refused share that applies regardless of the last report.  It
+# Weight of the recently refused share, which counts whatever the last report shows.  It
 # applies to the least urgent tier only: a higher tier is refused only where all of the
 # lower one is.
 RECENT_WEIGHT = 0.7
@@ -104,13 +104,13 @@
     ) -> float:
         rank = min(requirements.rank, len(LIMITS) - 1)
         self._targets_ms[rank] = max(requirements.target_ms, self._targets_ms[rank])
-        last_tier = [
+        last_tier_shares = [
             self._refused_share(choice, requirements, each) for each in LAST_TIER_RANKS
         ]
-        recent = self._recent.update(last_tier, now_ms)
+        recent_shares = self._recent.update(last_tier_shares, now_ms)
         if rank in LAST_TIER_RANKS:
             index = LAST_TIER_RANKS.index(rank)
-            return max(last_tier[index], RECENT_WEIGHT * recent[index])
+            return max(last_tier_shares[index], RECENT_WEIGHT * recent_shares[index])
         return self._refused_share(choice, requirements, rank)
 
     def _refused_share(
--- a/savorychute/gateway/dispatch/partition_demand.py
+++ b/savorychute/gateway/dispatch/partition_demand.py
@@ -19,13 +19,13 @@
 GENERATION_MS_PER_TOKEN = 6.4
 # Share of shared prompts that is not found in the cache: one in three tokens of a day.
 CACHE_MISS_SHARE = 0.35
-# Averaging time of an instance's own demand, such that partitions follow a burst of one
+# Decay time of an instance's own demand, such that partitions follow a burst of one
 # kind of request.  With a shorter time they would change with each group of callers.
-OWN_MEMORY_S = 8.0
-# Averaging time of demand reported by other instances.  Four reports arrive per second,
+OWN_DECAY_S = 8.0
+# Decay time of demand reported by other instances.  Four reports arrive per second,
 # regardless of the number of instances, so that about twelve times as many requests are
 # counted as this instance receives.
-REPORTED_MEMORY_S = 3.0
+REPORTED_DECAY_S = 3.0
 # Engine time assumed before requests were observed, with typical shares.  Without it,
 # the first prompts would get homes that they lose as soon as the engines are
 # partitioned, and would be prefilled twice.
@@ -43,19 +43,19 @@
 class _DecayingDemand:
     """Decaying sums of engine time, and the number of additions that they consist of.
 
-    :param memory_s: time after which an addition has decayed.
+    :param decay_s: time after which an addition has decayed.
     :param sensitive_ms: initial engine time of latency-sensitive streams.
     :param other_ms: initial engine time of other requests.
     """
 
     def __init__(
-        self, memory_s: float, sensitive_ms: float = 0.0, other_ms: float = 0.0
+        self, decay_s: float, sensitive_ms: float = 0.0, other_ms: float = 0.0
     ) -> None:
         self.sensitive_ms = sensitive_ms
         self.other_ms = other_ms
         self.streams = 0.0
         self.additions = 0.0
-        self._memory_s = memory_s
+        self._decay_s = decay_s
         self._updated_ms: int | None = None
 
     @property
@@ -73,7 +73,7 @@
         self.additions += 1.0
 
     def decay(self, now_ms: int) -> None:
-        remaining = remaining_share(self._updated_ms, now_ms, self._memory_s)
+        remaining = remaining_share(self._updated_ms, now_ms, self._decay_s)
         self.sensitive_ms *= remaining
         self.other_ms *= remaining
         self.streams *= remaining
@@ -90,10 +90,8 @@
     """
 
     def __init__(self) -> None:
-        self._own = _DecayingDemand(
-            OWN_MEMORY_S, INITIAL_SENSITIVE_MS, INITIAL_OTHER_MS
-        )
-        self._reported = _DecayingDemand(REPORTED_MEMORY_S)
+        self._own = _DecayingDemand(OWN_DECAY_S, INITIAL_SENSITIVE_MS, INITIAL_OTHER_MS)
+        self._reported = _DecayingDemand(REPORTED_DECAY_S)
         # Average number of running latency-sensitive streams of this instance.
         self._mean_streams = 0.0
         self._observed_ms: int | None = None
--- a/savorychute/gateway/dispatch/prompt_cache.py
+++ b/savorychute/gateway/dispatch/prompt_cache.py
@@ -30,8 +30,9 @@
     from savorychute.gateway.requests.prompt import Prompt
 
 # A prefill of a cached prompt elsewhere also delays all requests there, and the users
-# price 13,000 tokens that are prefilled again like a whole answer.  So a request leaves
-# its home only if the wait there exceeds the additional prefill this many times.
+# pay as much for 13,000 tokens that are prefilled again as for a whole answer.  So a
+# request leaves its home only if the wait there exceeds the additional prefill this many
+# times.
 RECOMPUTE_WEIGHT = 8.0
 # Cost of each position in the ranking, so that all instances prefer the same substitute
 # when a home is full.
@@ -310,7 +311,7 @@
         elif not substitutes:
             substitutes = list(enumerate(others))
         return [
-            _at_home(home, prompt),
+            _make_home(home, prompt),
             *(
                 self._make_substitute(each, position, prompt)
                 for position, each in substitutes
@@ -320,7 +321,10 @@
     def _make_substitute(
         self, record: EndpointRecord, position: int, prompt: Prompt
     ) -> _Candidate:
-        """Return an engine that has to prefill all, by its position in the ranking."""
+        """Return a candidate that has to prefill the whole prompt.
+
+        Its cost grows with its position in the ranking.
+        """
         model = self._models.for_service(record.entry.service)
         recompute_ms = RECOMPUTE_WEIGHT * model.prefill_ms(prompt.shared_tokens)
         return _Candidate(
@@ -336,6 +340,6 @@
         return self._homes.order(partition, prompt.affinity)
 
 
-def _at_home(record: EndpointRecord, prompt: Prompt) -> _Candidate:
-    """Return the engine that has the shared part of the prompt in its cache."""
+def _make_home(record: EndpointRecord, prompt: Prompt) -> _Candidate:
+    """Return a candidate that has the shared part of the prompt in its cache."""
     return _Candidate(record, prompt.tokens - prompt.shared_tokens, 0.0)
--- a/savorychute/gateway/dispatch/recent_shares.py
+++ b/savorychute/gateway/dispatch/recent_shares.py
@@ -11,7 +11,7 @@
     from collections.abc import Sequence
 
 # Time after which a sample of engine load has decayed, and the weight of a sample.
-MEMORY_S = 2.0
+DECAY_S = 2.0
 SAMPLE_WEIGHT = 0.15
 
 
@@ -32,7 +32,7 @@
         :param shares: shares of the tier's ranks, in their order.
         :param now_ms: the current time.
         """
-        remaining = remaining_share(self._updated_ms, now_ms, MEMORY_S)
+        remaining = remaining_share(self._updated_ms, now_ms, DECAY_S)
         self._updated_ms = now_ms
         self._shares = [
             remaining * recent + SAMPLE_WEIGHT * (share - remaining * recent)
--- a/savorychute/gateway/dispatch/shortages.py
+++ b/savorychute/gateway/dispatch/shortages.py
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# How long an unserved request counts, and how long a report of another instance.  The
-# guarantee between tiers holds for any five seconds.
-UNSERVED_MEMORY_S = 5.0
-REPORTED_MEMORY_S = 3.0
+# Decay times of unserved requests, and of reports of other instances.  The guarantee
+# between tiers holds for any five seconds.
+UNSERVED_DECAY_S = 5.0
+REPORTED_DECAY_S = 3.0
 # The rate of offered requests varies little, so it is averaged over a longer time.
-OFFERED_MEMORY_S = 8.0
+OFFERED_DECAY_S = 8.0
 # The guarantee permits a twelfth of a tier to be unserved while a lower one is served.
 # All lower tiers are shed once half of that is unserved; a few unserved requests,
 # whatever their share, shed none.
@@ -42,10 +42,10 @@
     """
 
     def __init__(self) -> None:
-        self._offered = _make_sums(OFFERED_MEMORY_S)
-        self._unserved = _make_sums(UNSERVED_MEMORY_S)
-        self._reported = _make_sums(REPORTED_MEMORY_S)
-        self._reports = DecayingSum(REPORTED_MEMORY_S)
+        self._offered = _make_sums(OFFERED_DECAY_S)
+        self._unserved = _make_sums(UNSERVED_DECAY_S)
+        self._reported = _make_sums(REPORTED_DECAY_S)
+        self._reports = DecayingSum(REPORTED_DECAY_S)
         self.instances = 1
 
     def record_offered(self, service: str, rank: int, now_ms: int) -> None:
@@ -110,7 +110,7 @@
         # itself.
         weight = self.instances / (1.0 + self._reports.value(now_ms))
         offered = self.instances * self._offered[key].value(now_ms)
-        offered *= UNSERVED_MEMORY_S / OFFERED_MEMORY_S
+        offered *= UNSERVED_DECAY_S / OFFERED_DECAY_S
         ramp = Ramp(
             max(MIN_FIRST_SHED_REQUESTS * max(1.0, weight), FIRST_SHED_SHARE * offered),
             max(MIN_FULL_SHED_REQUESTS * max(1.0, weight), FULL_SHED_SHARE * offered),
@@ -118,5 +118,5 @@
         return ramp.refused_share(weight * unserved)
 
 
-def _make_sums(memory_s: float) -> defaultdict[tuple[str, int], DecayingSum]:
-    return defaultdict(partial(DecayingSum, memory_s))
+def _make_sums(decay_s: float) -> defaultdict[tuple[str, int], DecayingSum]:
+    return defaultdict(partial(DecayingSum, decay_s))
--- a/tests/test_gateway/test_shortages.py
+++ b/tests/test_gateway/test_shortages.py
@@ -10,7 +10,7 @@
 from savorychute.membership.tier_shortage import TierShortage
 
 CHAT, NOTE, SUMMARY = 1, 4, 7
-UNSERVED_MEMORY_MS = 5_000
+UNSERVED_DECAY_MS = 5_000
 SHORT = make_prompt('s', shared=170, own=540, answer=280)
 
 
@@ -58,7 +58,7 @@
 def test_unserved_requests_expire_after_five_seconds():
     shortages = make_shortages(unserved=8)
 
-    assert shed_share(shortages, SUMMARY, START_MS + UNSERVED_MEMORY_MS) == 0.0
+    assert shed_share(shortages, SUMMARY, START_MS + UNSERVED_DECAY_MS) == 0.0
 
 
 def test_shortages_of_other_instances_shed_locally():
