--- a/savorychute/gateway/dispatch/limited_endpoints.py
+++ b/savorychute/gateway/dispatch/limited_endpoints.py
@@ -13,7 +13,7 @@
     from savorychute.gateway.endpoints.endpoint_record import EndpointRecord
     from savorychute.gateway.endpoints.endpoint_run import EndpointRun
     from savorychute.gateway.parts import GatewayParts
-    from savorychute.gateway.permits.permit import Outcome
+    from savorychute.gateway.permits.permit import PermitOutcome
     from savorychute.gateway.requests.admitted_request import AdmittedRequest
     from savorychute.gateway.requests.inbound_request import InboundRequest
 
@@ -116,7 +116,7 @@
         """
         self._permit_requests += 1
 
-        def handle_outcome(outcome: Outcome) -> None:
+        def handle_outcome(outcome: PermitOutcome) -> None:
             on_result(self._record_outcome(choice, outcome))
 
         outcome = self._permits.request(
@@ -125,7 +125,7 @@
         if outcome is not None:
             handle_outcome(outcome)
 
-    def _record_outcome(self, choice: Choice, outcome: Outcome) -> Choice | None:
+    def _record_outcome(self, choice: Choice, outcome: PermitOutcome) -> Choice | None:
         run = choice.record.entry.run
         self._telemetry.permit_decided(
             self._request.attempt_id, run, self._rank, outcome
--- a/savorychute/gateway/endpoint_telemetry.py
+++ b/savorychute/gateway/endpoint_telemetry.py
@@ -16,7 +16,7 @@
         StatementKind,
         UnreadableStatement,
     )
-    from savorychute.gateway.permits.permit import Outcome
+    from savorychute.gateway.permits.permit import PermitOutcome
     from savorychute.gateway.telemetry import GatewayTelemetry
 
 # How many logged unreadable statements are remembered; each response may repeat one.
@@ -109,7 +109,7 @@
         )
 
     def permit_decided(
-        self, request_id: str, run: EndpointRun, rank: int, outcome: Outcome
+        self, request_id: str, run: EndpointRun, rank: int, outcome: PermitOutcome
     ) -> None:
         """Log whether a permit was granted for an endpoint that states a limit."""
         wait_ms = outcome.wait_ms if isinstance(outcome, Denial) else 0
--- a/savorychute/gateway/endpoints/endpoint_health.py
+++ b/savorychute/gateway/endpoints/endpoint_health.py
@@ -20,12 +20,12 @@
     Failures that it reports count towards a decaying failure share.
     """
 
-    __slots__ = ('_block_ms', '_share', '_share_ms', 'blocked_until_ms')
+    __slots__ = ('_block_ms', '_failure_share', '_updated_ms', 'blocked_until_ms')
 
     def __init__(self) -> None:
         self.blocked_until_ms = 0
-        self._share = 0.0
-        self._share_ms = 0
+        self._failure_share = 0.0
+        self._updated_ms = 0
         self._block_ms = MIN_BLOCK_MS
 
     def is_blocked(self, now_ms: int) -> bool:
@@ -37,10 +37,11 @@
 
         :param now_ms: the current time.
         """
-        if not self._share:
+        if not self._failure_share:
             return 0.0
         return float(
-            self._share * 0.5 ** ((now_ms - self._share_ms) / FAILURE_HALF_LIFE_MS)
+            self._failure_share
+            * 0.5 ** ((now_ms - self._updated_ms) / FAILURE_HALF_LIFE_MS)
         )
 
     def record_success(self, now_ms: int) -> None:
@@ -49,19 +50,19 @@
         :param now_ms: the current time.
         """
         self._block_ms = MIN_BLOCK_MS
-        self._move_share(0.0, now_ms)
+        self._update_failure_share(0.0, now_ms)
 
     def record_failure(self, now_ms: int) -> None:
         """Record a response that reports a failure of the request.
 
         :param now_ms: the current time.
         """
-        self._move_share(1.0, now_ms)
+        self._update_failure_share(1.0, now_ms)
 
-    def _move_share(self, outcome: float, now_ms: int) -> None:
+    def _update_failure_share(self, outcome: float, now_ms: int) -> None:
         share = self.failure_share(now_ms)
-        self._share = share + OUTCOME_WEIGHT * (outcome - share)
-        self._share_ms = now_ms
+        self._failure_share = share + OUTCOME_WEIGHT * (outcome - share)
+        self._updated_ms = now_ms
 
     def record_unresponsive(self, now_ms: int) -> None:
         """Record that there was no response, and block the endpoint for a while.
--- a/savorychute/gateway/endpoints/endpoint_roster.py
+++ b/savorychute/gateway/endpoints/endpoint_roster.py
@@ -103,7 +103,7 @@
         if verdict is EntryVerdict.OLD_RUN or entry.run in self._ended:
             return EntryVerdict.OLD_RUN
         if entry.sequence <= self._removed.get(entry.run, -1):
-            # The store went back to a copy that still contains the endpoint.
+            # The store was restored from a copy that still contains the endpoint.
             return EntryVerdict.OLD_RUN
         record = self._records.get(entry.endpoint)
         if record is None:
--- a/savorychute/gateway/endpoints/engine_load.py
+++ b/savorychute/gateway/endpoints/engine_load.py
@@ -39,7 +39,7 @@
 
     Each choice evaluates the loads of many engines, at some for several ranks, so
     values derived from the streams are computed once per report.  A choice among 59
-    engines with 40 streams each takes 120 us, instead of 332 us without this.
+    engines with 40 streams each takes 120 µs, instead of 332 µs without this.
     """
 
     @property
--- a/savorychute/gateway/endpoints/limit_table.py
+++ b/savorychute/gateway/endpoints/limit_table.py
@@ -42,14 +42,14 @@
         self._on_limit = on_limit
         self._limits: dict[EndpointRun, StatedLimit] = {}
 
-    def record_limit(self, run: EndpointRun, per_s: float, now_ms: int) -> None:
+    def record_limit(self, run: EndpointRun, limit_per_s: float, now_ms: int) -> None:
         """Record a limit that an endpoint stated to this instance.
 
         :param run: the run of the endpoint.
-        :param per_s: the calls per second that it accepts.
+        :param limit_per_s: the calls per second that it accepts.
         :param now_ms: the current time.
         """
-        self._set_limit(run, StatedLimit(per_s, now_ms))
+        self._set_limit(run, StatedLimit(limit_per_s, now_ms))
 
     def record_no_limit(self, run: EndpointRun, stated_ms: int) -> None:
         """Record a response without a limit.
--- a/savorychute/gateway/endpoints/load_monitor.py
+++ b/savorychute/gateway/endpoints/load_monitor.py
@@ -16,7 +16,7 @@
     from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
     from savorychute.gateway.endpoints.engine_load import EngineLoad
     from savorychute.gateway.endpoints.statement_table import StatementTable
-    from savorychute.gateway.permits.permit import Outcome
+    from savorychute.gateway.permits.permit import PermitOutcome
     from savorychute.gateway.permits.permit_handler import PermitHandler
     from savorychute.gateway.requests.attempt_port import AttemptPort
 
@@ -49,7 +49,7 @@
         self._statements = statements
         self._permits = permits
         self._clock = clock
-        self._waiting: dict[EndpointRun, list[Callable[[bool], None]]] = {}
+        self._callbacks: dict[EndpointRun, list[Callable[[bool], None]]] = {}
 
     def refresh(
         self, records: Sequence[EndpointRecord], on_done: Callable[[], None]
@@ -86,22 +86,22 @@
         :param rank: rank of the request that needs the result.
         """
         run = record.entry.run
-        waiting = self._waiting.get(run)
-        if waiting is not None:
-            waiting.append(on_result)
+        callbacks = self._callbacks.get(run)
+        if callbacks is not None:
+            callbacks.append(on_result)
             return
-        self._waiting[run] = [on_result]
+        self._callbacks[run] = [on_result]
 
         def handle_load(load: EngineLoad | None) -> None:
             is_alive = load is not None and self._apply_report(record, load)
-            for callback in self._waiting.pop(run, ()):
+            for callback in self._callbacks.pop(run, ()):
                 callback(is_alive)
 
-        def handle_outcome(outcome: Outcome) -> None:
+        def handle_outcome(outcome: PermitOutcome) -> None:
             if isinstance(outcome, Permit):
                 self._attempts.probe(record.entry, handle_load, outcome)
                 return
-            for callback in self._waiting.pop(run, ()):
+            for callback in self._callbacks.pop(run, ()):
                 callback(True)
 
         backoff_ms = self._statements.backoffs.remaining_ms(run, self._clock.now_ms())
--- a/savorychute/gateway/endpoints/statement_table.py
+++ b/savorychute/gateway/endpoints/statement_table.py
@@ -31,7 +31,7 @@
 
 
 class StatementTable:
-    """Updated by each response and each load report, and checked before each call.
+    """Holds what endpoints stated in responses and load reports, for use before each call.
 
     :param listener: is notified of changes.
     """
--- a/savorychute/gateway/permits/permit.py
+++ b/savorychute/gateway/permits/permit.py
@@ -20,4 +20,4 @@
     wait_ms: int
 
 
-Outcome = Permit | Denial
+PermitOutcome = Permit | Denial
--- a/savorychute/gateway/permits/permit_handler.py
+++ b/savorychute/gateway/permits/permit_handler.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from savorychute.actions.send_peer import SendPeer
-from savorychute.gateway.permits.permit import Denial, Outcome, Permit
+from savorychute.gateway.permits.permit import Denial, Permit, PermitOutcome
 from savorychute.gateway.permits.permit_allocator import PermitAllocator
 from savorychute.gateway.permits.permit_answer import PermitAnswer
 from savorychute.gateway.permits.permit_question import PermitQuestion
@@ -43,9 +43,9 @@
     run: EndpointRun
     tier: int
     asked_ms: int
-    attempts: int
+    queries_sent: int
     timer: TimerHandle
-    on_outcome: Callable[[Outcome], None]
+    on_outcome: Callable[[PermitOutcome], None]
 
 
 class PermitHandler:
@@ -88,8 +88,10 @@
         :param run: the run of the endpoint.
         :param now_ms: the current time.
         """
-        per_s = self._limits.limit_per_s(run)
-        return per_s is not None and self._denials.is_scarce(run, per_s, now_ms)
+        limit_per_s = self._limits.limit_per_s(run)
+        return limit_per_s is not None and self._denials.is_scarce(
+            run, limit_per_s, now_ms
+        )
 
     def needs_confirmation(self, run: EndpointRun, now_ms: int) -> bool:
         """Return whether an endpoint's limit has not been stated for a while.
@@ -107,10 +109,10 @@
         :param rank: rank of the request.
         :param now_ms: the current time.
         """
-        per_s = self._limits.limit_per_s(run)
-        if per_s is None:
+        limit_per_s = self._limits.limit_per_s(run)
+        if limit_per_s is None:
             return 0
-        return self._denials.wait_ms(run, tier_of(rank), per_s, now_ms)
+        return self._denials.wait_ms(run, tier_of(rank), limit_per_s, now_ms)
 
     def can_send(self, run: EndpointRun, permit: Permit | None, now_ms: int) -> bool:
         """Return whether a call can be sent now.
@@ -126,8 +128,8 @@
     # -- requests for permits
 
     def request(
-        self, run: EndpointRun, rank: int, on_outcome: Callable[[Outcome], None]
-    ) -> Outcome | None:
+        self, run: EndpointRun, rank: int, on_outcome: Callable[[PermitOutcome], None]
+    ) -> PermitOutcome | None:
         """Return a permit or a denial; None if the home has to be queried.
 
         :param run: the run of the endpoint.
@@ -154,8 +156,8 @@
         home: MemberAddress,
         run: EndpointRun,
         tier: int,
-        attempts: int,
-        on_outcome: Callable[[Outcome], None],
+        queries_sent: int,
+        on_outcome: Callable[[PermitOutcome], None],
     ) -> None:
         now_ms = self._clock.now_ms()
         limit = self._limits.limit(run)
@@ -168,7 +170,7 @@
             RESPONSE_TIMEOUT_MS, lambda: self._handle_timeout(sequence)
         )
         self._pending[sequence] = _PendingQuery(
-            run, tier, now_ms, attempts, timer, on_outcome
+            run, tier, now_ms, queries_sent, timer, on_outcome
         )
         age_ms = now_ms - limit.stated_ms
         query = PermitQuestion(sequence, run, limit.per_s, age_ms, tier)
@@ -178,12 +180,12 @@
     def _handle_timeout(self, sequence: int) -> None:
         pending = self._pending.pop(sequence)
         home = self._find_home(pending.run)
-        if home is not None and pending.attempts < MAX_QUERIES:
+        if home is not None and pending.queries_sent < MAX_QUERIES:
             self._query_home(
                 home,
                 pending.run,
                 pending.tier,
-                pending.attempts + 1,
+                pending.queries_sent + 1,
                 pending.on_outcome,
             )
             return
@@ -210,11 +212,13 @@
 
     def _make_outcome(
         self, run: EndpointRun, tier: int, wait_ms: int, asked_ms: int
-    ) -> Outcome:
+    ) -> PermitOutcome:
         if wait_ms == 0:
             return Permit(run, asked_ms + PERMIT_LIFETIME_MS)
-        per_s = self._limits.limit_per_s(run) or 0.0
-        self._denials.record_denial(run, tier, wait_ms, per_s, self._clock.now_ms())
+        limit_per_s = self._limits.limit_per_s(run) or 0.0
+        self._denials.record_denial(
+            run, tier, wait_ms, limit_per_s, self._clock.now_ms()
+        )
         return Denial(wait_ms)
 
     # -- as the home
