--- a/savorychute/gateway/recovery/crash_broadcaster.py
+++ b/savorychute/gateway/recovery/crash_broadcaster.py
@@ -13,8 +13,8 @@
     from savorychute.member_address import MemberAddress
     from savorychute.membership.member_view import MemberView
 
-# A datagram may be lost; 3 of them sent 500 ms apart reach an instance that responds to
-# probes before the request can crash a fourth endpoint.
+# A datagram may be lost; 3 of them sent 500 ms apart reach any instance that responds to
+# probes, and do so before the request can crash a fourth endpoint.
 SENDS_PER_CRASH = 3
 RESEND_INTERVAL_MS = 500
 CRASHES_PER_MESSAGE = 8
@@ -33,6 +33,7 @@
 
     def __init__(self, crashes: CrashTable) -> None:
         self._crashes = crashes
+        # The crashes to send, and how often each is still to be sent.
         self._pending: list[tuple[CrashSighting, int]] = []
         self._next_ms = 0
 
@@ -42,14 +43,14 @@
         :param view: the known instances.
         :param now_ms: the current time.
         """
-        new = self._crashes.take_unreported()
-        self._pending.extend((crash, SENDS_PER_CRASH) for crash in new)
-        if not self._pending or (now_ms < self._next_ms and not new):
+        new_crashes = self._crashes.take_unreported()
+        self._pending.extend((crash, SENDS_PER_CRASH) for crash in new_crashes)
+        if not self._pending or (now_ms < self._next_ms and not new_crashes):
             return []
         self._next_ms = now_ms + RESEND_INTERVAL_MS
         batch = self._pending[:CRASHES_PER_MESSAGE]
-        rest = [(crash, left - 1) for crash, left in batch if left > 1]
-        self._pending = self._pending[CRASHES_PER_MESSAGE:] + rest
+        to_resend = [(crash, sends - 1) for crash, sends in batch if sends > 1]
+        self._pending = self._pending[CRASHES_PER_MESSAGE:] + to_resend
         message = CrashNews(tuple(crash for crash, _ in batch))
         return [
             SendPeer(member.instance, member.host, member.peer_port, message)
@@ -64,10 +65,10 @@
         :param now_ms: the current time.
         """
         limit = CRASHES_PER_MESSAGE * MESSAGES_PER_RESPONSE
-        known = self._crashes.list_recent(limit, now_ms)
+        recent = self._crashes.list_recent(limit, now_ms)
         batches = [
-            known[start : start + CRASHES_PER_MESSAGE]
-            for start in range(0, len(known), CRASHES_PER_MESSAGE)
+            recent[start : start + CRASHES_PER_MESSAGE]
+            for start in range(0, len(recent), CRASHES_PER_MESSAGE)
         ]
         return [
             SendPeer(
@@ -80,6 +81,7 @@
         ]
 
 
-def _make_message(known: list[tuple[CrashSighting, int]]) -> CrashNews:
-    crashes = tuple(crash for crash, _ in known)
-    return CrashNews(crashes, max(age_ms for _, age_ms in known))
+def _make_message(recent: list[tuple[CrashSighting, int]]) -> CrashNews:
+    """Return the message that reports some crashes, given with their ages in ms."""
+    crashes = tuple(crash for crash, _ in recent)
+    return CrashNews(crashes, max(age_ms for _, age_ms in recent))
--- a/savorychute/gateway/recovery/retry_cap.py
+++ b/savorychute/gateway/recovery/retry_cap.py
@@ -31,8 +31,8 @@
     def __init__(self, now_ms: int) -> None:
         # No retry is allowed before the instance is registered.
         self.value = 0.0
-        self._initial = 0.0
-        self._requested = 0
+        self._initial_cap = 0.0
+        self._requested_cap = 0
         self._last_needed_ms = now_ms
         self._closed = False
         # Called when a larger cap is needed; retries wait for it.
@@ -44,14 +44,14 @@
         :param inherited: the retries earlier runs may have spent; None if unknown.
         """
         if inherited is None:
-            self._initial = math.inf
+            self._initial_cap = math.inf
             return None
-        self._initial = max(float(INITIAL_RETRIES), inherited)
-        return self._initial
+        self._initial_cap = max(float(INITIAL_RETRIES), inherited)
+        return self._initial_cap
 
     def mark_stored(self) -> None:
         """Apply the first cap, because the store holds the entry."""
-        self.value = self._initial
+        self.value = self._initial_cap
 
     def record_need(self, retries: float, share: float, now_ms: int) -> None:
         """Record that a run needs to send a retry.
@@ -63,7 +63,7 @@
         if retries > INITIAL_RETRIES:
             self._last_needed_ms = now_ms
         if retries + 1 > self.value and retries <= share:
-            self._requested = math.ceil(max(share, MIN_GROWTH_FACTOR * self.value))
+            self._requested_cap = math.ceil(max(share, MIN_GROWTH_FACTOR * self.value))
             if self.on_increase_needed is not None:
                 self.on_increase_needed()
 
@@ -75,8 +75,8 @@
         """
         if self._closed:
             return None
-        if self._requested > self.value:
-            return self._requested
+        if self._requested_cap > self.value:
+            return self._requested_cap
         is_calm = now_ms - self._last_needed_ms >= window_ms
         if is_calm and self.value > INITIAL_RETRIES:
             return float(INITIAL_RETRIES)
@@ -89,7 +89,7 @@
 
         :param value: the new cap.
         """
-        self._requested = 0
+        self._requested_cap = 0
         self.value = min(self.value, value)
 
     def change_confirmed(self, value: float) -> None:
--- a/savorychute/gateway/requests/attempt.py
+++ b/savorychute/gateway/requests/attempt.py
@@ -106,7 +106,7 @@
     # -- events from the endpoint
 
     def can_send(self) -> bool:
-        """Return whether the attempt is still wanted."""
+        """Record the time of the send, and return that the attempt is still wanted."""
         self.sent = True
         self.sent_ms = self.owner.now_ms()
         return True
@@ -177,7 +177,7 @@
     # -- calls from the request
 
     def mark_responding(self) -> None:
-        """Record that the endpoint has read the prompt."""
+        """Record the first event of the response, or the end of the attempt."""
         if self.waiting:
             self.waiting = False
             self.choice.record.end_prefill(self)
--- a/savorychute/gateway/requests/engine_observer.py
+++ b/savorychute/gateway/requests/engine_observer.py
@@ -20,7 +20,7 @@
 
     :param models: the engine models of all services.
     :param shortages: is notified of requests that were not served.
-    :param admitted: the request with its entitlement.
+    :param admitted: the request's route, service and rank.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
             self._shortages.record_unserved(self._service, self._rank, now_ms)
 
     def record_send(self, choice: Choice) -> None:
-        """Record how many uncached tokens the engine is expected to read."""
+        """Record how many uncached tokens the engine is expected to prefill."""
         self._model().record_sent(choice.fresh_tokens, choice.isolated)
 
     def record_event(self, attempt: Attempt, gap_ms: int | None, now_ms: int) -> None:
@@ -67,8 +67,8 @@
         """
         choice = attempt.choice
         if gap_ms is not None:
-            reading = choice.record.has_queue(now_ms)
-            self._model().record_gap(gap_ms, choice.isolated, reading)
+            prefilling = choice.record.has_queue(now_ms)
+            self._model().record_gap(gap_ms, choice.isolated, prefilling)
         elif choice.idle:
             duration_ms = now_ms - attempt.started_ms
             self._model().record_first_event(choice.fresh_tokens, duration_ms)
--- a/savorychute/gateway/requests/progress_deadline.py
+++ b/savorychute/gateway/requests/progress_deadline.py
@@ -25,7 +25,7 @@
 
     A response of an engine to another request of this instance, or to a probe, counts as
     progress.  A request that waits in the queue of a responsive engine is served later;
-    sent to another engine it would wait again, and its prompt would be read twice.
+    sent to another engine it would wait again, and its prompt would be prefilled twice.
 
     :param attempt: the attempt in progress.
     :param route: the route of the request.
--- a/savorychute/gateway/requests/prompt.py
+++ b/savorychute/gateway/requests/prompt.py
@@ -1,4 +1,4 @@
-"""What is known about a prompt before an engine reads it."""
+"""What is known about a prompt before an engine prefills it."""
 
 from __future__ import annotations
 
--- a/savorychute/gateway/requests/request_execution.py
+++ b/savorychute/gateway/requests/request_execution.py
@@ -49,7 +49,7 @@
 
     :param parts: the components shared by all requests.
     :param request: the request.
-    :param admitted: the request with its entitlement.
+    :param admitted: its route, service and rank.
     :param caller: receives the response.
     """
 
@@ -243,31 +243,33 @@
         self._end_without_response(not_run, ResultCode.OUTCOME_UNKNOWN)
 
     def _end_without_response(self, not_run: Refusal, unknown: ResultCode) -> None:
-        final = self._response.abandon(not_run, unknown, self.possible_executions)
-        self._finish(final.outcome, final.status)
+        final_outcome = self._response.abandon(
+            not_run, unknown, self.possible_executions
+        )
+        self._finish(final_outcome.outcome, final_outcome.status)
 
     # -- sending
 
     def _send(self) -> bool:
         """Start an attempt; return false if there is no endpoint for it."""
         now_ms = self.now_ms()
-        found = self._search.find(
+        choice = self._search.find(
             now_ms, bool(self.possible_executions), self._resume_search
         )
-        if found is NotFound.PENDING:
+        if choice is NotFound.PENDING:
             self._set_timer()
             return True
-        if found is NotFound.NONE_LEFT:
+        if choice is NotFound.NONE_LEFT:
             return False
-        if found in (NotFound.OVERLOADED, NotFound.SUSPENDED):
-            self._record_refusal(found, now_ms)
+        if choice in (NotFound.OVERLOADED, NotFound.SUSPENDED):
+            self._record_refusal(choice, now_ms)
             return False
-        self._send_to(found, now_ms)
+        self._send_to(choice, now_ms)
         return True
 
-    def _record_refusal(self, found: NotFound, now_ms: int) -> None:
+    def _record_refusal(self, reason: NotFound, now_ms: int) -> None:
         """Record after which delay the caller should retry."""
-        wait_ms = self._search.wait_ms(now_ms) if found is NotFound.SUSPENDED else 0
+        wait_ms = self._search.wait_ms(now_ms) if reason is NotFound.SUSPENDED else 0
         self._refusals.record_overload(self._parts.guard.retry_after_ms(wait_ms))
         if self._admitted.service.runs_models:
             self._observer.record_refusal(now_ms)
@@ -343,8 +345,9 @@
     def _check_unresponsive(self, attempt: Attempt) -> None:
         """Probe an unresponsive engine; abandon an unresponsive plain endpoint.
 
-        A model engine that reads long prompts sends nothing for a while, and abandoning
-        it would cause the prompt to be read twice; it responds to probes meanwhile.
+        A model engine that prefills long prompts sends nothing for a while, and
+        abandoning it would cause the prompt to be prefilled twice; it responds to probes
+        meanwhile.
         """
         if not self._admitted.service.runs_models:
             self._abandon_attempt(attempt)
@@ -366,8 +369,8 @@
 
     def _abandon_attempt(self, attempt: Attempt) -> None:
         """Close an unresponsive attempt and try another endpoint, if there is one."""
-        can_go = self._can_continue() and self._search.has_alternative(self.now_ms())
-        if not can_go or not self._spend_retry():
+        can_retry = self._can_continue() and self._search.has_alternative(self.now_ms())
+        if not can_retry or not self._spend_retry():
             return
         attempt.stop()
         attempt.choice.record.health.record_unresponsive(self.now_ms())
--- a/savorychute/gateway/requests/usage_observer.py
+++ b/savorychute/gateway/requests/usage_observer.py
@@ -20,12 +20,12 @@
     A model engine starts a request with its first token.  A plain service starts it on
     arrival; an attempt that was sent and got no response may have run, and usually has.
 
-    :param ledger: where executions are counted.
+    :param counter: where executions are counted.
     :param admitted: the request.
     """
 
-    def __init__(self, ledger: UsageCounter, admitted: AdmittedRequest) -> None:
-        self._ledger = ledger
+    def __init__(self, counter: UsageCounter, admitted: AdmittedRequest) -> None:
+        self._counter = counter
         self._organisation = admitted.organisation
         self._runs_models = admitted.service.runs_models
 
@@ -34,7 +34,7 @@
 
         :param now_ms: the current time.
         """
-        self._ledger.record_start(self._organisation, now_ms)
+        self._counter.record_start(self._organisation, now_ms)
 
     def record_attempt_end(self, attempt: Attempt) -> None:
         """Count an execution by a plain service once its attempt has ended.
@@ -45,4 +45,4 @@
             return
         if attempt.response is not None and attempt.response.kind in NOT_RUN_KINDS:
             return
-        self._ledger.record_start(self._organisation, attempt.sent_ms)
+        self._counter.record_start(self._organisation, attempt.sent_ms)
