--- a/savorychute/gateway/duties/server_duty.py
+++ b/savorychute/gateway/duties/server_duty.py
@@ -76,8 +76,8 @@
         scaled = [each for each in services if each.scaling is not None]
         counts = _count_endpoints(scaled, entries)
         for service in scaled:
-            found = counts[service.name]
-            fleet = ServerFleet(service.name, tuple(sorted(found.items())))
+            domains = counts[service.name]
+            fleet = ServerFleet(service.name, tuple(sorted(domains.items())))
             if fleet != self._observed.get(service.name):
                 self._observed[service.name] = fleet
                 self._observed_since_ms[service.name] = now_ms
@@ -221,13 +221,13 @@
     services: Iterable[Service], entries: Iterable[EndpointEntry]
 ) -> dict[str, dict[str, DomainFleet]]:
     """Count the endpoints of each service, without those that are draining."""
-    found = {
+    counts = {
         service.name: {domain: DomainFleet() for domain, _ in service.scaling.prices}
         for service in services
         if service.scaling is not None
     }
     for entry in entries:
-        domains = found.get(entry.service)
+        domains = counts.get(entry.service)
         if domains is None or entry.draining:
             continue
         lasting, reclaimable = domains.get(entry.failure_domain, DomainFleet())
@@ -236,4 +236,4 @@
         else:
             lasting += 1
         domains[entry.failure_domain] = DomainFleet(lasting, reclaimable)
-    return found
+    return counts
--- a/savorychute/gateway/duties/service_file.py
+++ b/savorychute/gateway/duties/service_file.py
@@ -17,7 +17,7 @@
 
 
 class ServiceFileError(SavorychuteError):
-    """The file cannot be read."""
+    """The file cannot be read, or its content is invalid."""
 
     code = ResultCode.BAD_SETTINGS
 
--- a/savorychute/gateway/duties/usage_broadcaster.py
+++ b/savorychute/gateway/duties/usage_broadcaster.py
@@ -60,10 +60,14 @@
         self.handle(own.instance, complete)
         others = self._candidates.other_candidates
         actions = []
-        for each in others:
-            send_count = self._send_counts.get(each, 0)
+        for candidate in others:
+            send_count = self._send_counts.get(candidate, 0)
             message = complete if send_count < FULL_SEND_COUNT else recent
-            actions.append(SendPeer(each.instance, each.host, each.peer_port, message))
+            actions.append(
+                SendPeer(
+                    candidate.instance, candidate.host, candidate.peer_port, message
+                )
+            )
         self._send_counts = {
             each: self._send_counts.get(each, 0) + 1 for each in others
         }
--- a/savorychute/gateway/duties/usage_counter.py
+++ b/savorychute/gateway/duties/usage_counter.py
@@ -50,10 +50,10 @@
         window = self._windows.window_at(self._true_time.at_ms(started_ms))
         self._counts.setdefault(window, Counter())[organisation] += 1
 
-    def make_message(self, run: int, *, all_windows: bool) -> UsageTold:
+    def make_message(self, incarnation: int, *, all_windows: bool) -> UsageTold:
         """Return the counts of the windows whose reports are not overdue.
 
-        :param run: the incarnation of this instance.
+        :param incarnation: the incarnation of this instance.
         :param all_windows: whether to include all of these windows, for a receiver that
             has none of them yet; otherwise only the latest ones.
         """
@@ -72,4 +72,4 @@
             for window, counts in sorted(self._counts.items())
             if window >= first_window
         )
-        return UsageTold(run, now_ms - START_REPORT_DELAY_MS, windows)
+        return UsageTold(incarnation, now_ms - START_REPORT_DELAY_MS, windows)
--- a/savorychute/gateway/duties/usage_duty.py
+++ b/savorychute/gateway/duties/usage_duty.py
@@ -113,8 +113,8 @@
             return UsageStep(StepKind.SEND, report, age_ms)
         if not self._records.can_settle(end_ms):
             return None
-        waited = age_ms >= REPORT_WAIT_SHARE * self._windows.due_ms
-        if not waited and not self._aggregator.is_complete(end_ms, members):
+        has_waited = age_ms >= REPORT_WAIT_SHARE * self._windows.due_ms
+        if not has_waited and not self._aggregator.is_complete(end_ms, members):
             return None
         total = self._aggregator.total(window)
         if not total and (self._started_ms is None or end_ms < self._started_ms):
--- a/savorychute/gateway/store/registration.py
+++ b/savorychute/gateway/store/registration.py
@@ -175,10 +175,10 @@
         """
         assert self.keys is not None
         snapshot = await self._list_with_secret(self.keys.signing.secret)
-        found = _find_secret(snapshot.records)
-        assert found is not None
-        if found.signing != self.keys.signing:
-            self.keys = PeerKeys(found.signing, (self.keys.signing,))
+        stored_keys = _find_secret(snapshot.records)
+        assert stored_keys is not None
+        if stored_keys.signing != self.keys.signing:
+            self.keys = PeerKeys(stored_keys.signing, (self.keys.signing,))
         listing = decode_listing(snapshot.records)
         if self.address not in listing.live:
             await self.write_entry()
