--- a/tests/test_duties/duty_simulation.py
+++ b/tests/test_duties/duty_simulation.py
@@ -224,11 +224,11 @@
 
     def accepted_counts(self):
         """Return the distinct counts that were accepted, by window."""
-        found = {}
+        counts_by_window = {}
         for call in self.calls:
             if call.accepted:
-                found.setdefault(call.window, set()).add(call.counts)
-        return found
+                counts_by_window.setdefault(call.window, set()).add(call.counts)
+        return counts_by_window
 
 
 class InstanceConnection:
--- a/tests/test_duties/test_duty_holder.py
+++ b/tests/test_duties/test_duty_holder.py
@@ -125,11 +125,11 @@
         highest = max(highest, call.fencing)
 
 
-@pytest.mark.parametrize('harm', ['cut_from_store', 'cut_from_platform'])
-def test_disconnected_holder_is_replaced(harm):
+@pytest.mark.parametrize('fault', ['cut_from_store', 'cut_from_platform'])
+def test_disconnected_holder_is_replaced(fault):
     async def scenario(simulation):
         await sleep_ms(20_000)
-        setattr(simulation.instances[simulation.holder()].connection, harm, True)
+        setattr(simulation.instances[simulation.holder()].connection, fault, True)
         await sleep_ms(30_000)
 
     assert not missed_windows(run_scenario(scenario), 50_000)
@@ -209,8 +209,8 @@
             await sleep_ms(10)
         simulation.platform.faults = CallFaults()
         holder = simulation.holder()
-        for each in range(3):
-            simulation.restart(each)
+        for number in range(3):
+            simulation.restart(number)
         simulation.store.restore_older_copy(2_000)
         assert holder is not None
         await sleep_ms(30_000)
--- a/tests/test_duties/test_usage_counts.py
+++ b/tests/test_duties/test_usage_counts.py
@@ -189,8 +189,8 @@
         broadcaster.broadcast()
     known = {action.instance for action in broadcaster.broadcast()}
     assert not any(action.message.windows for action in broadcaster.broadcast())
-    left = tuple(each for each in MEMBERS if each.instance not in known)
-    broadcaster._candidates.set_view(MemberView(MEMBERS[0], left))
+    remaining = tuple(each for each in MEMBERS if each.instance not in known)
+    broadcaster._candidates.set_view(MemberView(MEMBERS[0], remaining))
 
     actions = [
         action for action in broadcaster.broadcast() if action.instance not in known
@@ -204,10 +204,10 @@
     """Guards against a candidate that grows until it runs out of memory."""
     aggregator = UsageAggregator()
     counter, _ = make_counter(clock)
-    for run in range(400):
-        clock.advance_to(5_000 * run)
+    for incarnation in range(400):
+        clock.advance_to(5_000 * incarnation)
         counter.record_start('kochi', clock.now_ms())
-        aggregator.apply('k0', counter.make_message(run, all_windows=True))
+        aggregator.apply('k0', counter.make_message(incarnation, all_windows=True))
 
     assert len(aggregator._counts) <= MAX_WINDOWS
     assert len(aggregator._complete_until_ms) < 20
--- a/tests/test_gateway/fleet_simulation.py
+++ b/tests/test_gateway/fleet_simulation.py
@@ -271,25 +271,25 @@
 
     def find_violations(self, end_ms):
         """Return the spans in which the guarantee between tiers was violated."""
-        found = []
+        violations = []
         for start_ms in range(0, end_ms - WINDOW_MS + 1, 500):
             for kind in KINDS[:-1]:
                 violation = self._find_violation(kind, start_ms)
                 if violation is not None:
-                    found.append(violation)
-        return found
+                    violations.append(violation)
+        return violations
 
     def find_unshed_requests(self, end_ms):
         """Return the requests that were sent during a shortage of a higher tier."""
-        found = []
+        unshed = []
         for at_ms in range(REACTION_MS, end_ms, CHECK_INTERVAL_MS):
             for kind in KINDS[:-1]:
                 before_ms = at_ms - REACTION_MS
                 if self._has_shortage(kind, before_ms) and self._has_shortage(
                     kind, at_ms
                 ):
-                    found.extend(self._arrivals_below(kind, at_ms))
-        return found
+                    unshed.extend(self._arrivals_below(kind, at_ms))
+        return unshed
 
     def _has_shortage(self, kind, at_ms):
         """Return whether a kind was short of capacity in the last five seconds."""
@@ -404,11 +404,11 @@
 
 def usual_load(scale=1.0, end_ms=30_000, engines=5):
     """Return the usual load of some engines, multiplied by a factor."""
-    each = scale * engines / 5
+    factor = scale * engines / 5
     return [
-        Load(CHAT, 5.5 * each, 0, end_ms),
-        Load(NOTE, 11.0 * each, 0, end_ms),
-        Load(SUMMARY, 15.5 * each, 0, end_ms),
+        Load(CHAT, 5.5 * factor, 0, end_ms),
+        Load(NOTE, 11.0 * factor, 0, end_ms),
+        Load(SUMMARY, 15.5 * factor, 0, end_ms),
     ]
 
 
--- a/tests/test_gateway/gateway_fakes.py
+++ b/tests/test_gateway/gateway_fakes.py
@@ -362,8 +362,8 @@
 ):
     """Return a gateway; components that several gateways share may be passed in.
 
-    ``slots`` gives the number of slots of each engine, instead of *engines* engines with
-    64 slots each.
+    *desks* is the number of endpoints of the plain service.  *slots* gives the number of
+    slots of each engine, instead of *engines* engines with 64 slots each.
     """
     clock = clock or ManualClock(START_MS)
     timers = timers or FakeTimers(clock)
--- a/tests/test_gateway/memory_topic.py
+++ b/tests/test_gateway/memory_topic.py
@@ -40,7 +40,7 @@
             raise WriteConflictError('written by another')
         if fence is not None:
             if fence.number <= self.fences.get(fence.writer, -1):
-                raise WriteFencedError('a later write was taken')
+                raise WriteFencedError('a later write was accepted')
             self.fences[fence.writer] = fence.number
         self.records.append(KeyedRecord(len(self.records), key, value))
         if self.responses_to_lose:
--- a/tests/test_gateway/permit_simulation.py
+++ b/tests/test_gateway/permit_simulation.py
@@ -24,8 +24,9 @@
 SPAN_MS = 4_000
 NOTICE_MS = 3_000
 NOTIFIED_MS = 500
-# Time until an instance that was started, frozen or cut off is up to date again.
-EXCUSED_MS = 3_000
+# Time until an instance that was started, frozen or cut off is up to date again.  Until
+# then the rule does not apply to its calls.
+EXEMPTION_MS = 3_000
 DELAY_MS = 2
 WORK_MS = 20
 # Time until all instances have detected a change of the members.
@@ -113,7 +114,7 @@
         self._loss_share = loss_share
         self.limits = [(START_MS, limit_per_s)]
         self.cut_off_names = set()
-        self.excused_until_ms = {}
+        self.exempt_until_ms = {}
         self.notified_ms = {}
         # Time, sender and rank of each call.
         self.calls = []
@@ -134,7 +135,7 @@
     def limit_per_s(self):
         return self.limits[-1][1]
 
-    def state(self, limit_per_s):
+    def state_limit(self, limit_per_s):
         """Let the endpoint state another limit, or none."""
         self.limits.append((self.now_ms, limit_per_s))
 
@@ -155,7 +156,7 @@
             return
         self._add(name)
         self.notified_ms.pop(name, None)
-        self._excuse(name)
+        self._exempt(name)
         self._schedule_updates()
 
     def freeze(self, name):
@@ -164,7 +165,7 @@
 
     def wake(self, name):
         if self.instances[name].frozen:
-            self._excuse(name)
+            self._exempt(name)
             self.instances[name].wake()
             self._schedule_updates()
 
@@ -175,11 +176,11 @@
     def join(self, name):
         if name in self.cut_off_names:
             self.cut_off_names.discard(name)
-            self._excuse(name)
+            self._exempt(name)
             self._schedule_updates()
 
-    def _excuse(self, name):
-        self.excused_until_ms[name] = self.now_ms + EXCUSED_MS
+    def _exempt(self, name):
+        self.exempt_until_ms[name] = self.now_ms + EXEMPTION_MS
 
     def _schedule_updates(self):
         """Let each instance detect the change at a random time."""
@@ -231,7 +232,7 @@
 
     # -- requests and the endpoint
 
-    def ask_for(self, per_s):
+    def set_request_rate(self, per_s):
         """Change the number of requests per second that callers send."""
         self._per_s = per_s
         self._next_request.cancel()
@@ -253,14 +254,14 @@
 
     def _arrive(self, instance, rank, sent_ms):
         name = instance.name
-        if not self._is_excused(name):
+        if not self._is_exempt(name):
             self.calls.append((self.now_ms, name, rank))
         self.timers.call_later(WORK_MS, lambda: self._respond(instance, sent_ms))
 
-    def _is_excused(self, name):
+    def _is_exempt(self, name):
         instance = self.instances[name]
         is_disconnected = instance.frozen or name in self.cut_off_names
-        return is_disconnected or self.now_ms < self.excused_until_ms.get(name, 0)
+        return is_disconnected or self.now_ms < self.exempt_until_ms.get(name, 0)
 
     def _respond(self, instance, sent_ms):
         if self.limit_per_s is not None:
--- a/tests/test_gateway/retry_fixture.py
+++ b/tests/test_gateway/retry_fixture.py
@@ -153,7 +153,7 @@
         self._due = {}
         self.requests_ms = []
         self.retries_ms = []
-        self.cut = set()
+        self.cut_off_names = set()
         # Whether endpoints reject every attempt.
         self.storm = False
         self.runs = {}
@@ -177,7 +177,7 @@
             name
             for name, run in self.runs.items()
             if run is not None and run.registered and not run.frozen
-        } - self.cut
+        } - self.cut_off_names
         for name in linked:
             self.runs[name].add_alive(linked)
 
--- a/tests/test_gateway/test_endpoint_runs.py
+++ b/tests/test_gateway/test_endpoint_runs.py
@@ -84,15 +84,15 @@
 def test_new_run_does_not_inherit_health(roster, ended):
     old = roster.get('d0')
     old.health.record_unresponsive(FIRST_MS)
-    attempt_user = RecordingAttempt()
-    old.start_attempt(attempt_user, 100, FIRST_MS)
+    attempt = RecordingAttempt()
+    old.start_attempt(attempt, 100, FIRST_MS)
 
     roster.apply(make_entry('d0', born_ms=SECOND_MS))
     new = roster.get('d0')
 
     assert ended == [EndpointRun('d0', FIRST_MS)]
     assert old.run_ended
-    assert attempt_user.was_notified
+    assert attempt.was_notified
     assert (new.outstanding, new.health.failure_share(SECOND_MS)) == (0, 0.0)
 
 
@@ -108,7 +108,7 @@
     assert runs(roster) == [EndpointRun('d0', SECOND_MS)]
 
 
-def test_endpoint_clock_set_back_between_runs(roster):
+def test_run_is_accepted_after_its_clock_was_set_back(roster):
     """Guards against a run that is ignored because it seems older than the last one.
 
     Its clock was set back between the two starts.  A single such report may be a late
@@ -123,7 +123,7 @@
     assert runs(roster) == [EndpointRun('d0', 900)]
 
 
-def test_two_restarts_in_a_row(roster, ended):
+def test_each_of_two_quick_restarts_ends_the_previous_run(roster, ended):
     roster.apply(make_entry('d0', born_ms=SECOND_MS))
     roster.apply(make_entry('d0', born_ms=SECOND_MS + 500))
 
@@ -131,7 +131,7 @@
     assert ended == [EndpointRun('d0', FIRST_MS), EndpointRun('d0', SECOND_MS)]
 
 
-def test_restart_while_the_store_is_down(roster):
+def test_run_that_started_in_a_store_outage_stays_usable(roster):
     """Guards against an endpoint whose old run still counts as missing.
 
     Its entry expires in an outage and stays in use for a while; the run that registers
--- a/tests/test_gateway/test_overload_replay.py
+++ b/tests/test_gateway/test_overload_replay.py
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize('instances', [8, 17, 82])
-def test_twice_the_capacity_of_an_engine(instances):
+def test_admitted_requests_are_in_time_at_twice_the_capacity(instances):
     """Guards against summaries that are admitted but late, nearly a third of them.
 
     Reports are half a second old when they are used, and all instances use them.  With
--- a/tests/test_gateway/test_permit_laws.py
+++ b/tests/test_gateway/test_permit_laws.py
@@ -1,4 +1,4 @@
-"""Law: an endpoint gets no more calls than its limit, whatever happens to instances."""
+"""Tests of the invariant that an endpoint gets no more calls than its limit."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 some_names = st.sets(st.sampled_from([*NAMES, ADDED]), min_size=1).map(sorted)
 steps = st.one_of(
     st.tuples(st.just('wait'), st.integers(100, 4_000)),
-    st.tuples(st.just('state'), st.sampled_from([None, 0, 0.5, 1, 3, 10, 50])),
-    st.tuples(st.just('ask_for'), st.sampled_from([1, 10, 100, 300])),
+    st.tuples(st.just('state_limit'), st.sampled_from([None, 0, 0.5, 1, 3, 10, 50])),
+    st.tuples(st.just('set_request_rate'), st.sampled_from([1, 10, 100, 300])),
     st.tuples(st.sampled_from(['kill', 'start', 'freeze', 'wake']), some_names),
     st.tuples(st.sampled_from(['cut_off', 'join']), some_names),
 )
@@ -27,7 +27,7 @@
     for step, value in steps:
         if step == 'wait':
             fleet.run(value)
-        elif step in ('state', 'ask_for'):
+        elif step in ('state_limit', 'set_request_rate'):
             getattr(fleet, step)(value)
         else:
             apply_step(fleet, step, value)
@@ -51,9 +51,9 @@
     """Guards against calls that each instance accumulates under light load."""
     fleet = PermitFleet(instances, 2 * instances, 1)
     fleet.run(SETTLED_MS)
-    fleet.ask_for(0.1)
+    fleet.set_request_rate(0.1)
     fleet.run(STEADY_MS)
-    fleet.ask_for(2 * instances)
+    fleet.set_request_rate(2 * instances)
     fleet.run(SETTLED_MS)
 
     assert fleet.find_excess() <= 0
@@ -88,7 +88,7 @@
     """Guards against a limit that remains at instances not notified of its end."""
     fleet = PermitFleet(INSTANCES, 40, 1)
     fleet.run(STEADY_MS)
-    fleet.state(None)
+    fleet.state_limit(None)
     fleet.run(SETTLED_MS)
 
     assert not any(each.handler.is_limited(RUN) for each in fleet.instances.values())
@@ -98,7 +98,7 @@
     """Guards against a limit of zero whose end no response could state."""
     fleet = PermitFleet(INSTANCES, 40, 0)
     fleet.run(STEADY_MS)
-    fleet.state(None)
+    fleet.state_limit(None)
     fleet.run(STEADY_MS)
 
     assert not any(each.handler.is_limited(RUN) for each in fleet.instances.values())
--- a/tests/test_gateway/test_rank.py
+++ b/tests/test_gateway/test_rank.py
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize('summary_of', [0, 1, 2, None])
 @pytest.mark.parametrize('diagnosis_of', [0, 1, 2, 7, None])
 def test_no_diagnosis_ranks_below_a_summary(diagnosis_of, summary_of):
-    """The same guard, for any combination of organisation tiers."""
+    """Guards against the same preemption, for any combination of organisation tiers."""
     assert rank_request(diagnosis_of, 0) < rank_request(summary_of, 2)
 
 
--- a/tests/test_gateway/test_request_execution.py
+++ b/tests/test_gateway/test_request_execution.py
@@ -149,9 +149,9 @@
 
 
 def test_unresponsive_endpoint_is_abandoned_in_time_for_the_objective(gateway):
-    """Guards against waiting too long for an unresponsive server.
+    """Guards against waiting too long for an unresponsive endpoint.
 
-    It accepts the request and sends nothing, not even a reset.  Another server can still
+    It accepts the request and sends nothing, not even a reset.  Another endpoint can still
     respond in time if it gets the request well before the objective of 300 ms.
     """
     _, caller = gateway.start('/visit/1')
@@ -180,10 +180,10 @@
 
 
 def test_engine_that_responds_to_a_probe_is_not_abandoned(gateway):
-    """Guards against reading a prompt twice.
+    """Guards against prefilling a prompt twice.
 
-    An engine that reads long prompts sends no token for 1 s.  It has not crashed; another
-    engine would read the prompt again while this one continues.
+    An engine that prefills long prompts sends no token for 1 s.  It has not crashed;
+    another engine would prefill the prompt again while this one continues.
     """
     gateway.start('/diagnosis/1', prompt=make_prompt())
     gateway.last_attempt.mark_sent()
@@ -197,7 +197,7 @@
 def test_engine_that_crashes_after_a_probe_is_abandoned(gateway):
     """Guards against trusting a successful probe for too long.
 
-    The engine responded to a probe while it read the prompt, and became unresponsive
+    The engine responded to a probe while it prefilled the prompt, and became unresponsive
     afterwards; the diagnosis would wait for it until its deadline.
     """
     gateway.start('/diagnosis/1', prompt=make_prompt())
--- a/tests/test_gateway/test_retry_bound.py
+++ b/tests/test_gateway/test_retry_bound.py
@@ -61,9 +61,9 @@
     if step in ('freeze', 'wake') and run is not None:
         run.frozen = step == 'freeze'
     if step == 'cut':
-        fleet.cut.add(name)
+        fleet.cut_off_names.add(name)
     if step == 'join':
-        fleet.cut.discard(name)
+        fleet.cut_off_names.discard(name)
 
 
 def run_steps(steps, requests):
@@ -98,12 +98,12 @@
         *(('leave and start', NAMES[6:8]), STORM, ('wait', 2)),
         *(('restart', NAMES[:6]), PASS_TIME),
     ],
-    'word of a run before the last': [
+    'entry of a run before the last': [
         *(CALM, ('leave', NAMES), ('wait', 6), ('restart', NAMES), STORM),
         *(('wait', 2), ('store back', 1), ('restart', NAMES)),
         *(('wait', 2), ('store back', 1), ('restart', NAMES), PASS_TIME),
     ],
-    'word that comes late': [
+    'entry that is written late': [
         *(CALM, ('answers lost', None), ('leave', NAMES), ('store up', None)),
         *(('restart', NAMES), ('wait', 44), STORM, ('wait', 2)),
         *(('late writes', None), ('restart', NAMES), PASS_TIME),
--- a/tests/test_gateway/test_tiers_under_load.py
+++ b/tests/test_gateway/test_tiers_under_load.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize('seed', [4, 9, 10, 18, 23, 25, 28, 29])
-def test_no_note_waits_in_vain_while_a_crowd_gathers(seed):
+def test_no_note_is_abandoned_after_waiting_as_overload_starts(seed):
     """Guards against notes that wait two seconds and are abandoned as overload starts.
 
     Within half a second, thirty notes are sent to an engine that has free slots
--- a/tests/test_gateway/test_topic_follower.py
+++ b/tests/test_gateway/test_topic_follower.py
@@ -81,8 +81,8 @@
     def max_retry_ms(self):
         return 500
 
-    def next_offset(self, read):
-        return read
+    def next_offset(self, own_offset):
+        return own_offset
 
 
 def run_follower(topic):
