--- a/savorychute/gateway/dispatch/home_ranking.py
+++ b/savorychute/gateway/dispatch/home_ranking.py
@@ -1,4 +1,4 @@
-"""Ranking of engines as home of a shared prompt."""
+"""Ranking of engines for a shared prompt; the first one is the home of the prompt."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 
 class HomeRanking:
-    """Ranks engines by a hash of prompt and engine, identically on all instances.
+    """Ranks engines by rendezvous hashing of the prompt, identically on all instances.
+
+    The home of a prompt is an engine, unlike the home of an endpoint, which is the
+    instance that grants permits for it.
 
     A request is ranked before load reports are requested and again after they arrive;
     the last ranking is cached for the second time.  With this cache and with engine
--- a/savorychute/gateway/duties/duty_order.py
+++ b/savorychute/gateway/duties/duty_order.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that are reserved for the holder of a duty."""
+"""Sender and result of calls to the platform that only the holder of duties makes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DutyOrder(NamedTuple):
-    """The sender of a call, and the fencing number that a later holder exceeds."""
+    """The holder that makes a call, and its fencing number, which a later one exceeds."""
 
     holder: str
     fencing: int
--- a/savorychute/gateway/duties/server_fleet.py
+++ b/savorychute/gateway/duties/server_fleet.py
@@ -1,4 +1,7 @@
-"""The current or desired number of a service's endpoints in each failure domain."""
+"""The current or desired number of a service's endpoints in each failure domain.
+
+Settings, log lines and the platform's interface call these endpoints servers.
+"""
 
 from __future__ import annotations
 
--- a/savorychute/gateway/endpoints/endpoint_statement.py
+++ b/savorychute/gateway/endpoints/endpoint_statement.py
@@ -7,7 +7,7 @@
 
 
 class StatementKind(Enum):
-    """Subject of a statement."""
+    """Subject of a statement; a backoff is called rest on the wire and in logs."""
 
     LIMIT = 'limit'
     LEAVING = 'leaving'
--- a/savorychute/gateway/endpoints/engine_load.py
+++ b/savorychute/gateway/endpoints/engine_load.py
@@ -37,9 +37,9 @@
     ``streams`` are the generating streams, empty if the engine does not report them
     individually.
 
-    Each choice evaluates the loads of many engines, at some for several ranks, so
-    values derived from the streams are computed once per report.  A choice among 59
-    engines with 40 streams each takes 120 µs, instead of 332 µs without this.
+    Each choice evaluates the loads of many engines, some for several ranks, so values
+    derived from the streams are computed once per report.  A choice among 59 engines
+    with 40 streams each takes 120 µs, instead of 332 µs without this.
     """
 
     @property
--- a/savorychute/gateway/endpoints/load_monitor.py
+++ b/savorychute/gateway/endpoints/load_monitor.py
@@ -25,8 +25,8 @@
     """Fetches load reports, one per engine for all requests that wait for it.
 
     A report costs the engine little, but the users pay a price for each.  Reports are
-    requested only from engines between which a long prompt has to choose, so they are
-    few and fresh.  Continuous polling of all engines costs more, and its reports are
+    requested only from the engines among which one is chosen for a long prompt, so they
+    are few and fresh.  Continuous polling of all engines costs more, and its reports are
     older.
 
     :param attempts: sends the queries.
