--- a/savorychute/gateway/dispatch/engine_model.py
+++ b/savorychute/gateway/dispatch/engine_model.py
@@ -9,8 +9,8 @@
 if TYPE_CHECKING:
     from savorychute.gateway.dispatch.request_requirements import RequestRequirements
 
-# Values assumed before engines were observed.  They describe engines that prefill about
-# 60 tokens per ms and emit events of three tokens.
+# Values assumed before engines were observed.  They describe engines that prefill 61
+# tokens per ms and emit events of three tokens.
 PRIOR_TOKENS_PER_MS = 60.0
 # Gap between two events of a stream while the engine prefills continuously, and while
 # it prefills nothing.
--- a/savorychute/gateway/store/topic_follower.py
+++ b/savorychute/gateway/store/topic_follower.py
@@ -146,7 +146,7 @@
             wait_ms = self._timing.wait_ms if self._gate.can_wait() else 0
             delta = await self._topic.read_from(offset, wait_ms)
             if delta.era != self._era:
-                raise HistoryLostError('the store was restored from an older copy')
+                raise HistoryLostError('the store has gone back to an older copy')
             self._offset = (
                 delta.next_offset if delta.remaining < RELIST_MIN_REMAINING else None
             )
