--- a/savorychute/gateway/daemon/assembly.py
+++ b/savorychute/gateway/daemon/assembly.py
@@ -57,8 +57,8 @@
 
 # Shares of the time within which a configuration must be in force.  A poll without a
 # change confirms the state at its start, so a reader's state becomes at most two polls
-# old; a reader whose state is older has lost the store.  The rest of the time is for
-# querying each reader in turn, and for reading the store directly if none is fresh.
+# old; a reader whose state is older cannot reach the store.  The rest of the time is
+# for querying each reader in turn, and for reading the store directly if none is fresh.
 POLL_SHARE = 0.25
 CONFIRM_SHARE = 0.6
 # Share of the time within which a leaving endpoint must stop receiving new requests
@@ -107,7 +107,7 @@
         parts.telemetry,
         environment.clock,
     )
-    reading = SharedReader(
+    shared_reader = SharedReader(
         plan,
         parts.configuration,
         journal,
@@ -134,7 +134,7 @@
         parts.permits,
         parts.roster.sensitive_streams,
         plan,
-        reading,
+        shared_reader,
         duty_parts.candidates,
         duty_parts.broadcaster,
         duty_parts.time,
--- a/savorychute/gateway/daemon/duty_worker.py
+++ b/savorychute/gateway/daemon/duty_worker.py
@@ -36,7 +36,7 @@
     from savorychute.http.http_request import HttpRequest
 
 TICK_INTERVAL_MS = 100
-# Interval between two checks of all endpoints, which come and go within seconds.
+# Interval between two checks of all endpoints, which may start and end within seconds.
 SERVER_CHECK_INTERVAL_MS = 1_000
 # How long a read of the topic waits for a record; the holder renews more often.
 READ_WAIT_MS = 2_000
--- a/savorychute/gateway/daemon/entry_manager.py
+++ b/savorychute/gateway/daemon/entry_manager.py
@@ -30,7 +30,7 @@
 
 
 class EntryManager:
-    """Writes the entry, and keeps the allowance of retries in step with all entries.
+    """Writes the entry, and updates the allowance of retries from the entries of all.
 
     :param registration: the entry of this instance.
     :param allowance: allowance of retries, which all instances share.
--- a/savorychute/gateway/daemon/peer_group.py
+++ b/savorychute/gateway/daemon/peer_group.py
@@ -32,7 +32,7 @@
     from savorychute.inputs import Input
     from savorychute.membership.member_view import MemberView
 
-TICK_MS = 100
+TICK_INTERVAL_MS = 100
 # With two probes a second a killed peer is suspected within about 1 s, and callers
 # receive other addresses.
 MEMBERSHIP_SETTINGS = MembershipSettings(
@@ -102,7 +102,7 @@
             self._apply_listing(self._registration.listing)
             while True:
                 self._tick()
-                await asyncio.sleep(TICK_MS / MS_PER_S)
+                await asyncio.sleep(TICK_INTERVAL_MS / MS_PER_S)
 
     async def leave(self, max_retries: float | None) -> None:
         """Notify the other instances, and write that this instance has left.
--- a/savorychute/gateway/daemon/peer_message_router.py
+++ b/savorychute/gateway/daemon/peer_message_router.py
@@ -52,7 +52,7 @@
     permits: PermitHandler
     count_streams: Callable[[], int]
     plan: ReadPlan
-    reading: SharedReader
+    shared_reader: SharedReader
     candidates: DutyCandidates
     usage: UsageBroadcaster | None
     time: TrueTime
@@ -68,7 +68,7 @@
     def __init__(self, parts: PeerParts, rng: random.Random) -> None:
         self.parts = parts
         self._crash_broadcaster = CrashBroadcaster(parts.crashes)
-        self._crash_inquiry = CrashHistoryFetcher(rng)
+        self._crash_history_fetcher = CrashHistoryFetcher(rng)
 
     def make_update(self, now_ms: int) -> MemberStatus:
         """Return the update that each probe carries to other instances.
@@ -97,8 +97,8 @@
         parts.shortages.instances = max(1, len(view.alive))
         parts.candidates.set_view(view)
         messages = self._crash_broadcaster.tick(view, now_ms)
-        messages += self._crash_inquiry.tick(view, now_ms)
-        messages += parts.reading.tick(now_ms)
+        messages += self._crash_history_fetcher.tick(view, now_ms)
+        messages += parts.shared_reader.tick(now_ms)
         if parts.usage is not None:
             messages += parts.usage.tick(now_ms)
         return messages
@@ -127,9 +127,9 @@
                     else self._crash_broadcaster.respond(requester, now_ms)
                 )
             case StoreAnswer():
-                parts.reading.handle_response(message, now_ms)
+                parts.shared_reader.handle_response(message, now_ms)
             case StoreQuestion():
-                response = parts.reading.respond(message, now_ms)
+                response = parts.shared_reader.respond(message, now_ms)
                 return _reply(view, sender, response)
             case PermitAnswer():
                 parts.permits.handle_response(message)
--- a/savorychute/gateway/daemon/server_planner.py
+++ b/savorychute/gateway/daemon/server_planner.py
@@ -14,8 +14,8 @@
     from savorychute.gateway.endpoints.endpoint_roster import EndpointRoster
     from savorychute.gateway.store.read_plan import ReadPlan
 
-# Endpoint entries that were read longer ago may miss existing endpoints.
-STALE_MS = 3_000
+# If the endpoint entries were read longer ago, endpoints may exist that are not known.
+MAX_ENTRY_AGE_MS = 3_000
 
 
 class ServerPlanner(NamedTuple):
@@ -53,4 +53,4 @@
         """Return whether endpoints may exist that are not known here."""
         age_ms = self.plan.endpoint_age_ms(now_ms)
         failing = bool(self.plan.failing_topics)
-        return failing or age_ms is None or age_ms > STALE_MS
+        return failing or age_ms is None or age_ms > MAX_ENTRY_AGE_MS
--- a/savorychute/gateway/daemon/supervisor.py
+++ b/savorychute/gateway/daemon/supervisor.py
@@ -12,8 +12,8 @@
 
     from savorychute.gateway.telemetry import GatewayTelemetry
 
-# Keeps a defect that recurs at once from filling the log.
-RESTART_MS = 1_000
+# Without a delay before each restart, a defect that recurs at once would fill the log.
+RESTART_DELAY_MS = 1_000
 
 
 async def keep_running(
@@ -34,4 +34,4 @@
             await work()
         except Exception as error:
             telemetry.work_failed(name, error)
-        await asyncio.sleep(RESTART_MS / MS_PER_S)
+        await asyncio.sleep(RESTART_DELAY_MS / MS_PER_S)
--- a/tests/test_gateway/test_supervisor.py
+++ b/tests/test_gateway/test_supervisor.py
@@ -17,7 +17,7 @@
     An unexpected record ends the task that follows the configuration.  Nothing else
     fails, so the instance would serve an old version until an operator notices.
     """
-    monkeypatch.setattr(supervisor, 'RESTART_MS', 1)
+    monkeypatch.setattr(supervisor, 'RESTART_DELAY_MS', 1)
     starts = []
 
     async def work():
