--- a/savorychute/gateway/discovery/advertisement.py
+++ b/savorychute/gateway/discovery/advertisement.py
@@ -23,7 +23,7 @@
 
 
 def read_advertisement(message: object) -> Advertisement | None:
-    """Return what a message advertises about its sender, or None if it does not.
+    """Return what a message advertises about its sender, or None for other messages.
 
     Probes carry this as well as their acknowledgements, so a member knows another one
     as soon as that one probes it, without waiting until it sends a probe itself.
--- a/savorychute/gateway/discovery/instance_directory.py
+++ b/savorychute/gateway/discovery/instance_directory.py
@@ -13,7 +13,7 @@
 # An instance that has reported nothing for this long is left out.  Members probe each
 # other at least once in 2 s while there are few.  A caller caches the response for
 # seconds, so it should not contain an instance that is already gone.
-STALE_MS = 4_000
+MAX_REPORT_AGE_MS = 4_000
 # If the caller's failure domain has fewer instances, those of other domains are
 # returned as well, so that the caller has an alternative when one instance fails.
 MIN_DOMAIN_INSTANCES = 2
@@ -69,17 +69,21 @@
         """
         excluded_names = set(excluded)
         ready = [
-            each.address
-            for each in self._reported.values()
-            if each.ready
-            and now_ms - each.reported_ms <= STALE_MS
-            and each.address.instance not in excluded_names
+            reported.address
+            for reported in self._reported.values()
+            if reported.ready
+            and now_ms - reported.reported_ms <= MAX_REPORT_AGE_MS
+            and reported.address.instance not in excluded_names
         ]
         if own_ready:
             ready.append(self._own_address)
-        in_domain = [e for e in ready if e.failure_domain == query.failure_domain]
+        in_domain = [
+            address
+            for address in ready
+            if address.failure_domain == query.failure_domain
+        ]
         if len(in_domain) >= MIN_DOMAIN_INSTANCES:
             return in_domain[:MAX_INSTANCES]
-        return (in_domain + [each for each in ready if each not in in_domain])[
+        return (in_domain + [other for other in ready if other not in in_domain])[
             :MAX_INSTANCES
         ]
--- a/savorychute/gateway/settings/key_trust.py
+++ b/savorychute/gateway/settings/key_trust.py
@@ -7,7 +7,8 @@
 if TYPE_CHECKING:
     from savorychute.gateway.settings.gateway_settings import GatewaySettings
 
-# The rest of the notice is for requests in transit to an endpoint when the trust ends.
+# Share of the time within which a revoked key must be refused.  The rest is for
+# requests that are in transit to an endpoint when keys are no longer accepted.
 KEY_TRUST_SHARE = 0.9
 
 
--- a/savorychute/gateway/settings/table.py
+++ b/savorychute/gateway/settings/table.py
@@ -190,7 +190,7 @@
     Rule(
         'readiness_address',
         'different from "caller_address"',
-        lambda each: each.readiness_address != each.caller_address,
+        lambda settings: settings.readiness_address != settings.caller_address,
     ),
 )
 
--- a/savorychute/gateway/telemetry.py
+++ b/savorychute/gateway/telemetry.py
@@ -74,7 +74,7 @@
             self.log.info('store-used', item=topic, reason=counts)
 
     def store_went_back(self, era: int) -> None:
-        """Log that entries were rewritten after the store went back to a copy."""
+        """Log that entries were rewritten because the store is now an older copy."""
         self.log.warning('store-went-back', era=era)
 
     def store_responded(self, topic: str) -> None:
@@ -196,7 +196,7 @@
         self,
         request: InboundRequest,
         choice: Choice,
-        need: RequestRequirements,
+        requirements: RequestRequirements,
         limit: str,
         now_ms: int,
     ) -> None:
@@ -208,18 +208,18 @@
         record = choice.record
         load = record.load or UNKNOWN_LOAD
         begun_rank = load.begun_rank
-        self.metrics.count('sheds_total', rank=str(need.rank), limit=limit)
+        self.metrics.count('sheds_total', rank=str(requirements.rank), limit=limit)
         self.write(
             LogLevel.WARNING,
             'request-shed',
             request.attempt_id,
             endpoint=record.entry.endpoint,
-            rank=need.rank,
+            rank=requirements.rank,
             reason=limit,
             count=load.requests,
             waiting=load.waiting,
             generating=load.generating,
-            ahead=load.generating_ahead(need.rank),
+            ahead=load.generating_ahead(requirements.rank),
             begun_rank=NO_RANK if begun_rank is None else begun_rank,
             waited_ms=int(choice.wait_ms),
             age_ms=record.load_age_ms(now_ms),
