--- a/savorychute/limits/home_handler.py
+++ b/savorychute/limits/home_handler.py
@@ -41,7 +41,9 @@
         """Apply amended contracts, and discard removed organisations."""
         meters = self._shares.meters
         self._allocators = {
-            c: allocator for c, allocator in self._allocators.items() if c in meters
+            name: allocator
+            for name, allocator in self._allocators.items()
+            if name in meters
         }
         for organisation, allocator in self._allocators.items():
             allocator.total = meters[organisation].total
@@ -75,7 +77,7 @@
         self._allocators[organisation] = allocator
 
     def resign_home(self, organisation: str, now_ms: int) -> None:
-        """Stop being the home, and retain only a floor of the own share.
+        """Stop being the home, and retain only a floor of this instance's share.
 
         Another home may divide the rest from now on.
 
@@ -116,7 +118,7 @@
         """
         for allocator in self._allocators.values():
             allocator.record_loss(self._shares.quorum.reported_loss_ms)
-            unknown = [i for i in losses if not allocator.is_known(i)]
+            unknown = [name for name in losses if not allocator.is_known(name)]
             if unknown:
                 allocator.add_unreported(unknown, now_ms)
                 allocator.record_loss(now_ms)
@@ -148,7 +150,7 @@
     def receive_report(
         self, sender: str, message: LimitReport, view: MemberView, now_ms: int
     ) -> list[Action]:
-        """Apply a report and answer it with grants.
+        """Apply a report and respond with grants.
 
         :param sender: the reporting instance.
         :param message: the report.
@@ -197,7 +199,7 @@
     def _send_grants(
         self, pushes: dict[str, list[ShareAllocator]], view: MemberView, now_ms: int
     ) -> list[Action]:
-        """Send grants, one message for all organisations that answer one report."""
+        """Send grants, one message for all that respond to the same report."""
         settings = self._shares.settings
         actions: list[Action] = []
         for instance, allocators in pushes.items():
--- a/savorychute/limits/limit_grant.py
+++ b/savorychute/limits/limit_grant.py
@@ -10,7 +10,7 @@
 
 @peer_message(41)
 class LimitGrant(NamedTuple):
-    """Granted shares, whose validity starts at the report they answer.
+    """Granted shares, whose validity starts at the report they respond to.
 
     ``epoch`` and ``report_number`` identify that report; ``home_epoch`` changes each
     time the home starts.  ``vetoers`` are members that do not see a majority of the
--- a/savorychute/limits/limiter.py
+++ b/savorychute/limits/limiter.py
@@ -55,7 +55,9 @@
                 meter = OrganisationMeter(entry, self.settings, self._now_ms)
                 self._meters[organisation] = meter
             meter.set_limits(entry, self._now_ms)
-        self._meters = {c: m for c, m in self._meters.items() if c in limits}
+        self._meters = {
+            name: kept for name, kept in self._meters.items() if name in limits
+        }
         self._handler.set_meters(self._meters, self._now_ms)
 
     def check(self, organisation: str, tokens: int, now_ms: int) -> int:
--- a/savorychute/limits/quorum_tracker.py
+++ b/savorychute/limits/quorum_tracker.py
@@ -195,14 +195,18 @@
 
         :param since_ms: that time.
         """
-        return tuple(i for i, ms in self._lost.items() if ms >= since_ms)
+        return tuple(
+            name for name, lost_ms in self._lost.items() if lost_ms >= since_ms
+        )
 
     def list_left(self, since_ms: int) -> list[str]:
         """Return the members that left gracefully and may still report.
 
         :param since_ms: start of the period; members that left earlier are discarded.
         """
-        self._left = {i: ms for i, ms in self._left.items() if ms >= since_ms}
+        self._left = {
+            name: left_ms for name, left_ms in self._left.items() if left_ms >= since_ms
+        }
         return list(self._left)
 
     def remove_expired(self, now_ms: int) -> None:
@@ -220,7 +224,11 @@
             self._promote_settled(now_ms)
             if now_ms - self._majority_since_ms >= self.settings.forget_ms:
                 self._drop_before(now_ms - self.settings.forget_ms)
-        self._vetoes = {o: ms for o, ms in self._vetoes.items() if ms > now_ms}
+        self._vetoes = {
+            origin: ends_ms
+            for origin, ends_ms in self._vetoes.items()
+            if ends_ms > now_ms
+        }
 
     def _promote_settled(self, now_ms: int) -> None:
         """Turn pending members into voters once all others must have seen them."""
--- a/savorychute/limits/settings.py
+++ b/savorychute/limits/settings.py
@@ -9,14 +9,23 @@
     """Durations and sizes of shares.
 
     ``burst_ms`` is how long an unused rate accumulates.  A share is valid for
-    ``grant_ms`` from the report that it answers, and its floor for ``floor_ms``; the
-    floor is ``floor_share`` of the share.  Shares are valid for longer than it takes to
-    detect the death of a home; otherwise its successor would not learn of them.
-    ``detection_ms`` bounds how long members that can reach each other disagree on who
-    is alive, and ``in_progress_ms`` how long work that started under an expired share
-    is counted.  ``left_ms`` is how long a home waits for the report of a member that
-    left gracefully.  A majority forgets a lost member after ``forget_ms``, a minority
-    after ``minority_forget_ms``.
+    ``grant_ms`` from the report to which it responds, and its floor for ``floor_ms``;
+    the floor is ``floor_share`` of the share.  Shares are valid for longer than it
+    takes to detect the death of a home; otherwise its successor would not learn of
+    them.  ``detection_ms`` bounds how long members that can reach each other disagree
+    on who is alive, and ``in_progress_ms`` how long work that started under an expired
+    share is counted.  ``left_ms`` is how long a home waits for the report of a member
+    that left gracefully.  A majority forgets a lost member after ``forget_ms``, a
+    minority after ``minority_forget_ms``.
+
+    A used organisation is reported every ``report_interval_ms``; already after
+    ``sunk_interval_ms`` if its demand has fallen below half, and after
+    ``pressure_interval_ms`` if refused requests need more units, or reclaimed ones have
+    become free.  Units are divided again after ``division_interval_ms``, or after
+    ``urgent_division_interval_ms`` if more are wanted, or if some have become free
+    while an instance lacks units.  If there are fewer units than instances that want
+    some, other instances receive them every ``turn_ms``.  An instance wants spare units
+    of an organisation for ``spare_memory_ms`` after its last use.
     """
 
     burst_ms: int = 1_000
--- a/savorychute/limits/share_allocator.py
+++ b/savorychute/limits/share_allocator.py
@@ -219,7 +219,7 @@
         return True
 
     def make_grant(self, instance: str, now_ms: int) -> tuple[int, int, ShareGrant]:
-        """Return the epoch and report that a new grant answers, and the grant.
+        """Return the epoch and report that a new grant responds to, and the grant.
 
         :param instance: a holder that has reported.
         :param now_ms: the current time.
@@ -255,12 +255,12 @@
         pushes = []
         for instance, record in self._records.items():
             before = record.last_units()
-            has_too_much = self._targets.get(instance, 0) < before
-            can_have_more = (
+            exceeds_target = self._targets.get(instance, 0) < before
+            can_receive_more = (
                 record.wanted > before
                 and self._clip_target(instance, record, now_ms) > before
             )
-            if can_have_more or (is_short and has_too_much):
+            if can_receive_more or (is_short and exceeds_target):
                 pushes.append(instance)
         return pushes
 
@@ -296,7 +296,7 @@
         return False
 
     def _floor_lifetime_ms(self) -> int:
-        """Return how long a floor is counted from the report that it answers."""
+        """Return how long a floor is counted from the report that it responds to."""
         return self.settings.floor_ms + self.settings.floor_overrun_ms
 
     def _awaits_reports(self, now_ms: int) -> bool:
--- a/savorychute/limits/share_record.py
+++ b/savorychute/limits/share_record.py
@@ -58,7 +58,9 @@
             floor_ends_ms=now_ms + report.floor_left_ms + settings.floor_overrun_ms,
         )
         self._sent_commitments = [
-            o for o in self._sent_commitments if o.sequence > report.sequence
+            commitment
+            for commitment in self._sent_commitments
+            if commitment.sequence > report.sequence
         ]
 
     def add_commitment(self, commitment: ShareCommitment) -> None:
@@ -88,9 +90,9 @@
         """
         return max(
             (
-                o.floor
-                for o in (self._applied, *self._sent_commitments)
-                if now_ms < o.floor_ends_ms
+                commitment.floor
+                for commitment in (self._applied, *self._sent_commitments)
+                if now_ms < commitment.floor_ends_ms
             ),
             default=0,
         )
@@ -109,7 +111,7 @@
         :param now_ms: the current time.
         """
         self._sent_commitments = [
-            o
-            for o in self._sent_commitments
-            if now_ms < max(o.ends_ms, o.floor_ends_ms)
+            commitment
+            for commitment in self._sent_commitments
+            if now_ms < max(commitment.ends_ms, commitment.floor_ends_ms)
         ]
