--- a/savorychute/credits/credit_grant.py
+++ b/savorychute/credits/credit_grant.py
@@ -10,7 +10,7 @@
 
 @peer_message(31)
 class CreditGrant(NamedTuple):
-    """Granted levels, valid for ``duration_ms`` from the report they answer.
+    """Granted levels, valid for ``duration_ms`` from the report they respond to.
 
     ``epoch`` and ``report_number`` identify that report; ``home_epoch`` changes each
     time the home starts.
--- a/savorychute/credits/group_allocator.py
+++ b/savorychute/credits/group_allocator.py
@@ -177,7 +177,7 @@
     def make_grant(
         self, instance: str, loads: tuple[EndpointLoad, ...], now_ms: int
     ) -> tuple[int, int, GroupGrant]:
-        """Return the epoch and report that a new grant answers, and the grant.
+        """Return the epoch and report that a new grant responds to, and the grant.
 
         :param instance: a holder that has reported.
         :param loads: load reports to send with the grant.
--- a/savorychute/credits/group_holding.py
+++ b/savorychute/credits/group_holding.py
@@ -51,7 +51,7 @@
         self._reported_in_use: dict[int, int] = {}
         self._levels: dict[int, int] = {}
         self._expires_ms = 0
-        self._unanswered_since_ms: int | None = None
+        self._no_response_since_ms: int | None = None
 
     @property
     def is_used(self) -> bool:
@@ -65,7 +65,7 @@
         """
         if home != self.home:
             self.home = home
-            self._unanswered_since_ms = None
+            self._no_response_since_ms = None
             self.home_epoch = 0
             self.sequence = 0
             self.must_report = True
@@ -94,21 +94,22 @@
         return freed > 0 and freed >= minimum
 
     def is_home_unresponsive(self, now_ms: int) -> bool:
-        """Return whether the home has not answered for the duration of a grant.
+        """Return whether the home has not responded for the duration of a grant.
 
         :param now_ms: the current time.
         """
-        if self._unanswered_since_ms is None or now_ms < self._expires_ms:
+        if self._no_response_since_ms is None or now_ms < self._expires_ms:
             return False
-        return now_ms - self._unanswered_since_ms >= self.grant_ms
+        return now_ms - self._no_response_since_ms >= self.grant_ms
 
     def apply(self, home_epoch: int, grant: GroupGrant, expires_ms: int) -> bool:
         """Put a grant in force; return whether it was new.
 
         :param home_epoch: epoch of the home's process run.
         :param grant: grant by the home of this group.
-        :param expires_ms: expiry time, counted from the report that the grant answers,
-            so that the grant expires here before it expires in the home's records.
+        :param expires_ms: expiry time, counted from the report to which the grant
+            responds, so that the grant expires here before it expires in the home's
+            records.
         """
         if home_epoch == self.home_epoch and grant.sequence <= self.sequence:
             return False
@@ -116,7 +117,7 @@
         self.sequence = grant.sequence
         self.pressing_tier = grant.pressing_tier
         self.report_interval_ms = grant.report_interval_ms
-        self._unanswered_since_ms = None
+        self._no_response_since_ms = None
         self._levels = {entry.endpoint: entry.level for entry in grant.levels}
         self._expires_ms = expires_ms
         self.must_report = self.must_report or grant.must_acknowledge
@@ -156,9 +157,11 @@
         :param now_ms: the current time.
         :param wants_spare: whether spare credit beyond the demand is wanted.
         """
-        if self._unanswered_since_ms is None:
-            self._unanswered_since_ms = now_ms
-        self._reported_in_use = {e: n for e, n in self.in_use.items() if n > 0}
+        if self._no_response_since_ms is None:
+            self._no_response_since_ms = now_ms
+        self._reported_in_use = {
+            key: count for key, count in self.in_use.items() if count > 0
+        }
         uses = []
         for endpoint in self.group.names:
             held = self.level(endpoint, now_ms) or 0
--- a/savorychute/credits/group_table.py
+++ b/savorychute/credits/group_table.py
@@ -54,7 +54,11 @@
             name: group for group in groups.values() for name in group.names.values()
         }
         before = self.holdings
-        changed = [k for k, h in before.items() if groups.get(k) != h.group]
+        changed = [
+            old_key
+            for old_key, holding in before.items()
+            if groups.get(old_key) != holding.group
+        ]
         self.holdings = {
             key: before[key]
             if key in before and key not in changed
@@ -101,7 +105,11 @@
             chosen = choose_subset(
                 self.instance,
                 self.region,
-                [h.group for h in self.holdings.values() if pool in h.group.pools],
+                [
+                    holding.group
+                    for holding in self.holdings.values()
+                    if pool in holding.group.pools
+                ],
                 self.endpoints,
                 self.settings.subset_size,
             )
--- a/savorychute/credits/holder_record.py
+++ b/savorychute/credits/holder_record.py
@@ -52,7 +52,9 @@
         self._held = {use.endpoint: use.held for use in report.uses}
         self._in_use = {use.endpoint: use.in_use for use in report.uses}
         self._held_until_ms = held_until_ms
-        self._sent_grants = [o for o in self._sent_grants if o.sequence > own_sequence]
+        self._sent_grants = [
+            grant for grant in self._sent_grants if grant.sequence > own_sequence
+        ]
 
     def add_grant(self, grant: SentGrant) -> None:
         """Record a grant that is being sent.
@@ -86,7 +88,9 @@
 
         :param now_ms: the current time.
         """
-        self._sent_grants = [o for o in self._sent_grants if now_ms < o.expires_ms]
+        self._sent_grants = [
+            grant for grant in self._sent_grants if now_ms < grant.expires_ms
+        ]
 
 
 def _raise_to(most: dict[int, int], levels: dict[int, int]) -> None:
--- a/savorychute/credits/home_handler.py
+++ b/savorychute/credits/home_handler.py
@@ -97,7 +97,7 @@
     def receive_report(
         self, sender: str, message: CreditReport, view: MemberView, now_ms: int
     ) -> list[Action]:
-        """Apply a report and answer it with grants.
+        """Apply a report and respond with grants.
 
         :param sender: the reporting instance.
         :param message: the report.
@@ -161,7 +161,7 @@
     def _send_grants(
         self, pushes: dict[str, list[GroupAllocator]], view: MemberView, now_ms: int
     ) -> list[Action]:
-        """Send grants, one message for all groups that answer one report."""
+        """Send grants, one message for all that respond to the same report."""
         actions: list[Action] = []
         for instance, allocators in pushes.items():
             by_report: dict[tuple[int, int], list[GroupGrant]] = {}
--- a/savorychute/credits/ledger.py
+++ b/savorychute/credits/ledger.py
@@ -63,7 +63,9 @@
         for key in self._groups.set_endpoints(endpoints):
             self._home_handler.resign_home(key)
         holdings = self._groups.holdings
-        self._home_table.set_keys({key: h.group.region for key, h in holdings.items()})
+        self._home_table.set_keys(
+            {key: holding.group.region for key, holding in holdings.items()}
+        )
         self._update_homes(self._now_ms)
 
     def candidates(self, pool: str) -> tuple[str, ...]:
@@ -244,8 +246,8 @@
             return 0
         total = int(group.capacities[endpoint] * self.settings.survival_share)
         position = (names.index(self.instance) + endpoint) % len(names)
-        each, extra = divmod(total, len(names))
-        return each + (position < extra)
+        equal_part, remainder = divmod(total, len(names))
+        return equal_part + (position < remainder)
 
     def _has_tokens(
         self, group: EndpointGroup, endpoint: str, expected_tokens: int
--- a/savorychute/credits/levels.py
+++ b/savorychute/credits/levels.py
@@ -12,12 +12,12 @@
 #: Share of the levels that must change for a message between regular reports.
 MIN_SHIFT_SHARE = 0.25
 
-#: Demand that has grown by this factor needs an immediate answer.
+#: Capacity is divided at once if demand has grown by this factor.
 GROWTH_FACTOR = 1.5
 
 
 def has_grown(before: tuple[int, ...], after: tuple[int, ...]) -> bool:
-    """Return whether demand needs an answer before the next regular one.
+    """Return whether demand has grown so much that capacity is divided at once.
 
     :param before: number of requests that waited, by tier.
     :param after: number of requests that wait now, by tier.
@@ -34,7 +34,7 @@
     :param levels: levels by endpoint.
     :param others: levels by endpoint.
     """
-    return sum(max(0, n - others.get(key, 0)) for key, n in levels.items())
+    return sum(max(0, level - others.get(key, 0)) for key, level in levels.items())
 
 
 def min_shift(levels: Mapping[int, int]) -> int:
--- a/savorychute/credits/report_handler.py
+++ b/savorychute/credits/report_handler.py
@@ -67,8 +67,8 @@
     ) -> list[Action]:
         """Put grants in force, and acknowledge those that reclaim credit.
 
-        The validity of a grant starts at the report that it answers.  A grant that
-        answers no recent report of this process run is ignored, because it could
+        The validity of a grant starts at the report that it responds to.  A grant that
+        responds to no recent report of this process run is ignored, because it could
         outlast its entry in the home's records.
 
         :param sender: the home.
--- a/savorychute/credits/sent_reports.py
+++ b/savorychute/credits/sent_reports.py
@@ -1,4 +1,4 @@
-"""The reports that a home may still answer."""
+"""The reports to which a home may still respond."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 class SentReports:
     """Numbers reports and records when each was sent.
 
-    The validity of a grant starts at the report that it answers: the home knew at least
-    the content of that report, whenever its answer arrives.
+    The validity of a grant starts at the report that it responds to: the home knew at
+    least the content of that report, whenever its response arrives.
     """
 
     def __init__(self) -> None:
