--- a/savorychute/admission/guaranteed_starts.py
+++ b/savorychute/admission/guaranteed_starts.py
@@ -27,26 +27,29 @@
     def __init__(self, one_in: int) -> None:
         self.one_in = one_in
         self.start_count = 0
-        self._last_guaranteed = -one_in
-        self._due_at: dict[ClassKey, int] = {}
-        self._interval: dict[ClassKey, int] = {}
+        self._last_guaranteed_start = -one_in
+        # The number of the start from which on each class is due.
+        self._due_start: dict[ClassKey, int] = {}
+        self._interval_starts: dict[ClassKey, int] = {}
         self._heap: list[tuple[int, ClassKey]] = []
         self._in_heap: set[ClassKey] = set()
 
     def add(self, key: ClassKey, share: float) -> None:
         """Record that a class has waiting requests.
 
-        A class that ran out of requests without a start keeps its due time.
+        A class that ran out of requests without a start keeps its due start.
         Otherwise a class whose requests time out one by one would never be due.
 
         :param key: the class.
         :param share: the guaranteed share of the starts.
         """
-        self._interval[key] = math.ceil(1 / share)
-        due_at = self._due_at.setdefault(key, self.start_count + self._interval[key])
+        self._interval_starts[key] = math.ceil(1 / share)
+        due_start = self._due_start.setdefault(
+            key, self.start_count + self._interval_starts[key]
+        )
         if key not in self._in_heap:
             self._in_heap.add(key)
-            heapq.heappush(self._heap, (due_at, key))
+            heapq.heappush(self._heap, (due_start, key))
 
     def record_start(self, key: ClassKey, *, is_guaranteed: bool) -> None:
         """Record a start.
@@ -55,9 +58,9 @@
         :param is_guaranteed: whether it was started because of its guarantee.
         """
         self.start_count += 1
-        self._due_at[key] = self.start_count + self._interval[key]
+        self._due_start[key] = self.start_count + self._interval_starts[key]
         if is_guaranteed:
-            self._last_guaranteed = self.start_count
+            self._last_guaranteed_start = self.start_count
 
     def pop_due(self) -> ClassKey | None:
         """Remove and return the class whose guarantee is due now, if any.
@@ -65,18 +68,18 @@
         The caller returns it with :meth:`put_back` if it still has waiting
         requests.
         """
-        if self.start_count - self._last_guaranteed < self.one_in - 1:
+        if self.start_count - self._last_guaranteed_start < self.one_in - 1:
             return None
         while self._heap:
-            queued_at, key = self._heap[0]
-            if queued_at > self.start_count:
+            entry_due_start, key = self._heap[0]
+            if entry_due_start > self.start_count:
                 return None
             heapq.heappop(self._heap)
-            due_at = self._due_at[key]
-            if due_at <= self.start_count:
+            due_start = self._due_start[key]
+            if due_start <= self.start_count:
                 self._in_heap.discard(key)
                 return key
-            heapq.heappush(self._heap, (due_at, key))
+            heapq.heappush(self._heap, (due_start, key))
         return None
 
     def put_back(self, key: ClassKey) -> None:
@@ -86,4 +89,4 @@
         """
         if key not in self._in_heap:
             self._in_heap.add(key)
-            heapq.heappush(self._heap, (self._due_at[key], key))
+            heapq.heappush(self._heap, (self._due_start[key], key))
--- a/savorychute/admission/start_rate.py
+++ b/savorychute/admission/start_rate.py
@@ -6,7 +6,7 @@
 
 #: The time constant of the decay: the weight of a start falls by a factor of e
 #: in this time.
-DECAY_TIME_MS = 5_000
+DECAY_TIME_CONSTANT_MS = 5_000
 
 #: With fewer starts the rate is unknown.
 MIN_STARTS = 8.0
@@ -59,7 +59,7 @@
         elapsed_ms = now_ms - self._last_ms
         if elapsed_ms <= 0:
             return
-        factor = math.exp(-elapsed_ms / DECAY_TIME_MS)
+        factor = math.exp(-elapsed_ms / DECAY_TIME_CONSTANT_MS)
         for tier in self._decayed_starts:
             self._decayed_starts[tier] *= factor
         self._busy_ms = self._busy_ms * factor + elapsed_ms
--- a/savorychute/admission/tiered.py
+++ b/savorychute/admission/tiered.py
@@ -167,7 +167,9 @@
         if can_start is not None and not can_start(head):
             return None
         self._expire_preemptions(now_ms)
-        waiting = sum(n for tier, n in queue.waiting().items() if tier <= head.tier)
+        waiting = sum(
+            count for tier, count in queue.waiting().items() if tier <= head.tier
+        )
         pending = sum(entry.request_id in self._preempted_at_ms for entry in running)
         victims = [
             entry
