--- a/savorychute/http/client_connection.py
+++ b/savorychute/http/client_connection.py
@@ -179,8 +179,8 @@
         self._handler = None
         done = self._http.our_state is h11.DONE is self._http.their_state
         transport = cast('asyncio.Transport', self._transport)
-        unsent = transport.get_write_buffer_size()
-        if done and not unsent and not self._http.trailing_data[0]:
+        unsent_bytes = transport.get_write_buffer_size()
+        if done and not unsent_bytes and not self._http.trailing_data[0]:
             self._http.start_next_cycle()
             self.resume_reading()
             self._on_idle(self)
--- a/savorychute/http/http_limits.py
+++ b/savorychute/http/http_limits.py
@@ -15,7 +15,9 @@
     connections; beyond it those with the most unread bytes are aborted.
     ``stalled_ms`` is how long a response may wait for a caller that does not
     read.  ``write_buffer_bytes`` is where back-pressure starts, and
-    ``max_write_buffer_bytes`` where the connection is aborted.
+    ``max_write_buffer_bytes`` where the connection is aborted.  ``send_buffer_bytes``
+    limits the kernel's send buffer.  ``linger_ms`` is how long a connection stays open
+    after its last response, so that the caller can read it.
     """
 
     connections: int = 4096
--- a/savorychute/wire/field_shape.py
+++ b/savorychute/wire/field_shape.py
@@ -13,6 +13,7 @@
     str: 'Text',
     bytes: 'Data',
 }
+# Number of type arguments of a list field, ``tuple[X, ...]``.
 LIST_ARGUMENTS = 2
 
 
--- a/savorychute/wire/message_codec.py
+++ b/savorychute/wire/message_codec.py
@@ -101,7 +101,7 @@
     def _find_tag(self, message: type) -> int:
         tag = self._tags.get(message)
         if tag is None:
-            self._tags = {kind: each for each, kind in self._messages.items()}
+            self._tags = {record: number for number, record in self._messages.items()}
             tag = self._tags.get(message)
         if tag is None:
             raise MessageError(f'{message.__name__} is no registered peer message')
--- a/savorychute/wire/peer_packages.py
+++ b/savorychute/wire/peer_packages.py
@@ -36,5 +36,5 @@
 
 def _import_modules(package: str) -> None:
     module = importlib.import_module(package)
-    for found in pkgutil.iter_modules(module.__path__, f'{package}.'):
-        importlib.import_module(found.name)
+    for module_info in pkgutil.iter_modules(module.__path__, f'{package}.'):
+        importlib.import_module(module_info.name)
--- a/savorychute/wire/schema_writer.py
+++ b/savorychute/wire/schema_writer.py
@@ -48,22 +48,22 @@
 
     :raises TypeError: if two records share a name.
     """
-    found: dict[str, type] = {}
+    records_by_name: dict[str, type] = {}
     for root in roots:
-        _collect(root, found)
-    return list(found.values())
+        _collect(root, records_by_name)
+    return list(records_by_name.values())
 
 
-def _collect(record: type, found: dict[str, type]) -> None:
-    existing = found.get(record.__name__)
+def _collect(record: type, records_by_name: dict[str, type]) -> None:
+    existing = records_by_name.get(record.__name__)
     if existing is record:
         return
     if existing is not None:
         raise TypeError(f'two records are called {record.__name__}')
     for shape in describe_fields(record):
         if shape.is_struct:
-            _collect(shape.element, found)
-    found[record.__name__] = record
+            _collect(shape.element, records_by_name)
+    records_by_name[record.__name__] = record
 
 
 def _write_struct(record: type, tag: int | None) -> str:
--- a/savorychute/wire/signature.py
+++ b/savorychute/wire/signature.py
@@ -1,9 +1,9 @@
 """Signatures of peer messages.
 
-A frame consists of a version byte, the key's number in two bytes, a tag of 16
-bytes and the packed envelope.  The tag is keyed BLAKE2b (RFC 7693) over the
-receiver's name, the key's number and the envelope, so that a frame recorded
-on its way to one instance is refused by all others.
+A frame consists of a version byte, the key's number in two bytes, an
+authentication tag of 16 bytes and the packed envelope.  The tag is keyed BLAKE2b
+(RFC 7693) over the receiver's name, the key's number and the envelope, so that a
+frame recorded on its way to one instance is refused by all others.
 """
 
 from __future__ import annotations
--- a/savorychute/wire/struct_codec.py
+++ b/savorychute/wire/struct_codec.py
@@ -94,12 +94,12 @@
 
 
 def _read_field(get_field: Any, field: _FieldCodec) -> Any:
-    found = get_field(field.descriptor)
+    value = get_field(field.descriptor)
     if field.nested is not None:
         if field.shape.is_list:
-            return tuple([field.nested.read(item) for item in found])
-        return field.nested.read(found)
+            return tuple([field.nested.read(item) for item in value])
+        return field.nested.read(value)
     if field.shape.is_enum:
         convert = field.shape.element
-        return tuple(map(convert, found)) if field.shape.is_list else convert(found)
-    return tuple(found) if field.shape.is_list else found
+        return tuple(map(convert, value)) if field.shape.is_list else convert(value)
+    return tuple(value) if field.shape.is_list else value
