--- a/savorychute/gateway/daemon/duty_worker.py
+++ b/savorychute/gateway/daemon/duty_worker.py
@@ -77,8 +77,8 @@
         """Order endpoints; return the platform's response.
 
         The platform uses one status both for a later holder and for a kind of endpoint
-        that is not available now.  A later holder shows in the topic of claims, so the
-        latter is assumed.
+        that is not available now.  The topic of claims shows a later holder, so here
+        the status is taken to mean that the kind is not available.
         """
         outcome = await self._call(
             self._adapter.encode_servers(server_order, duty_order)
--- a/savorychute/gateway/daemon/early_listeners.py
+++ b/savorychute/gateway/daemon/early_listeners.py
@@ -30,8 +30,8 @@
     that is not listening, and callers would fail; a listening socket queues them until
     they can be served.
 
-    Settings are validated later, with all their faults.  An address that cannot be read
-    or used here is skipped.
+    All faults of the settings are reported later, when they are validated.  An address
+    that cannot be read or used here is skipped.
 
     :param path: path of the settings file.
     :returns: the sockets, by address.
--- a/savorychute/gateway/discovery/instance_directory.py
+++ b/savorychute/gateway/discovery/instance_directory.py
@@ -10,8 +10,8 @@
     from savorychute.gateway.discovery.discovery_query import DiscoveryQuery
     from savorychute.member_address import MemberAddress
 
-# An instance that has reported nothing for this long is left out.  Members probe each
-# other at least once in 2 s while there are few.  A caller caches the response for
+# An instance that has reported nothing for this long is left out.  While there are few
+# members, they probe each other at least once in 2 s.  A caller caches the response for
 # seconds, so it should not contain an instance that is already gone.
 MAX_REPORT_AGE_MS = 4_000
 # If the caller's failure domain has fewer instances, those of other domains are
--- a/tests/test_fleet/fleet_fixture.py
+++ b/tests/test_fleet/fleet_fixture.py
@@ -255,7 +255,7 @@
         'platform': 'fleet',
         'store_timeout_ms': 300,
     }
-    return parse_schema(json.dumps(document | fields), 'rig', GATEWAY_SCHEMA)
+    return parse_schema(json.dumps(document | fields), 'fleet-fixture', GATEWAY_SCHEMA)
 
 
 @asynccontextmanager
--- a/tests/test_fleet/test_attempt_sender.py
+++ b/tests/test_fleet/test_attempt_sender.py
@@ -105,7 +105,7 @@
 
 
 def test_attempt_is_withheld_from_leaving_endpoint(sender_fixture):
-    """Guards against a call that was prepared before its endpoint stated that."""
+    """Guards against a call that was prepared before its endpoint stated leaving."""
     handler = sender_fixture.start_attempt()
     sender_fixture.statements.leaving.record_leaving(ENTRY.run, NOW_MS)
 
--- a/tests/test_fleet/test_dialects.py
+++ b/tests/test_fleet/test_dialects.py
@@ -216,13 +216,13 @@
 
 
 @pytest.mark.parametrize(
-    ('text', 'rest_ms'),
+    ('text', 'backoff_ms'),
     [('3', 3_000), ('0.25', 250), ('0', 0), ('1e300', 3_600_000)],
 )
-def test_requested_backoff_is_decoded(text, rest_ms):
+def test_requested_backoff_is_decoded(text, backoff_ms):
     statement = statement_dialect.decode_statement(503, {'retry-after': text})
 
-    assert statement == EndpointStatement(backoff_ms=rest_ms)
+    assert statement == EndpointStatement(backoff_ms=backoff_ms)
 
 
 def test_only_status_503_requests_backoff():
@@ -243,7 +243,7 @@
     assert statement == EndpointStatement(unreadable=(unreadable,))
 
 
-def test_report_of_an_engine():
+def test_load_report_of_an_engine_is_decoded():
     body = msgspec.json.encode(
         {
             'waiting': 3,
@@ -354,7 +354,7 @@
         decode_configuration('config', msgspec.json.encode(CONFIGURATION | change))
 
 
-def test_entry_of_an_endpoint():
+def test_entry_of_an_endpoint_is_decoded():
     value = msgspec.json.encode(
         {
             'service': 'x',
--- a/tests/test_fleet/test_explaining.py
+++ b/tests/test_fleet/test_explaining.py
@@ -49,7 +49,7 @@
     return response, '\n'.join(describe_request(request_id, read_logs([path])))
 
 
-def test_refusal_under_load(tmp_path):
+def test_refusal_under_load_is_explained(tmp_path):
     async def scenario(fleet):
         engine = fleet.endpoints['e1']
         engine.report_body = b'{"waiting":90,"running":8,"runs":[],"nextToken":17000}'
@@ -62,17 +62,17 @@
     assert 'overload with status 503' in story
 
 
-def test_outcome_unknown_after_a_crash(tmp_path):
+def test_unknown_outcome_after_a_crash_is_explained(tmp_path):
     async def scenario(fleet):
         for endpoint in fleet.endpoints.values():
             endpoint.aborts = True
         response = await fleet.call('/a/1')
         fleet.store.put('keyed.servers', 'd1', None)
         await fleet.call_until_status(503)
-        fleet.last_attempt_id = response_id
+        fleet.last_attempt_id = failed_attempt_id
         return response
 
-    response_id = 'try-2'
+    failed_attempt_id = 'try-2'
     response, story = explain(scenario, tmp_path)
 
     assert response.status == 502
@@ -80,7 +80,7 @@
     assert 'learned that d1 is gone' in story
 
 
-def test_refused_key_after_it_was_revoked(tmp_path):
+def test_refusal_of_a_revoked_key_is_explained(tmp_path):
     async def scenario(fleet):
         fleet.write_configuration(2, tenants=[{'name': 'kochi', 'apiKeys': ['new']}])
         return await fleet.call_until_status(401)
@@ -92,7 +92,7 @@
     assert '(unknown-key), told not-run; by version 2' in story
 
 
-def test_refused_key_while_the_store_is_unavailable(tmp_path):
+def test_refusal_of_a_key_without_the_store_is_explained(tmp_path):
     async def scenario(fleet):
         fleet.store.mode = 'busy'
         return await fleet.call_until_status(503)
@@ -104,7 +104,7 @@
     assert 'key-unconfirmed' in story
 
 
-def test_refusal_if_the_only_endpoint_accepts_no_more_calls(tmp_path):
+def test_refusal_because_of_the_limit_of_the_only_endpoint_is_explained(tmp_path):
     async def scenario(fleet):
         fleet.endpoints['d1'].statement_headers = (('server-limit', '0.5'),)
         await fleet.call()
@@ -117,7 +117,7 @@
     assert 'a permit to call d1 was denied, for 2000 ms' in story
 
 
-def test_refusal_if_the_only_endpoint_is_in_backoff(tmp_path):
+def test_refusal_because_the_only_endpoint_is_in_backoff_is_explained(tmp_path):
     async def scenario(fleet):
         endpoint = fleet.endpoints['d1']
         endpoint.sheds, endpoint.statement_headers = True, (('retry-after', '3'),)
@@ -129,7 +129,7 @@
     assert 'was asked by d1 for a rest of 3000 ms' in story
 
 
-def test_refusal_if_the_only_endpoint_has_announced_that_it_leaves(tmp_path):
+def test_refusal_because_the_only_endpoint_is_leaving_is_explained(tmp_path):
     async def scenario(fleet):
         fleet.endpoints['d1'].statement_headers = (('server-leaving', '1'),)
         await fleet.call()
--- a/tests/test_fleet/test_leaving_and_backoff.py
+++ b/tests/test_fleet/test_leaving_and_backoff.py
@@ -52,7 +52,7 @@
 
 
 def count_received_after(endpoint, at_s):
-    return sum(each > at_s for each in endpoint.received_times_s)
+    return sum(received_s > at_s for received_s in endpoint.received_times_s)
 
 
 def test_endpoint_that_states_leaving_receives_no_new_requests():
--- a/tests/test_fleet/test_planned_changes.py
+++ b/tests/test_fleet/test_planned_changes.py
@@ -12,14 +12,14 @@
 from savorychute.testing.virtual_loop import run_virtual
 
 CALLERS = 20
-DAY_S = 40
+DURATION_S = 40
 CHANGE_AT_S = 12
 DRAIN_AT_S = 18
 LEAVE_AT_S = 25
-PAUSE_S = 1.0
+MEAN_PAUSE_S = 1.0
 EVENT_S = 0.05
 EVENTS = b''.join(b'id: %d\ndata: x\n\n' % number for number in (1, 2, 3))
-RESOLVE = '/-/resolve?name=desk.example&region=kerala&zone=kochi'
+DISCOVERY_TARGET = '/-/resolve?name=desk.example&region=kerala&zone=kochi'
 
 
 class FakeCaller:
@@ -35,10 +35,10 @@
 
     async def run(self):
         loop = asyncio.get_running_loop()
-        await asyncio.sleep(self._rng.random() * PAUSE_S)
-        while loop.time() < DAY_S:
+        await asyncio.sleep(self._rng.random() * MEAN_PAUSE_S)
+        while loop.time() < DURATION_S:
             await self._call(await self._choose_address(loop))
-            await asyncio.sleep(self._rng.uniform(0.5, 1.5) * PAUSE_S)
+            await asyncio.sleep(self._rng.uniform(0.5, 1.5) * MEAN_PAUSE_S)
 
     async def _choose_address(self, loop):
         if loop.time() >= self._expires_s:
@@ -46,7 +46,7 @@
                 self._number % 2
             ].settings.discovery_address
             document = json.loads(
-                (await self._fleet.get(discovery_address, RESOLVE)).body
+                (await self._fleet.get(discovery_address, DISCOVERY_TARGET)).body
             )
             self._addresses = document['addresses']
             self._expires_s = loop.time() + document['ttlS']
@@ -64,7 +64,7 @@
         self.responses.append((status, getattr(response, 'body', response) == expected))
 
 
-async def run_planned_work(fleet):
+async def make_planned_changes(fleet):
     """Change the configuration, drain an endpoint, and let an instance leave."""
     await asyncio.sleep(CHANGE_AT_S)
     fleet.write_configuration(
@@ -85,28 +85,28 @@
     """
 
     async def main():
-        async with asyncio.timeout(2 * DAY_S), run_fleet(3, spare=True) as fleet:
+        async with asyncio.timeout(2 * DURATION_S), run_fleet(3, spare=True) as fleet:
             for endpoint in fleet.endpoints.values():
                 endpoint.delay_s = EVENT_S
             callers = [FakeCaller(fleet, number) for number in range(CALLERS)]
             await asyncio.gather(
-                run_planned_work(fleet), *(each.run() for each in callers)
+                make_planned_changes(fleet), *(caller.run() for caller in callers)
             )
             late = [
-                each
-                for each in fleet.endpoints['d1'].received_times_s
-                if each > DRAIN_AT_S + 2
+                at_s
+                for at_s in fleet.endpoints['d1'].received_times_s
+                if at_s > DRAIN_AT_S + 2
             ]
             second = await fleet.call('/a/1', key='second')
             return (
-                [response for each in callers for response in each.responses],
+                [response for caller in callers for response in caller.responses],
                 late,
                 second,
             )
 
     responses, late, second = run_virtual(main())
 
-    assert len(responses) > CALLERS * DAY_S / 2
+    assert len(responses) > CALLERS * DURATION_S / 2
     assert set(responses) == {(200, True)}
     assert not late
     assert second.status == 200
--- a/tests/test_fleet/test_retries_over_restarts.py
+++ b/tests/test_fleet/test_retries_over_restarts.py
@@ -39,10 +39,10 @@
             endpoint.received_times_s, endpoint.received, strict=True
         )
     )
-    for at_s, attempt in arrivals:
-        if attempt in seen:
+    for at_s, attempt_id in arrivals:
+        if attempt_id in seen:
             retries.append(at_s)
-        seen.add(attempt)
+        seen.add(attempt_id)
     return retries
 
 
@@ -59,12 +59,15 @@
 def find_allowed(sent_s, start_s):
     """Return the retry bound of the window that starts at a time."""
     starts_s = (start_s - WINDOW_S, start_s - WINDOW_S / 2, start_s)
-    requests = max(count_between(sent_s, each, each + WINDOW_S) for each in starts_s)
+    requests = max(
+        count_between(sent_s, window_start_s, window_start_s + WINDOW_S)
+        for window_start_s in starts_s
+    )
     return RATIO * requests + SLACK
 
 
 def count_between(times_s, start_s, end_s):
-    return sum(start_s <= each < end_s for each in times_s)
+    return sum(start_s <= at_s < end_s for at_s in times_s)
 
 
 def run_storm(disturb, duration_s):
@@ -135,7 +138,9 @@
         fleet.started_s = fleet.now_s()
 
     fleet = run_storm(kill_all, duration_s=8)
-    soon = count_between(find_retries(fleet), fleet.started_s, fleet.started_s + 5)
+    early_retries = count_between(
+        find_retries(fleet), fleet.started_s, fleet.started_s + 5
+    )
 
     assert find_excess(fleet) <= 0
-    assert soon >= GATEWAYS
+    assert early_retries >= GATEWAYS
--- a/tests/test_fleet/test_store_goes_back.py
+++ b/tests/test_fleet/test_store_goes_back.py
@@ -24,7 +24,7 @@
 
 def count_known_instances(fleet):
     """Return how many instances each gateway considers alive."""
-    views = [each.host._peers.view() for each in fleet.gateways]
+    views = [gateway.host._peers.view() for gateway in fleet.gateways]
     return [len(view.alive) if view is not None else 0 for view in views]
 
 
--- a/tests/test_fleet/test_unreadable_records.py
+++ b/tests/test_fleet/test_unreadable_records.py
@@ -90,7 +90,7 @@
     assert item.key == key
 
 
-def test_valid_row_of_a_listing():
+def test_valid_row_of_a_listing_is_decoded():
     row = {'key': 'a', 'value': b64encode(b'x').decode(), 'offset': 3}
 
     assert decode_newest_item(row) == KeyedRecord(3, 'a', b'x')
--- a/tests/test_fleet/test_whole_path.py
+++ b/tests/test_fleet/test_whole_path.py
@@ -23,7 +23,7 @@
     return run_virtual(main())
 
 
-def test_plain_and_streaming_requests():
+def test_plain_and_streaming_requests_are_forwarded():
     async def scenario(fleet):
         plain = await fleet.call('/a/1', method='POST', body=b'visit')
         stream = await fleet.call('/s/1', method='POST', body=b'prompt')
@@ -90,7 +90,7 @@
     assert float(refused.headers['retry-after']) > 0
 
 
-def test_store_that_drops_its_history():
+def test_configuration_is_read_after_the_store_drops_its_history():
     """Guards against a missed change when the store drops its history.
 
     The store drops it just after a configuration is written.  The newest record is
@@ -141,7 +141,7 @@
     assert ready.status == 503
 
 
-def test_keys_stay_accepted_if_the_deployment_wants_it():
+def test_keys_stay_accepted_without_the_store_if_the_settings_allow_it():
     async def scenario(fleet):
         fleet.store.mode = 'busy'
         configuration = fleet.gateways[0].host._parts.configuration
