--- a/tests/test_credits/test_division.py
+++ b/tests/test_credits/test_division.py
@@ -18,7 +18,7 @@
 )
 
 
-def test_equal_division_gives_small_wants_in_full():
+def test_equal_division_meets_small_demands_in_full():
     assert divide_equally(10, {'a': 2, 'b': 20, 'c': 20}) == {'a': 2, 'b': 4, 'c': 4}
 
 
@@ -31,7 +31,7 @@
     assert division.pressing_tier == 1
 
 
-def test_reserve_serves_one_that_would_get_nothing():
+def test_reserve_serves_an_instance_that_would_get_nothing():
     division = divide_by_tier(10, {'a': [50], 'b': [0, 0, 5]}, 1, ('a', 'b'))
 
     assert division.parts == {'a': 9, 'b': 1}
--- a/tests/test_credits/test_ledger.py
+++ b/tests/test_credits/test_ledger.py
@@ -37,8 +37,8 @@
 def test_higher_tier_reclaims_unused_credit_of_lower_ones(make_cluster):
     """A burst of a higher tier must not wait for the grants of others to expire.
 
-    Seven instances hold unused credit for a burst of a lower tier when a burst of
-    pump-site diagnosis requests starts on the eighth.
+    Seven instances hold unused credit for a burst of a lower tier when a burst of the
+    top tier starts on the eighth.
     """
     cluster = make_cluster()
     cluster.run(200)
@@ -80,8 +80,8 @@
 def test_lower_tier_on_another_instance_still_gets_starts(make_cluster):
     """Strict priority of tiers alone would never grant an instance anything.
 
-    One instance's top-tier demand permanently exceeds the capacity, while an auditor's
-    patient summaries wait on another instance.
+    One instance's top-tier demand permanently exceeds the capacity, while a patient
+    request of the lowest tier waits on another instance.
     """
     cluster = make_cluster('abc')
     cluster.run(200)
@@ -121,10 +121,10 @@
 
 
 def test_views_that_disagree_overcommit_at_most_by_the_capacity(make_cluster):
-    """No endpoint may be promised more than twice when views disagree on the home.
+    """When views disagree on the home, no capacity may be granted more than twice.
 
-    Half of the instances consider one member the home and half another, as for some
-    seconds after a false suspicion.  Each home grants to its half.
+    Half of the instances consider one member the home and half another, as happens for
+    some seconds after a false suspicion.  Each home grants to its half.
     """
     cluster = make_cluster()
     cluster.run(200)
@@ -132,8 +132,8 @@
         cluster.demand[name] = {1: 50}
     cluster.run(1_000)
     home = cluster.home()
-    misled = [name for name in cluster.ledgers if name != home][:4]
-    for name in misled:
+    with_other_view = [name for name in cluster.ledgers if name != home][:4]
+    for name in with_other_view:
         cluster.set_alive(name, [other for other in cluster.ledgers if other != home])
 
     worst = 0.0
--- a/tests/test_http/test_client_pool.py
+++ b/tests/test_http/test_client_pool.py
@@ -125,22 +125,22 @@
     The server responds at once, keeps the connection open and continues to read the
     body.  It would read the next request on that connection as the rest of the body.
     """
-    seen = []
+    numbers = []
 
     async def respond_early(reader, writer, number):
         await read_head(reader)
-        seen.append(number)
+        numbers.append(number)
         writer.write(OK)
         await asyncio.sleep(1)
 
     async def main():
         async with raw_server(respond_early) as address:
             with open_pool(PoolSettings(), SystemClock()) as pool:
-                long = HttpRequest('POST', '/', (), b'x' * 8_000_000)
-                for request in (long, GET):
+                large_request = HttpRequest('POST', '/', (), b'x' * 8_000_000)
+                for request in (large_request, GET):
                     assert isinstance(
                         await fetch(pool, address, request, 5_000), HttpResponse
                     )
 
     asyncio.run(main())
-    assert seen == [0, 1]
+    assert numbers == [0, 1]
--- a/tests/test_http/test_kept_connections.py
+++ b/tests/test_http/test_kept_connections.py
@@ -209,12 +209,12 @@
     The server states how long it keeps idle connections.  If a connection is reused at
     the end of that time, the request is reset and it is unknown whether it ran.
     """
-    seen = []
+    numbers = []
 
     async def respond_with_short_keep_alive(reader, writer, number):
         while True:
             await read_head(reader)
-            seen.append(number)
+            numbers.append(number)
             writer.write(b'HTTP/1.1 200 OK\r\ncontent-length: 0\r\n')
             writer.write(b'keep-alive: timeout=2, max=9\r\n\r\n')
 
@@ -227,4 +227,4 @@
                     await fetch(pool, address, GET, 5_000)
 
     asyncio.run(main())
-    assert seen == [0, 0, 1]
+    assert numbers == [0, 0, 1]
--- a/tests/test_limits/conftest.py
+++ b/tests/test_limits/conftest.py
@@ -12,11 +12,11 @@
 def make_cluster():
     """Return a function that builds a cluster of instances that know each other."""
 
-    def make(names='abcdefgh', *, greed=0, settle_ms=20_000, limits=None):
+    def make(names='abcdefgh', *, demand=0, settle_ms=20_000, limits=None):
         cluster = LimiterSimulation(LimitSettings(), limits or build_limits())
         cluster.max_running_ms = 400
         for name in names:
-            cluster.start(name, demand=greed)
+            cluster.start(name, demand=demand)
         cluster.run(settle_ms)
         return cluster
 
--- a/tests/test_limits/test_limiter.py
+++ b/tests/test_limits/test_limiter.py
@@ -18,7 +18,7 @@
 
 
 def test_only_instance_has_the_whole_contract_after_one_tick(make_cluster):
-    cluster = make_cluster('a', greed=UNLIMITED, settle_ms=60)
+    cluster = make_cluster('a', demand=UNLIMITED, settle_ms=60)
 
     assert cluster.units('a') == CONCURRENT
     assert cluster.in_use() == CONCURRENT
@@ -179,7 +179,7 @@
 def test_rate_holds_over_all_instances(make_cluster):
     """Eight instances with a burst each must not start eight bursts at once."""
     limits = build_limits(concurrent=200, requests_per_s=100)
-    cluster = make_cluster(greed=UNLIMITED, settle_ms=20_000, limits=limits)
+    cluster = make_cluster(demand=UNLIMITED, settle_ms=20_000, limits=limits)
 
     starts = [at_ms for at_ms in cluster.starts if at_ms > 10_000]
     for window_ms in (1_000, 5_000):
@@ -189,7 +189,7 @@
     assert len(starts) >= 950
 
 
-def test_tokens_used_beyond_the_expectation_are_paid_back():
+def test_tokens_used_beyond_the_expectation_delay_later_requests():
     cluster = LimiterSimulation(FAST, build_limits(tokens_per_s=1_000))
     cluster.start('a', demand=0)
     cluster.run(100)
--- a/tests/test_limits/test_listing.py
+++ b/tests/test_limits/test_listing.py
@@ -8,7 +8,7 @@
 UNLIMITED = 10**6
 
 
-def announce_list(cluster, names):
+def apply_listing_to_all(cluster, names):
     live = tuple(MemberAddress(n, 1, 'south', 'hall', '10.0.0.1', 1, 2) for n in names)
     for limiter in cluster.limiters.values():
         limiter.apply_listing(ListingFetched(True, live), cluster.now_ms)
@@ -21,15 +21,15 @@
     last one from two that are running, so it grants nothing until the platform's list
     shows that the two have terminated.
     """
-    cluster = make_cluster('abc', greed=UNLIMITED)
-    announce_list(cluster, 'abc')
+    cluster = make_cluster('abc', demand=UNLIMITED)
+    apply_listing_to_all(cluster, 'abc')
     for name in 'ab':
         cluster.stop(name)
         cluster.run(1_000)
     cluster.run(200_000)
     assert cluster.in_use() == 0
 
-    announce_list(cluster, 'c')
+    apply_listing_to_all(cluster, 'c')
     cluster.run(2_000)
 
     assert cluster.in_use() >= 30
@@ -40,8 +40,8 @@
 
     Its list is empty, because the platform's service has lost its entries.
     """
-    cluster = make_cluster('abc', greed=UNLIMITED)
-    announce_list(cluster, 'abc')
+    cluster = make_cluster('abc', demand=UNLIMITED)
+    apply_listing_to_all(cluster, 'abc')
     cluster.cut({'a': 1})
     cluster.run(200_000)
 
--- a/tests/test_limits/test_token_bucket.py
+++ b/tests/test_limits/test_token_bucket.py
@@ -24,7 +24,7 @@
     assert bucket.wait_ms(1, 60_000) == 100
 
 
-def test_amount_above_the_capacity_goes_into_debt(bucket):
+def test_amount_above_the_capacity_makes_the_level_negative(bucket):
     assert bucket.wait_ms(30, 0) == 0
     bucket.spend(30, 0)
 
--- a/tests/test_wire/test_schema_writer.py
+++ b/tests/test_wire/test_schema_writer.py
@@ -10,7 +10,7 @@
 from savorychute.wire.peer_packages import load_peer_messages
 from savorychute.wire.schema_writer import SCHEMA_PATH, write_schema
 
-RANGES = {
+TAG_RANGES = {
     'membership': 1,
     'configuration': 2,
     'credits': 3,
@@ -41,7 +41,7 @@
     misplaced = [
         f'{message.__module__} {tag}'
         for tag, message in load_peer_messages().items()
-        if tag // 10 != RANGES[message.__module__.split('.')[1]]
+        if tag // 10 != TAG_RANGES[message.__module__.split('.')[1]]
     ]
     assert misplaced == []
 
--- a/tests/test_wire/test_signature.py
+++ b/tests/test_wire/test_signature.py
@@ -18,7 +18,7 @@
 FRAME = sign_envelope(b'envelope' * 4, 'a-1', KEYS.signing)
 
 
-def test_frame_opens_for_its_receiver(keys):
+def test_frame_is_verified_for_its_receiver(keys):
     frame = sign_envelope(b'envelope', 'a-1', keys.signing)
     assert verify_frame(frame, 'a-1', keys) == b'envelope'
 
