--- a/savorychute/gateway/daemon/duty_worker.py
+++ b/savorychute/gateway/daemon/duty_worker.py
@@ -36,7 +36,7 @@
     from savorychute.http.http_request import HttpRequest
 
 TICK_INTERVAL_MS = 100
-# Interval between two checks of all endpoints, which come and go within seconds.
+# Interval between two checks of all endpoints, which may start and end within seconds.
 SERVER_CHECK_INTERVAL_MS = 1_000
 # How long a read of the topic waits for a record; the holder renews more often.
 READ_WAIT_MS = 2_000
@@ -77,8 +77,8 @@
         """Order endpoints; return the platform's response.
 
         The platform uses one status both for a later holder and for a kind of endpoint
-        that is not available now.  A later holder shows in the topic of claims, so the
-        latter is assumed.
+        that is not available now.  The topic of claims shows a later holder, so here
+        the status is taken to mean that the kind is not available.
         """
         outcome = await self._call(
             self._adapter.encode_servers(server_order, duty_order)
