--- a/savorychute/testing/call_attempt.py
+++ b/savorychute/testing/call_attempt.py
@@ -66,7 +66,7 @@
         self._streamed = call.call_class.stream and not call.call_class.service
 
     def started(self, response: StartResponse) -> None:
-        """Handle the head of an answer."""
+        """Handle the head of a response."""
         if not self.is_open:
             return
         if response.handle:
@@ -92,7 +92,7 @@
         self._has_started = True
 
     def finished(self, finish: FinishResponse) -> None:
-        """Handle the end of a started answer."""
+        """Handle the end of a started response."""
         if not self.is_open:
             return
         self.is_open = False
--- a/savorychute/testing/caller_connection.py
+++ b/savorychute/testing/caller_connection.py
@@ -20,7 +20,7 @@
     call: Call
 
     def started(self, response: StartResponse) -> None:
-        """Handle the head of an answer."""
+        """Handle the head of a response."""
         ...
 
     def received(self, chunk: SendChunk) -> None:
@@ -28,7 +28,7 @@
         ...
 
     def finished(self, finish: FinishResponse) -> None:
-        """Handle the end of a started answer."""
+        """Handle the end of a started response."""
         ...
 
     def refused(self, refuse: RefuseRequest) -> None:
--- a/savorychute/testing/callers.py
+++ b/savorychute/testing/callers.py
@@ -27,8 +27,8 @@
 CHAT_PATH = '/v1/chat/completions'
 MAX_FAILURES = 5
 MAX_REDIRECTS = 5
-MIN_BACK_OFF_MS = 20.0
-MAX_BACK_OFF_MS = 2_000.0
+MIN_BACKOFF_MS = 20.0
+MAX_BACKOFF_MS = 2_000.0
 CALLER_GRACE_MS = 3_000.0
 PAUSE_DETECTION_MS = 3_000.0
 
@@ -90,12 +90,12 @@
             self._retry_later(call, refusal, 0.0, refusal.location)
         elif refusal.code in OTHER_INSTANCE_CODES:
             self._remove_instance(call.organisation, call_attempt.host.name)
-            self._retry_later(call, refusal, self._back_off_ms(call))
+            self._retry_later(call, refusal, self._draw_backoff_ms(call))
         elif refusal.code in EXPIRED_KEY_CODES and refusal.ran is Ran.NOT_RUN:
             call.key = ''
             self._retry_later(call, refusal, 0.0)
         elif refusal.is_interrupted:
-            self._retry_possibly_run(call, refusal, self._back_off_ms(call))
+            self._retry_possibly_run(call, refusal, self._draw_backoff_ms(call))
         elif refusal.ran is Ran.NOT_RUN and refusal.retry_after_ms > 0:
             self._retry_later(call, refusal, refusal.retry_after_ms)
         elif call.call_class.idempotent and refusal.retry_after_ms > 0:
@@ -108,7 +108,7 @@
         self._open_attempts.pop(call.call_id, None)
         self.failovers += 1
         self._remove_instance(call.organisation, call_attempt.host.name)
-        self._retry_possibly_run(call, BROKEN, self._back_off_ms(call))
+        self._retry_possibly_run(call, BROKEN, self._draw_backoff_ms(call))
 
     def handle_pause(self, host: InstanceHost) -> None:
         """Let callers disconnect from an instance that is unresponsive for too long."""
@@ -138,10 +138,10 @@
             return
         heap.call_later(wait_ms, self._attempt, call, location)
 
-    def _back_off_ms(self, call: Call) -> float:
+    def _draw_backoff_ms(self, call: Call) -> float:
         call.backoff_count += 1
         max_wait_ms = min(
-            MAX_BACK_OFF_MS, MIN_BACK_OFF_MS * 2 ** min(call.backoff_count, 16)
+            MAX_BACKOFF_MS, MIN_BACKOFF_MS * 2 ** min(call.backoff_count, 16)
         )
         return self._rng.uniform(0.0, max_wait_ms)
 
@@ -151,7 +151,7 @@
         call.attempts += 1
         host = self._pick(call, location)
         if host is None:
-            self._retry_later(call, NOT_READY, self._back_off_ms(call))
+            self._retry_later(call, NOT_READY, self._draw_backoff_ms(call))
             return
         delay_ms = self.simulation.network.settings.client_ms
         needs_key = not call.call_class.idempotent and not call.key
@@ -169,7 +169,7 @@
             key = self.simulation.issue_key(host, call.organisation)
         if not key:
             self._remove_instance(call.organisation, host.name)
-            self._retry_later(call, NOT_READY, self._back_off_ms(call))
+            self._retry_later(call, NOT_READY, self._draw_backoff_ms(call))
             return
         call.key = key
         self.simulation.heap.call_later(delay_ms, self._send, call, host)
@@ -260,7 +260,7 @@
     def _remove_instance(self, organisation: str, name: str) -> None:
         known_instances = self._known_instances.get(organisation)
         if known_instances is not None and name in known_instances.names:
-            names = tuple(each for each in known_instances.names if each != name)
+            names = tuple(other for other in known_instances.names if other != name)
             self._known_instances[organisation] = known_instances._replace(names=names)
 
     def _give_up(self, call: Call) -> None:
--- a/savorychute/testing/capacity.py
+++ b/savorychute/testing/capacity.py
@@ -28,11 +28,16 @@
         )
         for spec in topology.engines
     )
-    models = [each for each in topology.classes if not each.service]
-    model_demand = sum(each.demand for each in models)
-    all_demand = sum(each.demand for each in topology.classes)
-    tokens = sum(each.demand * mean_output_tokens(each) for each in models)
-    return tokens_per_s / (tokens / model_demand) * all_demand / model_demand
+    model_classes = [
+        call_class for call_class in topology.classes if not call_class.service
+    ]
+    model_demand = sum(call_class.demand for call_class in model_classes)
+    all_demand = sum(call_class.demand for call_class in topology.classes)
+    demanded_tokens = sum(
+        call_class.demand * mean_output_tokens(call_class)
+        for call_class in model_classes
+    )
+    return tokens_per_s / (demanded_tokens / model_demand) * all_demand / model_demand
 
 
 def mean_output_tokens(call_class: CallClass) -> float:
--- a/savorychute/testing/configuration_monitor.py
+++ b/savorychute/testing/configuration_monitor.py
@@ -13,13 +13,13 @@
 MAX_PROPAGATION_MS = 7_000.0
 
 
-class Accepted(NamedTuple):
+class AcceptedChange(NamedTuple):
     """A change that was reported to an operator as accepted."""
 
     at_ms: float
     item: str
     version: int
-    base: int | None
+    base_version: int | None
 
 
 class ConfigurationMonitor:
@@ -35,8 +35,8 @@
 
     def __init__(self, simulation: Fleet) -> None:
         self._simulation = simulation
-        self._seen: dict[str, dict[str, int]] = {}
-        self._accepted: list[Accepted] = []
+        self._last_versions: dict[str, dict[str, int]] = {}
+        self._accepted: list[AcceptedChange] = []
         self._violations: list[str] = []
         self._reported_late: set[tuple[str, str, int]] = set()
 
@@ -44,23 +44,29 @@
         """Start the periodic checks."""
         self._check_all()
 
-    def record_accepted(self, item: str, version: int, base: int | None) -> None:
+    def record_accepted(
+        self, item: str, version: int, base_version: int | None
+    ) -> None:
         """Record that a version was reported to an operator as accepted.
 
         Of two changes to the same base version at most one can be accepted:
         otherwise the later one would overwrite a change that its operator has
         not seen.
 
-        :param base: the amended version, if the operator stated one.
+        :param base_version: the amended version, if the operator stated one.
         """
-        accepted = Accepted(self._simulation.heap.now_ms, item, version, base)
+        accepted = AcceptedChange(
+            self._simulation.heap.now_ms, item, version, base_version
+        )
         for other in self._accepted:
             if other.item != item:
                 continue
-            if other.version == version or (base is not None and other.base == base):
+            if other.version == version or (
+                base_version is not None and other.base_version == base_version
+            ):
                 self._violations.append(
                     f'{item}: versions {other.version} and {version} both accepted,'
-                    f' over {other.base} and {base}'
+                    f' over {other.base_version} and {base_version}'
                 )
         self._accepted.append(accepted)
 
@@ -72,19 +78,23 @@
         simulation = self._simulation
         for host in list(simulation.instances.values()):
             if host.is_up and not host.is_paused and host.instance.ready:
-                run = f'{host.name}.{host.address.incarnation}'
-                self._check_instance(run, host.served_since_ms, host.versions())
+                incarnation_id = f'{host.name}.{host.address.incarnation}'
+                self._check_instance(
+                    incarnation_id, host.served_since_ms, host.versions()
+                )
         simulation.heap.call_later(CHECK_INTERVAL_MS, self._check_all)
 
     def _check_instance(
-        self, run: str, since_ms: float, versions: dict[str, int]
+        self, incarnation_id: str, since_ms: float, versions: dict[str, int]
     ) -> None:
-        seen = self._seen.get(run, {})
-        for item, version in seen.items():
+        last_versions = self._last_versions.get(incarnation_id, {})
+        for item, version in last_versions.items():
             if versions.get(item, 0) < version:
-                now = versions.get(item, 0)
-                self._violations.append(f'{run}: {item} went from {version} to {now}')
-        self._seen[run] = dict(versions)
+                current_version = versions.get(item, 0)
+                self._violations.append(
+                    f'{incarnation_id}: {item} went from {version} to {current_version}'
+                )
+        self._last_versions[incarnation_id] = dict(versions)
         now_ms = self._simulation.heap.now_ms
         since_ms = max(since_ms, self._simulation.reachable_since_ms)
         for accepted in self._accepted:
@@ -93,10 +103,10 @@
                 continue
             if versions.get(accepted.item, 0) >= accepted.version:
                 continue
-            late_item = (run, accepted.item, accepted.version)
+            late_item = (incarnation_id, accepted.item, accepted.version)
             if late_item not in self._reported_late:
                 self._reported_late.add(late_item)
                 self._violations.append(
-                    f'{run}: {accepted.item} version {accepted.version} not in'
+                    f'{incarnation_id}: {accepted.item} version {accepted.version} not in'
                     f' force after {waited_ms:.0f} ms'
                 )
--- a/savorychute/testing/connection.py
+++ b/savorychute/testing/connection.py
@@ -53,7 +53,7 @@
 
 
 class Connection:
-    """The connection of an attempt, for its request and its answer.
+    """The connection of an attempt, for its request and its response.
 
     While the ``cancel_delay_ms`` of the network is set, a cancellation is
     delayed by this time, and the instance still receives what the endpoint
@@ -81,13 +81,13 @@
         self._heap = heap
         self._network = network
         self._receive = receive
-        self._out = Pipe(heap, network, domain, endpoint.failure_domain)
-        self._back = Pipe(heap, network, endpoint.failure_domain, domain)
+        self._request_pipe = Pipe(heap, network, domain, endpoint.failure_domain)
+        self._response_pipe = Pipe(heap, network, endpoint.failure_domain, domain)
 
     def send_request(self) -> None:
         """Send the request."""
         self.is_sent = True
-        self._out.send(self._arrive)
+        self._request_pipe.send(self._arrive)
         self._heap.call_later(self.start.timeout_ms, self._time_out)
 
     def close(self) -> None:
@@ -95,14 +95,14 @@
         if self.is_open:
             self.is_open = False
             if self.is_sent:
-                self._send_late(self.endpoint.close, self.start.attempt_id)
+                self._send_delayed(self.endpoint.close, self.start.attempt_id)
 
     def cancel(self, keep: bool) -> None:
         """Close the connection and ask the endpoint to keep or drop the stream."""
         if self.is_open:
             self.is_open = False
             if self.is_sent:
-                self._send_late(self.endpoint.cancel, self.start, keep)
+                self._send_delayed(self.endpoint.cancel, self.start, keep)
 
     def fail(self, sent: bool, crashed: bool, reason: str) -> None:
         """Report to the instance that the attempt failed."""
@@ -110,18 +110,18 @@
         failed = AttemptFailed(attempt_id, sent, False, False, crashed, reason)
         self._deliver(failed)
 
-    def _send_late(self, function: Callable[..., None], *args: Any) -> None:
+    def _send_delayed(self, function: Callable[..., None], *args: Any) -> None:
         delay_ms = self._network.cancel_delay_ms
-        self._heap.call_later(delay_ms, self._out.send, function, *args)
+        self._heap.call_later(delay_ms, self._request_pipe.send, function, *args)
 
     def _arrive(self) -> None:
         if self.endpoint.core.is_up:
             self.endpoint.submit(self.start, self._answer)
         else:
-            self._back.send(self.fail, True, True, 'reset')
+            self._response_pipe.send(self.fail, True, True, 'reset')
 
     def _answer(self, message: Input) -> None:
-        self._back.send(self._deliver, message)
+        self._response_pipe.send(self._deliver, message)
 
     def _deliver(self, message: Input) -> None:
         if self.is_open or self._network.cancel_delay_ms:
--- a/savorychute/testing/engine.py
+++ b/savorychute/testing/engine.py
@@ -214,9 +214,9 @@
             return events
         self.unresponsive = False
         self.batch.thaw(now_ms)
-        inbox, self._deferred_requests = self._deferred_requests, []
+        deferred_requests, self._deferred_requests = self._deferred_requests, []
         events = []
-        for request in inbox:
+        for request in deferred_requests:
             events += self.submit(request, now_ms)
         return events
 
--- a/savorychute/testing/engine_batch.py
+++ b/savorychute/testing/engine_batch.py
@@ -79,14 +79,14 @@
     def next_due_ms(self) -> float | None:
         """Return the time of the next event, or None."""
         self._drop_stale_due()
-        times = []
+        due_times_ms = []
         if self._due:
-            times.append(self._steps.time_of(self._due[0][0]))
+            due_times_ms.append(self._steps.time_of(self._due[0][0]))
         if self._prefill:
-            times.append(self._prefill[0])
+            due_times_ms.append(self._prefill[0])
         if self.poison_ms is not None:
-            times.append(self.poison_ms)
-        return min(times) if times else None
+            due_times_ms.append(self.poison_ms)
+        return min(due_times_ms) if due_times_ms else None
 
     def run_due(self, due_ms: float) -> EngineStream | None:
         """Process the next event; return the stream that has tokens to emit, if any."""
@@ -181,20 +181,20 @@
         cached_tokens = self.cache.match(stream.blocks) * BLOCK_TOKENS
         work_tokens = max(1, stream.prompt_tokens - cached_tokens + stream.base_tokens)
         self.prefilled_tokens += work_tokens
-        rate = self.settings.prefill_tokens_per_s / self.slowdown
-        self._prefill = (now_ms + work_tokens * MS_PER_S / rate, stream)
+        tokens_per_s = self.settings.prefill_tokens_per_s / self.slowdown
+        self._prefill = (now_ms + work_tokens * MS_PER_S / tokens_per_s, stream)
 
     def _free_memory(self, stream: EngineStream, now_ms: float) -> bool:
         """Return whether a prompt fits, removing retained streams if necessary."""
-        need_tokens = stream.prompt_tokens + stream.base_tokens
+        needed_tokens = stream.prompt_tokens + stream.base_tokens
         free_tokens = self.settings.kv_tokens - self.used_tokens(now_ms)
-        for kept in list(self.streams.values()):
-            if free_tokens >= need_tokens:
+        for other_stream in list(self.streams.values()):
+            if free_tokens >= needed_tokens:
                 break
-            if kept.is_kept:
-                free_tokens += kept.prompt_tokens + kept.base_tokens
-                self.discard(kept)
-        return free_tokens >= need_tokens or not self._running
+            if other_stream.is_kept:
+                free_tokens += other_stream.prompt_tokens + other_stream.base_tokens
+                self.discard(other_stream)
+        return free_tokens >= needed_tokens or not self._running
 
     def _finish_prefill(self, now_ms: float) -> None:
         if self._prefill is None:
--- a/savorychute/testing/engine_stream.py
+++ b/savorychute/testing/engine_stream.py
@@ -32,7 +32,8 @@
     """The request and progress of a stream.
 
     ``base_tokens`` were generated before ``base_step``; a running stream
-    generates one more token at each step after it.
+    generates one more token at each step after it.  ``version`` changes with each
+    schedule, so that the batch can skip its outdated entries.
     """
 
     def __init__(self, request: EngineRequest, arrival: int) -> None:
@@ -76,8 +77,8 @@
 
     It differs if the text to continue is not the start of the prompt's answer.
     """
-    own = digest_prompt(request.prompt)
-    text = write_tokens(own, 0, request.continue_offset)
-    if request.continue_text == text:
-        return own
+    prompt_digest = digest_prompt(request.prompt)
+    expected_text = write_tokens(prompt_digest, 0, request.continue_offset)
+    if request.continue_text == expected_text:
+        return prompt_digest
     return digest_prompt(request.prompt + request.continue_text)
--- a/savorychute/testing/faults/registry.py
+++ b/savorychute/testing/faults/registry.py
@@ -102,10 +102,12 @@
 
     :raises ScenarioError: if there is no such class.
     """
-    models = [each for each in topology.classes if not each.service]
+    model_classes = [
+        call_class for call_class in topology.classes if not call_class.service
+    ]
     if name in ('', MOST_DEMANDED):
-        return max(models, key=lambda each: each.demand)
-    for each in topology.classes:
-        if name in (each.name, f'{TIER_PREFIX}{each.tier}'):
-            return each
+        return max(model_classes, key=lambda call_class: call_class.demand)
+    for call_class in topology.classes:
+        if name in (call_class.name, f'{TIER_PREFIX}{call_class.tier}'):
+            return call_class
     raise ScenarioError(f'no class {name!r} in {topology.name}')
--- a/savorychute/testing/instance_host.py
+++ b/savorychute/testing/instance_host.py
@@ -89,7 +89,7 @@
         self.caller_connections: dict[str, CallerConnection] = {}
         self._inputs: deque[Input] = deque()
         self._closed_while_paused: list[str] = []
-        self._draining = False
+        self._is_processing_inputs = False
         self._tick_due_ms: float | None = None
         platform = PlatformClient(simulation, self.name, self.deliver)
         self._action_handlers: dict[type, Callable[[Any], None]] = {
@@ -128,9 +128,12 @@
 
         This reads private state of the instance.
         """
-        ledger = self.instance._parts.credits
-        group = ledger._groups.group_of(endpoint)
-        return group is not None and ledger._home_handler.find(group.key) is not None
+        credit_ledger = self.instance._parts.credits
+        group = credit_ledger._groups.group_of(endpoint)
+        return (
+            group is not None
+            and credit_ledger._home_handler.find(group.key) is not None
+        )
 
     def now_ms(self) -> int:
         """Return the time of the instance's own clock."""
@@ -145,16 +148,18 @@
         if not self.is_up:
             return
         self._inputs.append(message)
-        self._drain()
+        self._process_inputs()
 
     def receive_request(
-        self, request: CallerRequest, call_attempt: CallerConnection
+        self, request: CallerRequest, caller_connection: CallerConnection
     ) -> None:
         """Handle a caller's request on its own connection."""
-        self.caller_connections[request.request_id] = call_attempt
-        self.simulation.reached(steps.RECEIVED, call_attempt.call.call_id, self.name)
+        self.caller_connections[request.request_id] = caller_connection
+        self.simulation.reached(
+            steps.RECEIVED, caller_connection.call.call_id, self.name
+        )
         self.simulation.tier_monitor.arrived(
-            self.name, request.request_id, call_attempt.call
+            self.name, request.request_id, caller_connection.call
         )
         self.deliver(request)
 
@@ -185,8 +190,8 @@
         self.is_paused = False
         self.served_since_ms = self.simulation.heap.now_ms
         self._tick()
-        left, self._closed_while_paused = self._closed_while_paused, []
-        for request_id in left:
+        closed_request_ids, self._closed_while_paused = self._closed_while_paused, []
+        for request_id in closed_request_ids:
             self.simulation.heap.call_later(
                 DISCONNECT_DETECTION_MS, self.caller_left, request_id
             )
@@ -203,29 +208,29 @@
             connection.close()
         self.connections.clear()
         delay_ms = self.simulation.network.settings.client_ms
-        for call_attempt in list(self.caller_connections.values()):
-            self.simulation.heap.call_later(delay_ms, call_attempt.broken)
+        for caller_connection in list(self.caller_connections.values()):
+            self.simulation.heap.call_later(delay_ms, caller_connection.broken)
         self.caller_connections.clear()
         self.simulation.tier_monitor.remove_instance(self.name)
 
-    def _drain(self) -> None:
-        if self._draining or self.is_paused:
+    def _process_inputs(self) -> None:
+        if self._is_processing_inputs or self.is_paused:
             return
-        self._draining = True
+        self._is_processing_inputs = True
         while self._inputs and self.is_up:
             message = self._inputs.popleft()
             self._execute_actions(self._call_instance(self.instance.deliver, message))
-        self._draining = False
+        self._is_processing_inputs = False
         self._schedule_tick()
 
     def _tick(self) -> None:
         self._tick_due_ms = None
         if not self.is_up or self.is_paused:
             return
-        self._draining = True
+        self._is_processing_inputs = True
         self._execute_actions(self._call_instance(self.instance.tick))
-        self._draining = False
-        self._drain()
+        self._is_processing_inputs = False
+        self._process_inputs()
 
     def _schedule_tick(self) -> None:
         heap = self.simulation.heap
@@ -246,8 +251,8 @@
         try:
             return method(*args, self.now_ms())
         except Exception as error:
-            place = traceback.extract_tb(error.__traceback__)[-1]
-            text = f'{type(error).__name__} {error} in {place.name}:{place.lineno}'
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            text = f'{type(error).__name__} {error} in {frame.name}:{frame.lineno}'
             self.simulation.ledger.defects.append(f'{self.name}: {text}')
             return []
 
@@ -278,10 +283,10 @@
             )
             return
         self._inputs.append(AttemptSent(start.attempt_id))
-        if self._draining:
+        if self._is_processing_inputs:
             simulation.heap.call_later(0, self._send_unless_cancelled, connection)
         else:
-            self._drain()
+            self._process_inputs()
             self._send_unless_cancelled(connection)
 
     def _send_unless_cancelled(self, connection: Connection) -> None:
@@ -366,37 +371,39 @@
     # -- callers
 
     def _start_response(self, response: StartResponse) -> None:
-        call_attempt = self.caller_connections.get(response.request_id)
-        if call_attempt is not None:
+        caller_connection = self.caller_connections.get(response.request_id)
+        if caller_connection is not None:
             self.simulation.tier_monitor.answer_started(self.name, response.request_id)
-            self._send_to_caller(call_attempt.started, response)
+            self._send_to_caller(caller_connection.started, response)
 
     def _send_chunk(self, chunk: SendChunk) -> None:
-        call_attempt = self.caller_connections.get(chunk.request_id)
-        if call_attempt is not None:
-            self._send_to_caller(call_attempt.received, chunk)
+        caller_connection = self.caller_connections.get(chunk.request_id)
+        if caller_connection is not None:
+            self._send_to_caller(caller_connection.received, chunk)
 
     def _finish(self, finish: FinishResponse) -> None:
-        call_attempt = self.caller_connections.pop(finish.request_id, None)
-        if call_attempt is not None:
-            self._record_reported_outcome(call_attempt, finish)
-            self._send_to_caller(call_attempt.finished, finish)
+        caller_connection = self.caller_connections.pop(finish.request_id, None)
+        if caller_connection is not None:
+            self._record_reported_outcome(caller_connection, finish)
+            self._send_to_caller(caller_connection.finished, finish)
 
     def _refuse(self, refuse: RefuseRequest) -> None:
-        call_attempt = self.caller_connections.pop(refuse.request_id, None)
-        if call_attempt is not None:
-            self._record_reported_outcome(call_attempt, refuse)
-            self._send_to_caller(call_attempt.refused, refuse)
+        caller_connection = self.caller_connections.pop(refuse.request_id, None)
+        if caller_connection is not None:
+            self._record_reported_outcome(caller_connection, refuse)
+            self._send_to_caller(caller_connection.refused, refuse)
 
     def _record_reported_outcome(
-        self, call_attempt: CallerConnection, message: FinishResponse | RefuseRequest
+        self,
+        caller_connection: CallerConnection,
+        message: FinishResponse | RefuseRequest,
     ) -> None:
         simulation = self.simulation
         reported = ReportedOutcome(
             simulation.heap.now_ms,
             self.name,
             message.request_id,
-            call_attempt.call.call_id,
+            caller_connection.call.call_id,
             message.code,
             message.ran,
         )
--- a/savorychute/testing/invariants.py
+++ b/savorychute/testing/invariants.py
@@ -63,9 +63,11 @@
 @INVARIANTS.register('at-most-once')
 def check_single_runs(simulation: Simulation) -> Iterator[str]:
     """A non-idempotent request runs at most once."""
-    runs = Counter(execution.marker for execution in simulation.ledger.executions)
+    execution_counts = Counter(
+        execution.marker for execution in simulation.ledger.executions
+    )
     for call in simulation.callers.calls:
-        count = runs[call.call_id]
+        count = execution_counts[call.call_id]
         if not call.call_class.idempotent and count > 1:
             yield f'call {call.call_id} ({call.call_class.name}) ran {count} times'
 
@@ -79,15 +81,15 @@
     """
     keys = simulation.key_by_request
     sent_ms = simulation.sent_ms_by_request
-    runs: dict[str, list[tuple[float, str]]] = {}
+    executions_by_marker: dict[str, list[tuple[float, str]]] = {}
     for execution in simulation.ledger.executions:
         entry = (execution.at_ms, execution.request_id)
-        runs.setdefault(execution.marker, []).append(entry)
+        executions_by_marker.setdefault(execution.marker, []).append(entry)
     for reported in simulation.ledger.reported_outcomes:
         if reported.ran is not Ran.NOT_RUN or reported.code in NEVER_RUNS_CODES:
             continue
         key = keys[reported.request_id]
-        for _, request_id in runs.get(reported.marker, ()):
+        for _, request_id in executions_by_marker.get(reported.marker, ()):
             is_own = request_id == reported.request_id
             has_same_key = bool(key) and keys[request_id] == key
             is_earlier = has_same_key and sent_ms[request_id] <= reported.at_ms
--- a/savorychute/testing/load_all.py
+++ b/savorychute/testing/load_all.py
@@ -17,6 +17,6 @@
 
     :param package: the imported package.
     """
-    for found in pkgutil.walk_packages(package.__path__, f'{package.__name__}.'):
-        if found.name.rpartition('.')[2] != MAIN_MODULE:
-            importlib.import_module(found.name)
+    for module_info in pkgutil.walk_packages(package.__path__, f'{package.__name__}.'):
+        if module_info.name.rpartition('.')[2] != MAIN_MODULE:
+            importlib.import_module(module_info.name)
--- a/savorychute/testing/log_server.py
+++ b/savorychute/testing/log_server.py
@@ -55,12 +55,12 @@
             self._read(exchange, stream, url.query)
 
     def _append(self, exchange: ServerExchange, stream: str) -> None:
-        answer = self.log.append(stream, exchange.request.body, loop_ms())
-        if answer.outcome == 'lost':
+        result = self.log.append(stream, exchange.request.body, loop_ms())
+        if result.outcome == 'lost':
             self._respond_later(exchange.abort)
-        elif answer.outcome == 'appended':
-            self._respond(exchange, STATUS_CREATED, {'offset': answer.offset})
-        elif answer.outcome == 'limited':
+        elif result.outcome == 'appended':
+            self._respond(exchange, STATUS_CREATED, {'offset': result.offset})
+        elif result.outcome == 'limited':
             self._respond(exchange, STATUS_LIMITED, {'error': 'rate'})
         else:
             self._respond(exchange, STATUS_UNAVAILABLE, {'error': 'down'})
@@ -69,8 +69,8 @@
         parameters = parse_qs(query)
         from_offset = int(parameters.get('from', ['0'])[0])
         max_records = int(parameters.get('max', [DEFAULT_READ_RECORDS])[0])
-        answer = self.log.read(stream, from_offset, max_records, loop_ms())
-        if answer is None:
+        result = self.log.read(stream, from_offset, max_records, loop_ms())
+        if result is None:
             self._respond(exchange, STATUS_UNAVAILABLE, {'error': 'down'})
             return
         records = [
@@ -78,11 +78,11 @@
                 'offset': record.offset,
                 'payload_base64': b64encode(record.payload).decode('ascii'),
             }
-            for record in answer.records
+            for record in result.records
         ]
         document = {
-            'first_offset': answer.first_offset,
-            'end_offset': answer.end_offset,
+            'first_offset': result.first_offset,
+            'end_offset': result.end_offset,
             'records': records,
         }
         self._respond(exchange, STATUS_OK, document)
--- a/savorychute/testing/markers.py
+++ b/savorychute/testing/markers.py
@@ -14,5 +14,5 @@
 
 def find_marker(body: bytes) -> str:
     """Return the id of the call that a body belongs to, or an empty string."""
-    found = MARKER.search(body)
-    return found.group(1).decode() if found else ''
+    match = MARKER.search(body)
+    return match.group(1).decode() if match else ''
--- a/savorychute/testing/matrix/cell.py
+++ b/savorychute/testing/matrix/cell.py
@@ -25,6 +25,7 @@
 
 AMENDMENT = 'amendment'
 BOOKING = 'booking'
+#: A booking whose caller supplies the request key.
 CLAIMED = 'claimed'
 CALL_KINDS = (BOOKING, CLAIMED, 'clause', 'draft', 'audit')
 KINDS = (*CALL_KINDS, AMENDMENT)
@@ -32,13 +33,13 @@
 LOAD_MS = 3_000.0
 LOAD_REQUESTS_PER_S = 4.0
 PROBE_AT_MS = 1_000.0
-SECOND_FAULT_MS = 40.0
+SECOND_FAULT_DELAY_MS = 40.0
 SATURATING_CALLS = 60
 RECOVERY_MS = 10_000.0
 CHECK_CALLS = 2
 CHECK_START_MS = 10.0
-CHECK_MS = 6_000.0
-MAX_DRAIN_MS = 60_000.0
+MAX_CHECK_MS = 6_000.0
+MAX_COMPLETION_MS = 60_000.0
 
 #: Work whose caller holds a handle continues after any single fault.
 SURVIVING_KINDS = frozenset(('draft', 'audit'))
@@ -93,11 +94,11 @@
     _plan_load(context)
     simulation.run_for(PROBE_AT_MS)
     probe = _start_probe(context, cell)
-    run_until_idle(simulation, MAX_DRAIN_MS)
+    run_until_idle(simulation, MAX_COMPLETION_MS)
     simulation.run_for(max(0.0, simulation.last_fault_ms - simulation.heap.now_ms))
     simulation.run_for(RECOVERY_MS)
     violations = [*_check_recovery(context)]
-    run_until_idle(simulation, MAX_DRAIN_MS)
+    run_until_idle(simulation, MAX_COMPLETION_MS)
     violations += find_violations(simulation)
     ending, probe_violations = _evaluate_probe(simulation, cell, probe)
     violations += probe_violations
@@ -107,9 +108,11 @@
 def _plan_load(context: FaultContext) -> None:
     topology = context.simulation.topology
     start_ms = context.simulation.heap.now_ms
-    rate = LOAD_REQUESTS_PER_S / len(topology.classes)
-    for each in topology.classes:
-        context.workload.run_class(each, start_ms, start_ms + LOAD_MS, lambda _: rate)
+    rate_per_s = LOAD_REQUESTS_PER_S / len(topology.classes)
+    for call_class in topology.classes:
+        context.workload.run_class(
+            call_class, start_ms, start_ms + LOAD_MS, lambda _: rate_per_s
+        )
 
 
 def _start_probe(context: FaultContext, cell: Cell) -> Probe:
@@ -119,7 +122,7 @@
         targets = find_targets(simulation, probe)
         for number, name in enumerate(cell.faults):
             for step in CELL_FAULTS.get(name)(targets):
-                delay_ms = number * SECOND_FAULT_MS + step.ms
+                delay_ms = number * SECOND_FAULT_DELAY_MS + step.ms
                 end_ms = simulation.heap.now_ms + delay_ms + step.for_ms
                 simulation.last_fault_ms = max(simulation.last_fault_ms, end_ms)
                 simulation.heap.call_later(delay_ms, _apply_step, context, step)
@@ -177,7 +180,7 @@
         for _ in range(CHECK_CALLS)
     ]
     simulation.run_for(CHECK_START_MS)
-    run_until_idle(simulation, CHECK_MS)
+    run_until_idle(simulation, MAX_CHECK_MS)
     return [
         Violation(
             'recovers', f'{call.call_class.name} afterwards ended as {call.ending}'
--- a/savorychute/testing/matrix/cell_faults.py
+++ b/savorychute/testing/matrix/cell_faults.py
@@ -30,14 +30,14 @@
 def find_targets(simulation: Simulation, probe: Probe) -> FaultTargets:
     """Return the targets of the probe, or the first ones if it has none yet."""
     serving = [host for host in simulation.instances.values() if host.is_serving]
-    own = simulation.instances.get(probe.instance) or serving[0]
-    others = [host for host in serving if host is not own]
+    probe_host = simulation.instances.get(probe.instance) or serving[0]
+    other_hosts = [host for host in serving if host is not probe_host]
     endpoint = probe.endpoint or next(iter(simulation.endpoints))
     return FaultTargets(
-        own.name,
-        others[0].name if others else own.name,
+        probe_host.name,
+        other_hosts[0].name if other_hosts else probe_host.name,
         endpoint,
-        own.failure_domain,
+        probe_host.failure_domain,
     )
 
 
--- a/savorychute/testing/measures.py
+++ b/savorychute/testing/measures.py
@@ -87,8 +87,8 @@
         for host in simulation.endpoints.values()
         if isinstance(host, EngineHost)
     ]
-    generated = sum(engine.generated_tokens for engine in engines)
-    useful = sum(call.answer_tokens for call in answered_calls)
+    generated_tokens = sum(engine.generated_tokens for engine in engines)
+    useful_tokens = sum(call.answer_tokens for call in answered_calls)
     top_tier = min(each.tier for each in simulation.topology.classes)
     return RunFigures(
         scenario=scenario,
@@ -102,8 +102,10 @@
             [call for call in calls if call.call_class.tier == top_tier]
         ),
         goodput=weight / (load_ms / MS_PER_S),
-        wasted_share=(generated - useful) / generated if generated else 0.0,
-        generated_tokens=generated,
+        wasted_share=(generated_tokens - useful_tokens) / generated_tokens
+        if generated_tokens
+        else 0.0,
+        generated_tokens=generated_tokens,
         attempts_per_call=simulation.attempts / len(calls) if calls else 0.0,
         failovers=simulation.callers.failovers,
         jain_index=_jain_index(calls),
--- a/savorychute/testing/platform_client.py
+++ b/savorychute/testing/platform_client.py
@@ -43,15 +43,15 @@
 
     def _execute_append(self, append: AppendRecord) -> None:
         simulation = self._simulation
-        answer = simulation.log.append(
+        append_result = simulation.log.append(
             append.stream, append.payload, simulation.heap.now_ms
         )
-        outcome = 'appended' if answer.outcome == 'appended' else 'refused'
+        outcome = 'appended' if append_result.outcome == 'appended' else 'refused'
         delay_ms = simulation.log.delay_ms / 2
-        if answer.outcome == 'lost':
+        if append_result.outcome == 'lost':
             outcome = 'unknown'
             delay_ms = LOST_REPLY_TIMEOUT_MS
-        offset = answer.offset if outcome == 'appended' else -1
+        offset = append_result.offset if outcome == 'appended' else -1
         finished = AppendFinished(append.append_id, append.stream, outcome, offset)
         simulation.heap.call_later(delay_ms, self._deliver, finished)
         if append.stream == CONFIGURATION_STREAM:
@@ -65,13 +65,15 @@
 
     def _execute_read(self, read: ReadRecords) -> None:
         simulation = self._simulation
-        answer = simulation.log.read(
+        read_result = simulation.log.read(
             read.stream, read.from_offset, read.max_records, simulation.heap.now_ms
         )
-        result = RecordsRead(read.stream, False)
-        if answer is not None:
-            result = RecordsRead(read.stream, True, *answer)
-        simulation.heap.call_later(simulation.log.delay_ms / 2, self._deliver, result)
+        records_read = RecordsRead(read.stream, False)
+        if read_result is not None:
+            records_read = RecordsRead(read.stream, True, *read_result)
+        simulation.heap.call_later(
+            simulation.log.delay_ms / 2, self._deliver, records_read
+        )
 
     def fetch_listing(self, _fetch: FetchListing) -> None:
         """Fetch the list of instances."""
--- a/savorychute/testing/scenario_file.py
+++ b/savorychute/testing/scenario_file.py
@@ -49,11 +49,11 @@
 
     :raises ScenarioError: if there is no scenario of that name.
     """
-    found = resources.files(BUNDLED).joinpath(f'{name}{SUFFIX}')
-    if not found.is_file():
+    scenario_resource = resources.files(BUNDLED).joinpath(f'{name}{SUFFIX}')
+    if not scenario_resource.is_file():
         known = ', '.join(list_bundled())
         raise ScenarioError(f'no scenario {name!r}; known: {known}')
-    return parse_scenario(found.read_text('utf-8'), name)
+    return parse_scenario(scenario_resource.read_text('utf-8'), name)
 
 
 def list_bundled() -> list[str]:
@@ -90,8 +90,8 @@
 
 def _find_line(message: str, index: LineIndex) -> int:
     """Return the line of the value that a message refers to."""
-    found = PATH_IN_MESSAGE.search(message)
-    steps = PATH_STEP.findall(found.group(1)) if found else []
+    match = PATH_IN_MESSAGE.search(message)
+    steps = PATH_STEP.findall(match.group(1)) if match else []
     path: ValuePath = tuple(name if name else int(number) for name, number in steps)
     while path and path not in index.lines:
         path = path[:-1]
--- a/savorychute/testing/scenario_run.py
+++ b/savorychute/testing/scenario_run.py
@@ -45,8 +45,8 @@
     :param policy: a name in :data:`POLICIES`.
     """
     topology = PROFILES.get(system or scenario.systems[0])()
-    chosen = scenario.seed if seed is None else seed
-    simulation = make_simulation(topology, chosen, POLICIES.get(policy))
+    chosen_seed = scenario.seed if seed is None else seed
+    simulation = make_simulation(topology, chosen_seed, POLICIES.get(policy))
     simulation.configure()
     context = FaultContext(
         simulation, Workload(simulation, simulation.make_rng('load'))
@@ -74,16 +74,18 @@
     total_per_s = load.requests_per_s
     if load.capacity_share:
         total_per_s = load.capacity_share * estimate_requests_per_s(topology)
-    demand = sum(each.demand for each in topology.classes)
+    demand = sum(call_class.demand for call_class in topology.classes)
     factors = {
         find_class(topology, name).name: factor for name, factor in load.factors.items()
     }
     start_ms = context.simulation.heap.now_ms
-    for each in topology.classes:
-        rate = total_per_s * each.demand / demand * factors.get(each.name, 1.0)
-        context.simulation.class_rates[each.name] = rate
+    for call_class in topology.classes:
+        rate_per_s = (
+            total_per_s * call_class.demand / demand * factors.get(call_class.name, 1.0)
+        )
+        context.simulation.class_rates[call_class.name] = rate_per_s
         context.workload.run_class(
-            each, start_ms, start_ms + load.duration_ms, _constant(rate)
+            call_class, start_ms, start_ms + load.duration_ms, _constant(rate_per_s)
         )
 
 
@@ -122,9 +124,9 @@
 def _find_value(figures: RunFigures, expectation: Expectation) -> float:
     if not expectation.class_name:
         return float(getattr(figures, expectation.measure))
-    for each in figures.classes:
-        if expectation.class_name in (each.name, f'tier:{each.tier}'):
-            return float(getattr(each, expectation.measure))
+    for class_figures in figures.classes:
+        if expectation.class_name in (class_figures.name, f'tier:{class_figures.tier}'):
+            return float(getattr(class_figures, expectation.measure))
     return 0.0
 
 
--- a/savorychute/testing/simulation.py
+++ b/savorychute/testing/simulation.py
@@ -30,8 +30,8 @@
 MIN_CLOCK_MS = 1_000_000
 MAX_CLOCK_MS = 2_000_000_000
 EPOCH_MS = 1_700_000_000_000
-CONFIGURED_WITHIN_MS = 30_000.0
-CONFIGURE_STEP_MS = 100.0
+CONFIGURE_TIMEOUT_MS = 30_000.0
+POLL_INTERVAL_MS = 100.0
 COMMAND_GAP_MS = 20.0
 
 
@@ -111,7 +111,7 @@
     def configure(self) -> None:
         """Enter all contracts and endpoints, and wait until they are in force.
 
-        :raises SavorychuteError: if this takes longer than ``CONFIGURED_WITHIN_MS``.
+        :raises SavorychuteError: if this takes longer than ``CONFIGURE_TIMEOUT_MS``.
         """
         self.run_for(self.topology.settle_ms)
         commands = []
@@ -132,11 +132,11 @@
             }
             commands.append(self.command('endpoint-add', arguments))
             self.run_for(COMMAND_GAP_MS)
-        end_ms = self.heap.now_ms + CONFIGURED_WITHIN_MS
+        end_ms = self.heap.now_ms + CONFIGURE_TIMEOUT_MS
         while not self._is_configured(commands):
             if self.heap.now_ms >= end_ms:
                 raise SavorychuteError(self._describe_unconfigured(commands))
-            self.run_for(CONFIGURE_STEP_MS)
+            self.run_for(POLL_INTERVAL_MS)
         self.run_for(self.topology.settle_ms)
         self.configuration_monitor.start()
 
@@ -152,9 +152,14 @@
         return ready and len(offsets) == 1
 
     def _describe_unconfigured(self, commands: list[str]) -> str:
-        missing = [name for name in commands if name not in self.replies]
-        ready = [host.name for host in self.instances.values() if host.instance.ready]
-        return f'no configuration: {len(missing)} open commands, ready: {ready}'
+        open_commands = [name for name in commands if name not in self.replies]
+        ready_instances = [
+            host.name for host in self.instances.values() if host.instance.ready
+        ]
+        return (
+            f'configuration not in force everywhere: {len(open_commands)} commands'
+            f' without a reply; ready instances: {ready_instances}'
+        )
 
     # -- time
 
@@ -237,7 +242,7 @@
             host.is_up = False
             self.listing.delete(host.name, self.heap.now_ms)
             return
-        self.heap.call_later(CONFIGURE_STEP_MS, self._stop_if_idle, host)
+        self.heap.call_later(POLL_INTERVAL_MS, self._stop_if_idle, host)
 
     def replace_instance(self, host: InstanceHost, domain: str) -> None:
         """Start a new instance in place of a stopped one."""
--- a/savorychute/testing/simulation_factory.py
+++ b/savorychute/testing/simulation_factory.py
@@ -32,9 +32,9 @@
     hashes = {'operator': hash_operator_token()}
 
     def make(address: MemberAddress, rng: Random, epoch_offset_ms: int) -> Instance:
-        own = settings._replace(
+        instance_settings = settings._replace(
             operator_token_hashes=hashes, epoch_offset_ms=epoch_offset_ms
         )
-        return Instance(own, address, rng)
+        return Instance(instance_settings, address, rng)
 
     return make
--- a/savorychute/testing/solo.py
+++ b/savorychute/testing/solo.py
@@ -27,7 +27,7 @@
     from savorychute.contracts.endpoint_document import EndpointDocument
     from savorychute.inputs import Input
 
-A = TypeVar('A')
+ActionT = TypeVar('ActionT')
 
 TICK_MS = 100
 ORGANISATION = 'acme'
@@ -147,7 +147,7 @@
     def append_document(
         self, item: str, document: dict[str, object], base_version: int = 0
     ) -> None:
-        """Append an amendment to the log, like another instance."""
+        """Append an amendment to the log, as another instance would."""
         records = self._streams.setdefault('configuration', [])
         record: AmendmentRecord = {
             'kind': AMENDMENT_KIND,
@@ -176,22 +176,22 @@
             actions += self._execute_actions(self.instance.tick(self.now_ms))
         return actions
 
-    def find(self, kind: type[A]) -> list[A]:
+    def find(self, kind: type[ActionT]) -> list[ActionT]:
         """Return all collected actions of a kind."""
         return [action for action in self.actions if isinstance(action, kind)]
 
     def _execute_actions(self, actions: Iterable[Action]) -> list[Action]:
         remaining: list[Action] = []
         for action in actions:
-            answer = self._answer(action)
-            if answer is None:
+            platform_result = self._execute_platform_action(action)
+            if platform_result is None:
                 self.actions.append(action)
                 remaining.append(action)
             else:
-                remaining += self.deliver(answer)
+                remaining += self.deliver(platform_result)
         return remaining
 
-    def _answer(self, action: Action) -> Input | None:
+    def _execute_platform_action(self, action: Action) -> Input | None:
         """Return the result of the platform, or None for any other action."""
         if isinstance(action, FetchListing):
             return ListingFetched(ok=True, live=(ADDRESS,))
@@ -207,13 +207,13 @@
     def _read(self, read: ReadRecords) -> RecordsRead:
         records = self._streams.get(read.stream, [])
         start = max(0, read.from_offset)
-        chosen = records[start : start + read.max_records]
+        payloads = records[start : start + read.max_records]
         return RecordsRead(
             stream=read.stream,
             ok=True,
             records=tuple(
                 LogRecord(start + position, payload)
-                for position, payload in enumerate(chosen)
+                for position, payload in enumerate(payloads)
             ),
             first_offset=0,
             end_offset=len(records),
--- a/savorychute/testing/workload.py
+++ b/savorychute/testing/workload.py
@@ -96,17 +96,17 @@
 
     def _pick_organisation(self) -> str:
         point = self._rng.random() * self._cumulative_shares[-1]
-        for name, step in zip(
+        for name, cumulative_share in zip(
             self._organisations, self._cumulative_shares, strict=True
         ):
-            if point < step:
+            if point < cumulative_share:
                 return name
         return self._organisations[-1]
 
     def _pick_length(self, call_class: CallClass) -> int:
-        mean = math.log(call_class.output_tokens)
-        length = self._rng.lognormvariate(mean, call_class.spread)
-        return max(1, min(int(length), self._simulation.max_tokens))
+        mean_log_tokens = math.log(call_class.output_tokens)
+        length_tokens = self._rng.lognormvariate(mean_log_tokens, call_class.spread)
+        return max(1, min(int(length_tokens), self._simulation.max_tokens))
 
 
 def make_chat_call(
