--- a/benches/__init__.py
+++ b/benches/__init__.py
@@ -1,1 +1,1 @@
-"""Benches of components; each bench module has a ``run`` that returns rows."""
+"""Benchmarks of components; each benchmark module has a ``run`` that returns rows."""
--- a/benches/__main__.py
+++ b/benches/__main__.py
@@ -42,11 +42,11 @@
 
 def find_benches() -> Iterator[str]:
     """Yield the names of the modules of this package that have a ``run``."""
-    for found in pkgutil.iter_modules(benches.__path__):
-        if found.ispkg or found.name.startswith('_'):
+    for module_info in pkgutil.iter_modules(benches.__path__):
+        if module_info.ispkg or module_info.name.startswith('_'):
             continue
-        if hasattr(importlib.import_module(f'benches.{found.name}'), 'run'):
-            yield found.name
+        if hasattr(importlib.import_module(f'benches.{module_info.name}'), 'run'):
+            yield module_info.name
 
 
 def _parse(argv: Sequence[str] | None) -> argparse.Namespace:
--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -45,9 +45,9 @@
 def load_roles() -> None:
     """Import the module of each role, which registers it."""
     package = benches.capacity_roles
-    for found in pkgutil.iter_modules(package.__path__, f'{package.__name__}.'):
-        if found.name.endswith(ROLE_SUFFIX):
-            importlib.import_module(found.name)
+    for module_info in pkgutil.iter_modules(package.__path__, f'{package.__name__}.'):
+        if module_info.name.endswith(ROLE_SUFFIX):
+            importlib.import_module(module_info.name)
 
 
 def measure_blocks(only: list[str] | None, processes: int) -> dict[str, str]:
@@ -60,7 +60,7 @@
     with ProcessPoolExecutor(processes, initializer=load_roles) as executor:
         measured = dict(zip(names, executor.map(measure_role, names), strict=True))
     blocks = {name: render_role(ROLES[name], measured[name]) for name in names}
-    summed = {name: found for name, found in measured.items() if ROLES[name].summed}
+    summed = {name: samples for name, samples in measured.items() if ROLES[name].summed}
     blocks['summary'] = render_summary(summed, measure_interpreter_bytes())
     blocks['log'] = render_log(measured)
     return blocks
--- a/benches/capacity_roles/claims_role.py
+++ b/benches/capacity_roles/claims_role.py
@@ -44,7 +44,7 @@
 VERSION_BITS = 7 << 76
 VARIANT_BITS = 2 << 62
 RANDOM_BITS = 62
-TIME_SHIFT = 80
+TIME_SHIFT_BITS = 80
 
 
 class SimulatedClaimManager:
@@ -72,7 +72,7 @@
         self.manager.set_wall_clock(WALL_OFFSET_MS, 0)
         self.admitted = 0
         self.arrived = 0
-        self.inbox: list[str] = []
+        self.arrived_keys: list[str] = []
         self._view = make_view(own, alive)
         self._log = log
         self._rng = rng
@@ -88,8 +88,8 @@
         while self._arrival_ms <= now_ms:
             self._arrival_ms += self._rng.expovariate(self._rate_per_ms)
             self.arrived += 1
-            self.inbox.append(make_key(WALL_OFFSET_MS + now_ms, self._rng))
-        keys, self.inbox = self.inbox, []
+            self.arrived_keys.append(make_key(WALL_OFFSET_MS + now_ms, self._rng))
+        keys, self.arrived_keys = self.arrived_keys, []
         for key in keys:
             results += self.manager.admit(key, key, FINGERPRINT, self._view, now_ms)
         results += self.manager.tick(self._view, now_ms)
@@ -102,7 +102,7 @@
         results = self.manager.receive(sender, message, self._view, now_ms)
         return self._process_results(results, now_ms)
 
-    def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
+    def execute_action(self, action: Action, now_ms: int) -> Sequence[Action]:
         """Execute a read or an append on the log."""
         if isinstance(action, ReadRecords):
             read = self._log.read(action)
@@ -124,7 +124,9 @@
                 self.admitted += 1
                 self.manager.finish(result.request_id, 200, 'text/plain', b'', now_ms)
             elif isinstance(result, KeyRedirect):
-                self._parts[result.address.instance].inbox.append(result.request_id)
+                self._parts[result.address.instance].arrived_keys.append(
+                    result.request_id
+                )
             elif isinstance(result, (AppendRecord, ReadRecords)):
                 actions.append(result)
         return actions
@@ -199,5 +201,5 @@
     :param wall_ms: the wall time in the key.
     :param rng: source of the random bits.
     """
-    value = wall_ms << TIME_SHIFT | VERSION_BITS | VARIANT_BITS
+    value = wall_ms << TIME_SHIFT_BITS | VERSION_BITS | VARIANT_BITS
     return str(uuid.UUID(int=value | rng.getrandbits(RANDOM_BITS)))
--- a/benches/capacity_roles/client_role.py
+++ b/benches/capacity_roles/client_role.py
@@ -20,7 +20,7 @@
 from savorychute.membership import DiscoverySettings, answer_discovery
 
 CALLER_TOKEN = 'x' * 43
-SEEDS = 3
+SEED_ADDRESSES = 3
 
 
 @role(
@@ -67,6 +67,6 @@
 
 def build_address_table() -> AddressTable:
     """Return the address table of a client; its connections are not counted."""
-    seeds = tuple(ServerAddress(f'10.0.0.{n}', 8400) for n in range(SEEDS))
+    seeds = tuple(ServerAddress(f'10.0.0.{n}', 8400) for n in range(SEED_ADDRESSES))
     pool: ClientPool = None  # type: ignore[assignment]
     return AddressTable(ClientSettings(seeds, CALLER_TOKEN), pool, ManualClock())
--- a/benches/capacity_roles/configuration_role.py
+++ b/benches/capacity_roles/configuration_role.py
@@ -79,7 +79,7 @@
         """Pass a peer message to the measured part."""
         return self.manager.receive(sender, message, self._view, now_ms)
 
-    def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
+    def execute_action(self, action: Action, now_ms: int) -> Sequence[Action]:
         """Execute a read or an append on the log."""
         if isinstance(action, ReadRecords):
             return self.manager.records_read(self._log.read(action), now_ms)
@@ -140,10 +140,10 @@
     :param instances: the size of the system.
     """
     changes_per_s = TARGET_CHANGES_PER_DAY * instances / TARGET_INSTANCES / DAY_S
-    share = changes_per_s * WINDOW_MS / MS_PER_S
+    changes_per_window = changes_per_s * WINDOW_MS / MS_PER_S
     return Costs(
         *(
-            without + max(0.0, with_change - without) * share
+            without + max(0.0, with_change - without) * changes_per_window
             for without, with_change in zip(settled, changing, strict=True)
         )
     )
@@ -154,10 +154,10 @@
 
     :param parts: all configuration managers.
     """
-    behind = [name for name, part in parts.items() if part.manager.state.offset < 1]
-    if behind:
+    outdated = [name for name, part in parts.items() if part.manager.state.offset < 1]
+    if outdated:
         raise RuntimeError(
-            f'{len(behind)} configuration managers have not received the change'
+            f'{len(outdated)} configuration managers have not received the change'
         )
 
 
--- a/benches/capacity_roles/credits_role.py
+++ b/benches/capacity_roles/credits_role.py
@@ -77,7 +77,7 @@
         self._rng = rng
         self._waiting: dict[str, deque[int]] = {pool: deque() for pool in POOLS}
         self._running: list[ActiveRequest] = []
-        self._counts = {pool: Counter[int]() for pool in POOLS}
+        self._running_counts = {pool: Counter[int]() for pool in POOLS}
         self._arrival_ms = rng.expovariate(REQUESTS_PER_MS)
 
     def prepare(self, now_ms: int) -> None:
@@ -85,7 +85,7 @@
         while self._running and self._running[0].end_ms <= now_ms:
             ended = heapq.heappop(self._running)
             self.ledger.release(ended.attempt_id, now_ms)
-            self._counts[ended.pool][ended.tier] -= 1
+            self._running_counts[ended.pool][ended.tier] -= 1
         for pool, queue in self._waiting.items():
             while queue and self._start(pool, queue[0], now_ms):
                 queue.popleft()
@@ -96,7 +96,7 @@
             if not self._start(pool, tier, now_ms):
                 self._waiting[pool].append(tier)
                 self.waited += 1
-        for pool, running in self._counts.items():
+        for pool, running in self._running_counts.items():
             by_tier = running + Counter(self._waiting[pool])
             self.ledger.set_demand(pool, dict(by_tier), now_ms)
 
@@ -110,7 +110,7 @@
         """Pass a peer message to the measured part."""
         return self.ledger.receive(sender, message, self._view, now_ms)
 
-    def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
+    def execute_action(self, action: Action, now_ms: int) -> Sequence[Action]:
         """Do nothing; a ledger only sends peer messages."""
         del action, now_ms
         return []
@@ -124,7 +124,7 @@
         for endpoint in (*preferred, *candidates):
             if self.ledger.acquire(endpoint, attempt_id, tier, EXPECTED_TOKENS, now_ms):
                 self.started += 1
-                self._counts[pool][tier] += 1
+                self._running_counts[pool][tier] += 1
                 service_ms = int(self._rng.expovariate(1 / MEAN_SERVICE_MS))
                 running = ActiveRequest(now_ms + service_ms, attempt_id, pool, tier)
                 heapq.heappush(self._running, running)
--- a/benches/capacity_roles/fake_log.py
+++ b/benches/capacity_roles/fake_log.py
@@ -38,13 +38,16 @@
         """
         records = self.streams.get(action.stream, [])
         start = max(0, action.from_offset)
-        found = records[start : start + action.max_records]
+        payloads = records[start : start + action.max_records]
         self.reads += 1
-        self.read_bytes += sum(len(payload) for payload in found)
+        self.read_bytes += sum(len(payload) for payload in payloads)
         return RecordsRead(
             action.stream,
             ok=True,
-            records=tuple(LogRecord(start + i, each) for i, each in enumerate(found)),
+            records=tuple(
+                LogRecord(start + position, payload)
+                for position, payload in enumerate(payloads)
+            ),
             end_offset=len(records),
         )
 
--- a/benches/capacity_roles/homes_role.py
+++ b/benches/capacity_roles/homes_role.py
@@ -36,7 +36,9 @@
     :param instances: the size of the system.
     """
     alive = make_members(instances)
-    regions = {name: doc['region'] for name, doc in make_endpoints(instances).items()}
+    regions = {
+        name: document['region'] for name, document in make_endpoints(instances).items()
+    }
     table = HomeTable()
     table.set_keys(regions)
     table.set_view(make_view(alive[0], alive))
@@ -70,6 +72,11 @@
     """
     alive = make_members(instances)
     table = HomeTable()
-    table.set_keys({n: d['region'] for n, d in make_endpoints(instances).items()})
+    table.set_keys(
+        {
+            name: document['region']
+            for name, document in make_endpoints(instances).items()
+        }
+    )
     table.set_view(make_view(alive[0], alive))
     return table
--- a/benches/capacity_roles/keys_role.py
+++ b/benches/capacity_roles/keys_role.py
@@ -76,7 +76,7 @@
         results = self.manager.receive(sender, message, self._view, now_ms)
         return self._process_results(results, now_ms)
 
-    def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
+    def execute_action(self, action: Action, now_ms: int) -> Sequence[Action]:
         """Do nothing; the log is not measured here."""
         del action, now_ms
         return []
--- a/benches/capacity_roles/lease_role.py
+++ b/benches/capacity_roles/lease_role.py
@@ -58,7 +58,7 @@
         del sender, message, now_ms
         return []
 
-    def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
+    def execute_action(self, action: Action, now_ms: int) -> Sequence[Action]:
         """Execute a read or an append on the log."""
         if isinstance(action, ReadRecords):
             return self.manager.records_read(self._log.read(action), now_ms)
--- a/benches/capacity_roles/limits_role.py
+++ b/benches/capacity_roles/limits_role.py
@@ -92,7 +92,7 @@
         """Pass a peer message to the measured part."""
         return self.limiter.receive(sender, message, self._view, now_ms)
 
-    def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
+    def execute_action(self, action: Action, now_ms: int) -> Sequence[Action]:
         """Do nothing; a limiter only sends peer messages."""
         del action, now_ms
         return []
--- a/benches/capacity_roles/member_mesh.py
+++ b/benches/capacity_roles/member_mesh.py
@@ -44,7 +44,7 @@
         self.settings = settings or MembershipSettings()
         self.rng = Random(seed)
         self.now_ms = 0
-        self.loss = 0.0
+        self.loss_share = 0.0
         self.members: dict[str, Membership] = {}
         self.addresses: dict[str, MemberAddress] = {}
         self.listed: dict[str, MemberAddress] = {}
@@ -98,7 +98,7 @@
 
         :param instance: its name.
         """
-        self._carry_out(instance, self.members[instance].leave(self.now_ms))
+        self._execute_actions(instance, self.members[instance].leave(self.now_ms))
 
     def run(self, duration_ms: int) -> None:
         """Advance the virtual clock.
@@ -141,7 +141,7 @@
             return
         if self.on_tick is not None:
             self.on_tick(instance)
-        self._carry_out(instance, self.members[instance].tick(self.now_ms))
+        self._execute_actions(instance, self.members[instance].tick(self.now_ms))
         heapq.heappush(self._ticks, (self.now_ms + TICK_MS, instance))
 
     def _deliver(self, delivery: Delivery) -> None:
@@ -156,23 +156,23 @@
         if self.on_deliver is not None:
             self.on_deliver(delivery.sender, delivery.target, delivery.message)
         actions = member.receive(delivery.sender, delivery.message, self.now_ms)
-        self._carry_out(delivery.target, actions)
+        self._execute_actions(delivery.target, actions)
 
-    def _carry_out(self, instance: str, actions: Iterable[Action]) -> None:
+    def _execute_actions(self, instance: str, actions: Iterable[Action]) -> None:
         for action in actions:
             if isinstance(action, FetchListing):
                 listing = ListingFetched(
                     True, tuple(self.listed.values()), self.listed_leaving
                 )
                 reply = self.members[instance].apply_listing(listing, self.now_ms)
-                self._carry_out(instance, reply)
+                self._execute_actions(instance, reply)
             elif isinstance(action, SendPeer):
                 self._send(instance, action)
 
     def _send(self, sender: str, action: SendPeer) -> None:
         if self.on_send is not None:
             self.on_send(sender, action.instance, action.message)
-        if self.rng.random() < self.loss:
+        if self.rng.random() < self.loss_share:
             return
         source = self.addresses[sender]
         target = self.addresses[action.instance]
--- a/benches/capacity_roles/part_mesh.py
+++ b/benches/capacity_roles/part_mesh.py
@@ -36,7 +36,7 @@
         """Handle a peer message and return the actions."""
         ...
 
-    def carry_out(self, action: Action, now_ms: int) -> Sequence[Action]:
+    def execute_action(self, action: Action, now_ms: int) -> Sequence[Action]:
         """Execute an action that is not a peer message, in place of the host."""
         ...
 
@@ -126,7 +126,9 @@
         for _ in range(windows):
             before_ns = sum(counter.spent_ns for counter in self._counters.values())
             self.run(window_ms)
-            spent_ns = sum(c.spent_ns for c in self._counters.values()) - before_ns
+            spent_ns = (
+                sum(counter.spent_ns for counter in self._counters.values()) - before_ns
+            )
             processor_us.append(spent_ns / NS_PER_US / len(self._counters))
         counters = self._counters.values()
         instance_seconds = len(counters) * windows * window_ms / MS_PER_S
@@ -147,7 +149,7 @@
         start_ns = time.process_time_ns()
         actions = self._parts[instance].tick(self.now_ms)
         self._add_processor_time(instance, start_ns)
-        self._carry_out(instance, actions)
+        self._execute_actions(instance, actions)
         heapq.heappush(self._ticks, (self.now_ms + self._tick_ms, instance))
 
     def _deliver(self, delivery: Delivery) -> None:
@@ -164,17 +166,17 @@
         start_ns = time.process_time_ns()
         actions = self._parts[instance].receive(delivery.sender, message, self.now_ms)
         self._add_processor_time(instance, start_ns)
-        self._carry_out(instance, actions)
+        self._execute_actions(instance, actions)
 
-    def _carry_out(self, instance: str, actions: Sequence[Action]) -> None:
+    def _execute_actions(self, instance: str, actions: Sequence[Action]) -> None:
         for action in actions:
             if isinstance(action, SendPeer):
                 self._send(instance, action)
             else:
                 start_ns = time.process_time_ns()
-                reply = self._parts[instance].carry_out(action, self.now_ms)
+                reply = self._parts[instance].execute_action(action, self.now_ms)
                 self._add_processor_time(instance, start_ns)
-                self._carry_out(instance, reply)
+                self._execute_actions(instance, reply)
 
     def _send(self, sender: str, action: SendPeer) -> None:
         counter = self._counters.get(sender)
--- a/benches/configuration.py
+++ b/benches/configuration.py
@@ -126,7 +126,7 @@
     simulation.loss_share = LOSS_SHARE
     simulation.reads = simulation.messages = 0
     started_ms = simulation.now_ms
-    delays: list[float] = []
+    delays_ms: list[float] = []
     for change in range(changes):
         simulation.applied.clear()
         proposed_ms = simulation.now_ms
@@ -135,31 +135,31 @@
             proposer, f'contract:{change}', 0, make_contract(f'{change}')
         )
         simulation.wait(12_000)
-        delays += [each.at_ms - proposed_ms for each in simulation.applied]
+        delays_ms += [each.at_ms - proposed_ms for each in simulation.applied]
         if len(simulation.applied) != members:
             raise RuntimeError(
                 f'{members - len(simulation.applied)} members '
                 'did not receive the change'
             )
     elapsed_s = (simulation.now_ms - started_ms) / MS_PER_S
-    percentiles = statistics.quantiles(delays, n=100)
+    percentiles = statistics.quantiles(delays_ms, n=100)
     return PropagationFigures(
         p50_ms=percentiles[49],
         p95_ms=percentiles[94],
-        worst_ms=max(delays),
+        worst_ms=max(delays_ms),
         reads_per_s=simulation.reads / elapsed_s,
         messages_per_s=simulation.messages / elapsed_s,
     )
 
 
 def _median_ms(call: Callable[[], object], repeats: int) -> float:
-    times = []
+    times_ms = []
     for _ in range(repeats):
         gc.collect()
         started_s = time.perf_counter()
         call()
-        times.append((time.perf_counter() - started_s) * MS_PER_S)
-    return statistics.median(times)
+        times_ms.append((time.perf_counter() - started_s) * MS_PER_S)
+    return statistics.median(times_ms)
 
 
 def _bench_fold(records: list[LogRecord], repeats: int) -> list[BenchRow]:
--- a/benches/configuration_conflicts.py
+++ b/benches/configuration_conflicts.py
@@ -44,30 +44,38 @@
     """
     weights = [1 / rank**POPULARITY_EXPONENT for rank in range(1, ITEMS + 1)]
     items = rng.choices(range(ITEMS), weights, k=len(starts_s))
-    versions = [0] * ITEMS
-    whole = attempts = conflicts = false_conflicts = 0
+    item_versions = [0] * ITEMS
+    document_version = attempts = conflicts = false_conflicts = 0
     reads = sorted(zip(starts_s, items, strict=True))
     heap = [(at_s, 0, item, 0, 0) for at_s, item in reads]
     heapq.heapify(heap)
     while heap:
-        at_s, is_proposal, item, item_base, whole_base = heapq.heappop(heap)
+        at_s, is_proposal, item, base_item_version, base_document_version = (
+            heapq.heappop(heap)
+        )
         if not is_proposal:
             think_s = THINK_MEDIAN_S * rng.lognormvariate(0, THINK_SIGMA)
-            heapq.heappush(heap, (at_s + think_s, 1, item, versions[item], whole))
+            heapq.heappush(
+                heap, (at_s + think_s, 1, item, item_versions[item], document_version)
+            )
             continue
         attempts += 1
-        is_true = item_base != versions[item]
-        is_conflict = is_true if per_item else whole_base != whole
+        is_item_conflict = base_item_version != item_versions[item]
+        is_conflict = (
+            is_item_conflict if per_item else base_document_version != document_version
+        )
         if is_conflict:
             conflicts += 1
-            false_conflicts += not is_true
+            false_conflicts += not is_item_conflict
             # A conflict returns the document in force, so the next attempt only
             # takes the time to merge.
             retry_s = at_s + MERGE_S
-            heapq.heappush(heap, (retry_s, 1, item, versions[item], whole))
+            heapq.heappush(
+                heap, (retry_s, 1, item, item_versions[item], document_version)
+            )
             continue
-        versions[item] += 1
-        whole += 1
+        item_versions[item] += 1
+        document_version += 1
     return ConflictCount(len(starts_s), attempts, conflicts, false_conflicts)
 
 
--- a/benches/configuration_recovery.py
+++ b/benches/configuration_recovery.py
@@ -32,7 +32,11 @@
 
 
 class RecoveryFigures(NamedTuple):
-    """Time and traffic of a recovery; messages and bytes are those of all instances."""
+    """Time and traffic of a recovery.
+
+    ``first_ms`` and ``last_ms`` are the times until the first and the last instance had
+    the newest configuration.  Messages and bytes are those of all instances.
+    """
 
     first_ms: int
     last_ms: int
@@ -99,13 +103,13 @@
 def measure_restart(
     members: int,
     payloads: list[bytes],
-    disturb: Callable[[ConfigurationSimulation], None] | None = None,
+    inject_fault: Callable[[ConfigurationSimulation], None] | None = None,
 ) -> RecoveryFigures:
     """Start all instances at once on a log whose oldest records have expired.
 
     :param members: the number of instances.
     :param payloads: the records of the configuration stream.
-    :param disturb: injects a further fault.
+    :param inject_fault: injects a further fault.
     """
     simulation = ConfigurationSimulation(seed=members, loss_share=0.0)
     for payload in payloads:
@@ -113,8 +117,8 @@
     simulation.log.expire(CONFIGURATION_STREAM, RECORDS - RECORDS_AFTER_SNAPSHOT)
     simulation.log.appends = 0
     counter = _TrafficCounter(simulation)
-    if disturb is not None:
-        disturb(simulation)
+    if inject_fault is not None:
+        inject_fault(simulation)
     for number in range(members):
         domain = number % DOMAINS
         simulation.add(f'i{number:03}', f'r{domain % REGIONS}', f'd{domain:02}')
--- a/benches/configuration_rig.py
+++ b/benches/configuration_rig.py
@@ -103,14 +103,17 @@
         if not self.is_up:
             return RecordsRead(action.stream, ok=False)
         records = self.streams.get(action.stream, [])
-        first = self.first_offsets.get(action.stream, 0)
-        start = max(first, action.from_offset)
-        found = records[start : start + action.max_records]
+        first_offset = self.first_offsets.get(action.stream, 0)
+        start = max(first_offset, action.from_offset)
+        payloads = records[start : start + action.max_records]
         return RecordsRead(
             action.stream,
             ok=True,
-            records=tuple(LogRecord(start + i, each) for i, each in enumerate(found)),
-            first_offset=first,
+            records=tuple(
+                LogRecord(start + position, payload)
+                for position, payload in enumerate(payloads)
+            ),
+            first_offset=first_offset,
             end_offset=len(records),
         )
 
@@ -192,12 +195,12 @@
         """Advance the clock by a duration."""
         self.run(self.now_ms + duration_ms)
 
-    def propose(self, name: str, item: str, base: int, document: Any) -> str:
+    def propose(self, name: str, item: str, base_version: int, document: Any) -> str:
         """Propose a change at a member and return the id of the command."""
         self._count += 1
         command_id = f'command-{self._count}'
         actions = self.managers[name].propose(
-            command_id, 'asha', item, base, document, 'a test', self.now_ms
+            command_id, 'asha', item, base_version, document, 'a test', self.now_ms
         )
         self.perform(name, actions)
         return command_id
@@ -243,10 +246,10 @@
         if target is None:
             return
         region = self.addresses[name].region
-        is_near = target.region == region
-        if not is_near and self.cut_regions & {region, target.region}:
+        is_same_region = target.region == region
+        if not is_same_region and self.cut_regions & {region, target.region}:
             return
-        delay_ms = NEAR_LATENCY_MS if is_near else FAR_LATENCY_MS
+        delay_ms = NEAR_LATENCY_MS if is_same_region else FAR_LATENCY_MS
         self.after(delay_ms, lambda: self._deliver(name, action))
 
     def _deliver(self, sender: str, action: SendPeer) -> None:
--- a/benches/daemon.py
+++ b/benches/daemon.py
@@ -9,7 +9,7 @@
 
 from benches.bench_row import BenchRow, make_row
 from benches.daemon_rig import (
-    BYTES_PER_KB,
+    KB_PER_MB,
     EngineRate,
     connect,
     run_daemon_process,
@@ -51,29 +51,29 @@
 async def _measure_first_token(
     engine: PacedEngine, daemon: DaemonProcess, repeats: int
 ) -> list[BenchRow]:
-    engine.settings = EngineRate(1, 1.0)
-    direct: list[float] = []
-    routed: list[float] = []
-    spent_ms: list[float] = []
-    direct_ms: list[float] = []
+    engine.rate = EngineRate(1, 1.0)
+    direct_first_ms: list[float] = []
+    routed_first_ms: list[float] = []
+    routed_processor_ms: list[float] = []
+    direct_processor_ms: list[float] = []
     for _ in range(repeats):
         before_s = sum(os.times()[:2])
-        direct += await _time_first_tokens(engine.port)
-        direct_ms.append((sum(os.times()[:2]) - before_s) * MS_PER_S)
+        direct_first_ms += await _time_first_tokens(engine.port)
+        direct_processor_ms.append((sum(os.times()[:2]) - before_s) * MS_PER_S)
         before_s = daemon.read_processor_s()
-        routed += await _time_first_tokens(daemon.port)
-        spent_ms.append((daemon.read_processor_s() - before_s) * MS_PER_S)
+        routed_first_ms += await _time_first_tokens(daemon.port)
+        routed_processor_ms.append((daemon.read_processor_s() - before_s) * MS_PER_S)
     rows = [
         make_row(
             'processor time of a request of one token, against engine and caller',
-            statistics.median(spent_ms) / FIRST_TOKEN_CALLS,
+            statistics.median(routed_processor_ms) / FIRST_TOKEN_CALLS,
             'ms',
-            statistics.median(direct_ms) / FIRST_TOKEN_CALLS,
+            statistics.median(direct_processor_ms) / FIRST_TOKEN_CALLS,
         )
     ]
-    for name, share in (('median', 50), ('95 in 100', 95)):
-        routed_quantile = statistics.quantiles(routed, n=100)[share - 1]
-        direct_quantile = statistics.quantiles(direct, n=100)[share - 1]
+    for name, percent in (('median', 50), ('95 in 100', 95)):
+        routed_quantile = statistics.quantiles(routed_first_ms, n=100)[percent - 1]
+        direct_quantile = statistics.quantiles(direct_first_ms, n=100)[percent - 1]
         rows.append(
             make_row(
                 f'first token through the daemon, {name}',
@@ -102,19 +102,19 @@
 async def _measure_processor(
     engine: PacedEngine, daemon: DaemonProcess, repeats: int
 ) -> list[BenchRow]:
-    engine.settings = EngineRate(TOKENS, GAP_MS)
-    routed: list[float] = []
-    direct: list[float] = []
+    engine.rate = EngineRate(TOKENS, GAP_MS)
+    routed_s: list[float] = []
+    direct_s: list[float] = []
     for _ in range(repeats):
         before_s = daemon.read_processor_s()
         await _run_streams(daemon.port, STREAMS)
-        routed.append(daemon.read_processor_s() - before_s)
+        routed_s.append(daemon.read_processor_s() - before_s)
         before_s = sum(os.times()[:2])
         await _run_streams(engine.port, STREAMS)
-        direct.append(sum(os.times()[:2]) - before_s)
-    count = STREAMS * TOKENS
-    routed_us = statistics.median(routed) / count * US_PER_S
-    direct_us = statistics.median(direct) / count * US_PER_S
+        direct_s.append(sum(os.times()[:2]) - before_s)
+    token_count = STREAMS * TOKENS
+    routed_us = statistics.median(routed_s) / token_count * US_PER_S
+    direct_us = statistics.median(direct_s) / token_count * US_PER_S
     per_core = TARGET_GAP_MS / MS_PER_S / (routed_us / US_PER_S)
     direct_per_core = TARGET_GAP_MS / MS_PER_S / (direct_us / US_PER_S)
     return [
@@ -137,15 +137,15 @@
     callers = [await connect(port) for _ in range(count)]
     for caller in callers:
         caller.send()
-    ends = [await caller.done for caller in callers]
+    succeeded = [await caller.done for caller in callers]
     for caller in callers:
         caller.transport.close()
-    if not all(ends):
-        raise RuntimeError(f'{ends.count(False)} of {count} streams failed')
+    if not all(succeeded):
+        raise RuntimeError(f'{succeeded.count(False)} of {count} streams failed')
 
 
 async def _measure_memory(engine: PacedEngine, daemon: DaemonProcess) -> list[BenchRow]:
-    engine.settings = EngineRate(1_000_000, 5_000.0)
+    engine.rate = EngineRate(1_000_000, 5_000.0)
     before_kb = daemon.read_memory_kb()
     callers = [await connect(daemon.port) for _ in range(OPEN_STREAMS)]
     await asyncio.sleep(0.5)
@@ -165,7 +165,7 @@
         ),
         make_row(
             'memory of the daemon with no stream open',
-            before_kb / BYTES_PER_KB,
+            before_kb / KB_PER_MB,
             'MB',
             0.0,
         ),
--- a/benches/daemon_rig.py
+++ b/benches/daemon_rig.py
@@ -24,7 +24,7 @@
 HOST = '127.0.0.1'
 CALLER_TOKEN = 'caller'
 OPERATOR_TOKEN = 'operator'
-BYTES_PER_KB = 1_024
+KB_PER_MB = 1_024
 HEAD_END = b'\r\n\r\n'
 LAST_CHUNK = b'0\r\n\r\n'
 END_EVENT = b'data: [DONE]\n\n'
@@ -48,7 +48,7 @@
     """
 
     def __init__(self) -> None:
-        self.settings = EngineRate(1, 0.0)
+        self.rate = EngineRate(1, 0.0)
         self.port = 0
         self._streams: dict[asyncio.Transport, int] = {}
         self._timer: asyncio.TimerHandle | None = None
@@ -67,7 +67,7 @@
 
     def _schedule(self) -> None:
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(self.settings.gap_ms / 1_000, self._write_events)
+        self._timer = loop.call_later(self.rate.gap_ms / 1_000, self._write_events)
 
     def _write_events(self) -> None:
         self._timer = None
@@ -83,7 +83,7 @@
             b'"token_count":1}\n\n' % number
         )
         number += 1
-        if number < self.settings.tokens:
+        if number < self.rate.tokens:
             self._streams[transport] = number
             transport.write(b'%x\r\n%b\r\n' % (len(data), data))
             return
@@ -110,16 +110,16 @@
     def data_received(self, data: bytes) -> None:
         """Handle one complete request at a time."""
         self._buffer += data
-        head, separator, rest = self._buffer.partition(HEAD_END)
+        head, separator, body = self._buffer.partition(HEAD_END)
         if not separator:
             return
-        length = 0
+        body_bytes = 0
         for line in head.lower().split(b'\r\n'):
             if line.startswith(b'content-length:'):
-                length = int(line.split(b':')[1])
-        if len(rest) < length:
+                body_bytes = int(line.split(b':')[1])
+        if len(body) < body_bytes:
             return
-        self._buffer = rest[length:]
+        self._buffer = body[body_bytes:]
         if b'/v1/chat/completions' in head.split(b'\r\n')[0]:
             self._engine.open(self._transport)
         else:
@@ -129,7 +129,7 @@
 
 
 class StreamCaller(asyncio.Protocol):
-    """Reads one stream and records the times of its first token and its end."""
+    """Reads one stream; its futures report the first token and whether it was complete."""
 
     def __init__(self, request: bytes) -> None:
         self._request = request
@@ -289,7 +289,7 @@
         entry = json.loads(line)
         if entry['message_type'] == 'instance-started':
             return int(entry['address'].rpartition(':')[2])
-    raise RuntimeError('the daemon did not start')
+    raise RuntimeError('the daemon ended before it logged its address')
 
 
 async def _discard_output(process: asyncio.subprocess.Process) -> None:
@@ -332,11 +332,15 @@
         'outstanding_tokens': 100_000_000,
         'models': ['m'],
     }
-    base = {'base_version': 0, 'why': 'bench'}
+    common_arguments = {'base_version': 0, 'why': 'bench'}
     await _send_command(
-        port, 'contract-amend', {**base, 'organisation': 'bench', 'document': contract}
+        port,
+        'contract-amend',
+        {**common_arguments, 'organisation': 'bench', 'document': contract},
+    )
+    await _send_command(
+        port, 'endpoint-add', {**common_arguments, 'document': endpoint}
     )
-    await _send_command(port, 'endpoint-add', {**base, 'document': endpoint})
     await _warm_up(port)
 
 
--- a/benches/days/__init__.py
+++ b/benches/days/__init__.py
@@ -1,1 +1,4 @@
-"""Runs days, scenario files with one kind of fault or several that overlap."""
+"""Runs days with an external program, the bench.
+
+A day is a scenario file with one kind of fault, or several that overlap.
+"""
--- a/benches/days/__main__.py
+++ b/benches/days/__main__.py
@@ -43,7 +43,7 @@
     print('|---|---|---|---|---|---|---|')
     for result in results:
         print(result.row())
-    failed = [each for each in results if each.broken or each.error]
+    failed = [result for result in results if result.broken or result.error]
     return FAILED_STATUS if failed else 0
 
 
--- a/benches/days/day_player.py
+++ b/benches/days/day_player.py
@@ -25,7 +25,7 @@
 
 
 class DayPlayer:
-    """Runs days, several at a time.
+    """Runs days, several at a time, each in a process of the bench.
 
     :param bench: the bench's executable.
     :param why: the reason, for the journal of the bench.
--- a/benches/days/day_result.py
+++ b/benches/days/day_result.py
@@ -9,8 +9,8 @@
 class DayResult(NamedTuple):
     """The result of a day at a site.
 
-    ``broken`` lists the broken rules with their counts; ``error`` says why the day
-    could not be run.
+    ``worth`` is the figure ``G`` of the report.  ``broken`` lists the broken rules with
+    their counts; ``error`` says why the day could not be run.
     """
 
     site: str
--- a/benches/duty_holders.py
+++ b/benches/duty_holders.py
@@ -1,7 +1,8 @@
-"""Compares two ways to assign a duty: a lease by claims in a topic, and a group.
+"""Compares two ways to assign a duty: a lease in a topic, and a group with a partition.
 
-The group is joined on the store. Measured are the time without a holder after a
-fault and the calls of each way, with a simulated store on virtual time.
+Instances claim the lease by records of the topic, or join the group; the store provides
+both. The benchmark measures the time without a holder after a fault and the calls of
+each way, with a simulated store on virtual time.
 """
 
 from __future__ import annotations
@@ -66,8 +67,8 @@
             self.generation += 1
         self.seen_ms[member] = now_ms
         for expired in [
-            each
-            for each, seen_ms in self.seen_ms.items()
+            member_name
+            for member_name, seen_ms in self.seen_ms.items()
             if now_ms - seen_ms > GROUP_TTL_MS
         ]:
             del self.seen_ms[expired]
@@ -89,15 +90,15 @@
     group: GroupModel
     topic: InstanceTopic
     member: str
-    _until_ms = 0.0
+    _owned_until_ms = 0.0
     _generation = 0
     _joining: asyncio.Task[None] | None = None
-    _next_ms = 0.0
+    _next_join_ms = 0.0
 
     def tick(self, now_ms: int, *, should_hold: bool) -> list[ConditionalWrite]:
         """Join the group at each interval."""
-        if should_hold and now_ms >= self._next_ms:
-            self._next_ms = now_ms + JOIN_INTERVAL_MS
+        if should_hold and now_ms >= self._next_join_ms:
+            self._next_join_ms = now_ms + JOIN_INTERVAL_MS
             self._joining = asyncio.get_running_loop().create_task(self._join(now_ms))
         return []
 
@@ -108,11 +109,16 @@
             return
         generation, is_owner = self.group.join(self.member)
         self._generation = generation
-        self._until_ms = now_ms + GROUP_TTL_MS - JOIN_MARGIN_MS if is_owner else 0.0
+        self._owned_until_ms = (
+            now_ms + GROUP_TTL_MS - JOIN_MARGIN_MS if is_owner else 0.0
+        )
 
     def fencing_number(self, now_ms: int) -> int | None:
         """Return era and generation while this member owns the partition."""
-        if now_ms >= self._until_ms or self._store_era.current != self.records.era:
+        if (
+            now_ms >= self._owned_until_ms
+            or self._store_era.current != self.records.era
+        ):
             return None
         return number_in_era(self.records.era, self._generation)
 
@@ -199,13 +205,13 @@
     for fault in FAULTS:
         lease = [_simulate(seed, fault, use_group=False) for seed in SEEDS]
         group = [_simulate(seed, fault, use_group=True) for seed in SEEDS]
-        for name, pick in (('median', statistics.median), ('worst', max)):
-            group_value = pick(each.gap_ms for each in group)
-            lease_value = pick(each.gap_ms for each in lease)
+        for name, aggregate in (('median', statistics.median), ('worst', max)):
+            group_value = aggregate(outcome.gap_ms for outcome in group)
+            lease_value = aggregate(outcome.gap_ms for outcome in lease)
             label = f'no holder, {fault.name}, {name}: lease (baseline: group)'
             rows.append(make_row(label, lease_value, 'ms', group_value))
-    calls = [each.calls_per_minute for each in lease]
-    group_value = [each.calls_per_minute for each in group]
+    calls = [outcome.calls_per_minute for outcome in lease]
+    group_value = [outcome.calls_per_minute for outcome in group]
     label = 'calls of three candidates: lease (baseline: group)'
     unit = 'calls/min'
     rows.append(
@@ -219,8 +225,8 @@
         simulation: Any = DutySimulation(seed)
         if use_group:
             simulation.group = GroupModel()
-            for each in simulation.instances:
-                _join_group(simulation, each)
+            for instance in simulation.instances:
+                _join_group(simulation, instance)
         await sleep_ms(STEADY_MS + seed * 130)
         calls_per_minute = _count_calls(simulation) * 60_000 / loop_ms()
         while simulation.holder() is None:
@@ -245,23 +251,25 @@
 def _count_calls(simulation: Any) -> float:
     if not hasattr(simulation, 'group'):
         return float(simulation.store.calls)
-    others = simulation.store.calls - simulation.group.joins
-    return float(others + JOIN_WEIGHT * simulation.group.joins)
+    other_calls = simulation.store.calls - simulation.group.joins
+    return float(other_calls + JOIN_WEIGHT * simulation.group.joins)
 
 
 async def _longest_gap(simulation: DutySimulation) -> float:
     """Return the longest time in which no available instance held the duties."""
     longest_ms = 0.0
-    since_ms: float | None = None
+    gap_start_ms: float | None = None
     end_ms = loop_ms() + OBSERVED_MS
     while loop_ms() < end_ms:
         await sleep_ms(POLL_INTERVAL_MS)
         holds = any(
-            each.is_holder() for each in simulation.instances if each.is_available()
+            instance.is_holder()
+            for instance in simulation.instances
+            if instance.is_available()
         )
         if holds:
-            since_ms = None
+            gap_start_ms = None
             continue
-        since_ms = loop_ms() if since_ms is None else since_ms
-        longest_ms = max(longest_ms, loop_ms() - since_ms)
+        gap_start_ms = loop_ms() if gap_start_ms is None else gap_start_ms
+        longest_ms = max(longest_ms, loop_ms() - gap_start_ms)
     return longest_ms
--- a/benches/gateway_choice.py
+++ b/benches/gateway_choice.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from savorychute.gateway.dispatch.chooser import Chooser
 
-# Engines of one model: on the grown sites of users, and at the target size.
+# Engines of one model: at users' sites after their growth, and at the target size.
 ENGINES = (45, 160)
 PROMPTS = 200
 DECISIONS = 1_000
--- a/benches/measurement_page.py
+++ b/benches/measurement_page.py
@@ -48,8 +48,12 @@
     runs.sort(key=_order)
     _print_table(RUN_COLUMNS, [_run_row(run) for run in runs])
     print()
-    defaults = [run for run in runs if run['policy'] == POLICY_ORDER[0]]
-    rows = [_class_row(run, each) for run in defaults for each in run['classes']]
+    default_runs = [run for run in runs if run['policy'] == POLICY_ORDER[0]]
+    rows = [
+        _class_row(run, class_figures)
+        for run in default_runs
+        for class_figures in run['classes']
+    ]
     _print_table(CLASS_COLUMNS, rows)
     return 0
 
@@ -74,20 +78,24 @@
     ]
 
 
-def _class_row(run: Run, each: Run) -> list[str]:
-    first = (f'{each[f"first_token_p{percent}_ms"]:.0f}' for percent in (50, 95, 99))
-    gap = (f'{each[f"token_gap_p{percent}_ms"]:.1f}' for percent in (50, 95, 99))
+def _class_row(run: Run, class_figures: Run) -> list[str]:
+    first = (
+        f'{class_figures[f"first_token_p{percent}_ms"]:.0f}' for percent in (50, 95, 99)
+    )
+    gap = (
+        f'{class_figures[f"token_gap_p{percent}_ms"]:.1f}' for percent in (50, 95, 99)
+    )
     return [
         run['scenario'],
         run['system'],
-        each['name'],
-        str(each['tier']),
-        str(each['calls']),
-        f'{each["attainment"]:.4f}',
-        str(each['refused']),
+        class_figures['name'],
+        str(class_figures['tier']),
+        str(class_figures['calls']),
+        f'{class_figures["attainment"]:.4f}',
+        str(class_figures['refused']),
         ' / '.join(first),
         ' / '.join(gap),
-        f'{each["worst_wait_ms"]:.0f}',
+        f'{class_figures["worst_wait_ms"]:.0f}',
     ]
 
 
--- a/benches/membership.py
+++ b/benches/membership.py
@@ -108,7 +108,7 @@
     :param seed: seed of the mesh.
     """
     mesh = start_mesh(FALSE_DEATH_MEMBERS, 1, seed, settings)
-    mesh.loss = LOSS_SHARE
+    mesh.loss_share = LOSS_SHARE
     dead: set[tuple[str, int]] = set()
     pause_order = sorted(mesh.members)
     mesh.rng.shuffle(pause_order)
@@ -185,7 +185,7 @@
 def bench_leave(seed: int) -> list[BenchRow]:
     """Let members of a mesh of the target size leave one after the other."""
     mesh = start_mesh(TARGET_MEMBERS, TARGET_REGIONS, seed)
-    mesh.loss = LOSS_SHARE
+    mesh.loss_share = LOSS_SHARE
     times_ms = []
     for number in range(KILLS):
         address = make_address(7 * number, TARGET_REGIONS)
@@ -252,8 +252,8 @@
         moved = 0
         departures = addresses[:: max(1, members // 8)][:8]
         for stopped in departures:
-            rest = [address for address in addresses if address != stopped]
-            after = [choose_homes(key, rest, 1) for key in keys]
+            remaining = [address for address in addresses if address != stopped]
+            after = [choose_homes(key, remaining, 1) for key in keys]
             moved += sum(a != b for a, b in zip(before, after, strict=True))
         share = moved / KEYS / len(departures)
         name = f'homes moved by a departure of {members} members / ideal'
@@ -271,30 +271,34 @@
     :param rng: generates the mixes.
     """
     seeds = [rng.getrandbits(32) for _ in range(mixes)]
-    blind = statistics.median(balance_region(seed, False) for seed in seeds)
-    aware = statistics.median(balance_region(seed, True) for seed in seeds)
+    without_loads = statistics.median(balance_region(seed, False) for seed in seeds)
+    with_loads = statistics.median(balance_region(seed, True) for seed in seeds)
     return [
         make_row(
             'busiest of 66 instances over the mean, by discovery / without loads',
-            aware,
+            with_loads,
             'x',
-            blind,
+            without_loads,
         )
     ]
 
 
-def balance_region(seed: int, aware: bool) -> float:
+def balance_region(seed: int, uses_loads: bool) -> float:
     """Return the median over time of the highest load divided by the mean load.
 
     :param seed: seed of the rates of organisations and of all choices.
-    :param aware: whether discovery takes the loads into account.
+    :param uses_loads: whether discovery takes the loads into account.
     """
     rng = Random(seed)
     alive = tuple(make_address(number) for number in range(REGION_MEMBERS))
     view = MemberView(alive[0], alive)
     settings = DiscoverySettings(far_seats=0)
     rates = [draw_rate(number, rng) for number in range(REGION_ORGANISATIONS)]
-    ends_ms = {(c, k): 0 for c in range(len(rates)) for k in range(CALLERS)}
+    ends_ms = {
+        (organisation_number, caller_number): 0
+        for organisation_number in range(len(rates))
+        for caller_number in range(CALLERS)
+    }
     assigned: dict[tuple[int, int], str] = {}
     history: list[dict[str, int]] = []
     ratios = []
@@ -307,7 +311,7 @@
                 continue
             organisation = f'organisation-{caller[0]}'
             seats = count_seats(rates[caller[0]])
-            loads = lagging if aware else None
+            loads = lagging if uses_loads else None
             response = answer_discovery(organisation, view, settings, rng, seats, loads)
             assigned[caller] = response.addresses[0].instance
             ends_ms[caller] = now_ms + response.lifetime_ms
--- a/benches/placement.py
+++ b/benches/placement.py
@@ -123,9 +123,9 @@
     """Return the median time of a plan in us, without the first plan."""
     settings = settings._replace(warm_up_ms=0, min_dwell_ms=0)
     slots = ENGINES * SLOTS_PER_ENGINE
-    weight = len(MODELS) * (len(MODELS) + 1) / 2
+    rank_sum = len(MODELS) * (len(MODELS) + 1) / 2
     demand = {
-        model: use * slots * rank / weight for rank, model in enumerate(MODELS, 1)
+        model: use * slots * rank / rank_sum for rank, model in enumerate(MODELS, 1)
     }
     medians = []
     for _ in range(repeats):
--- a/benches/routing.py
+++ b/benches/routing.py
@@ -52,7 +52,8 @@
     shares = {}
     for name in ('predicted', 'least-outstanding'):
         figures = [
-            RoutingSimulation(scenario, name, RoutingSettings(), s).run() for s in seeds
+            RoutingSimulation(scenario, name, RoutingSettings(), seed).run()
+            for seed in seeds
         ]
         shares[name] = statistics.mean(result.in_time_share for result in figures)
     return make_row(
--- a/benches/routing_rig.py
+++ b/benches/routing_rig.py
@@ -87,11 +87,11 @@
         self.scenario = scenario
         self.rng = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
-        self._order = itertools.count()
+        self._event_numbers = itertools.count()
         self._first_ms: dict[str, float] = {}
         self._started: dict[str, tuple[float, EndpointTable, float]] = {}
         self._last_ms: dict[str, float] = {}
-        self._gaps: list[float] = []
+        self._gaps_ms: list[float] = []
         self._in_time = 0
         self._make_engines()
         self._make_instances(router, settings)
@@ -101,14 +101,15 @@
         self.documents = {}
         for number in range(self.scenario.engines):
             name = f'engine-{number}'
-            options = EngineSettings(
+            engine_settings = EngineSettings(
                 name=name, models=(POOL,), report_lag_ms=self.scenario.report_lag_ms
             )
             if number >= self.scenario.engines - self.scenario.small_engines:
-                options = options._replace(
-                    max_running=options.max_running // 2, step_ms=2 * options.step_ms
+                engine_settings = engine_settings._replace(
+                    max_running=engine_settings.max_running // 2,
+                    step_ms=2 * engine_settings.step_ms,
                 )
-            self.engines[name] = ModelEngine(options, random.Random(number))
+            self.engines[name] = ModelEngine(engine_settings, random.Random(number))
             self.documents[name] = {
                 'endpoint': name,
                 'dialect': 'openai',
@@ -117,7 +118,7 @@
                 'region': 'kerala',
                 'failure_domain': DOMAINS[number % 3],
                 'state': 'active',
-                'concurrent_requests': options.max_running,
+                'concurrent_requests': engine_settings.max_running,
                 'models': [POOL],
             }
         self._wake_times_ms = dict.fromkeys(self.engines, -1.0)
@@ -134,7 +135,7 @@
 
     def at(self, when_ms: float, call: Callable[[float], None]) -> None:
         """Schedule a call at a time."""
-        heapq.heappush(self._events, (when_ms, next(self._order), call))
+        heapq.heappush(self._events, (when_ms, next(self._event_numbers), call))
 
     def run(self) -> RoutingFigures:
         """Run the scenario to its end and return the figures."""
@@ -198,11 +199,11 @@
         distance_ms = table.state_of(name).distance_ms
         table.record_start(attempt_id, name, tokens, 150, hashes, int(now_ms))
         self._started[attempt_id] = (now_ms, table, distance_ms)
-        send = EngineRequest(attempt_id, attempt_id, POOL, prompt, 0)
+        engine_request = EngineRequest(attempt_id, attempt_id, POOL, prompt, 0)
         self.at(
             now_ms + distance_ms,
             lambda at_ms: self._handle_events(
-                name, self.engines[name].submit(send, at_ms), at_ms
+                name, self.engines[name].submit(engine_request, at_ms), at_ms
             ),
         )
 
@@ -254,14 +255,14 @@
             self._first_ms[attempt_id] = now_ms - started_ms
         else:
             gap_ms = (now_ms - self._last_ms[attempt_id]) / event.token_count
-            self._gaps.append(gap_ms)
+            self._gaps_ms.append(gap_ms)
         self._last_ms[attempt_id] = now_ms
 
     def _summarise(self) -> RoutingFigures:
         first_times_ms = sorted(self._first_ms.values())
         first_times_ms += [60_000.0] * (self._arrivals - len(first_times_ms))
-        gap_times_ms = sorted(self._gaps)
-        in_time = sum(first <= self.target_ms for first in first_times_ms)
+        gap_times_ms = sorted(self._gaps_ms)
+        in_time = sum(first_ms <= self.target_ms for first_ms in first_times_ms)
         return RoutingFigures(
             len(first_times_ms),
             quantile(first_times_ms, 0.5),
--- a/benches/soak.py
+++ b/benches/soak.py
@@ -85,9 +85,11 @@
                 for organisation in ORGANISATIONS
             }
             async with asyncio.TaskGroup() as group:
-                for each in self._classes:
+                for demo_class in self._classes:
                     group.create_task(
-                        self._generate_load(clients[each.organisation], each)
+                        self._generate_load(
+                            clients[demo_class.organisation], demo_class
+                        )
                     )
                 group.create_task(self._inject_faults())
             async with asyncio.timeout(CALLS_TIMEOUT_S):
@@ -106,15 +108,15 @@
             )
         for name, engine in self._site.engines.items():
             domain = self._site.domains[name]
-            entry = make_engine_document(name, domain, engine.port, 16)
+            document = make_engine_document(name, domain, engine.port, 16)
             await self._send_until_accepted(
-                'endpoint-add', document=entry, base_version=0, why='soak'
+                'endpoint-add', document=document, base_version=0, why='soak'
             )
-        entry = make_service_document(
+        document = make_service_document(
             f'{SERVICE}-1', DOMAINS[0], self._site.service_port
         )
         await self._send_until_accepted(
-            'endpoint-add', document=entry, base_version=0, why='soak'
+            'endpoint-add', document=document, base_version=0, why='soak'
         )
         await asyncio.sleep(3)
 
@@ -212,17 +214,18 @@
 
     def _count_repeated_streams(self) -> int:
         """Return how many non-idempotent prompts ran more than once."""
-        names = tuple(
-            f'{each.call_class.name}:'
-            for each in self._classes
-            if not each.call_class.idempotent and not each.call_class.service
+        prompt_prefixes = tuple(
+            f'{demo_class.call_class.name}:'
+            for demo_class in self._classes
+            if not demo_class.call_class.idempotent
+            and not demo_class.call_class.service
         )
-        runs: Counter[str] = Counter()
+        execution_counts: Counter[str] = Counter()
         for server in self._site.engines.values():
             for prompt, count in server.engine.prompts_executed.items():
-                if prompt.startswith(names):
-                    runs[prompt] += count
-        return sum(1 for count in runs.values() if count > 1)
+                if prompt.startswith(prompt_prefixes):
+                    execution_counts[prompt] += count
+        return sum(1 for count in execution_counts.values() if count > 1)
 
 
 async def run_soak(seconds: float, seed: int) -> dict[str, Any]:
--- a/benches/soak_site.py
+++ b/benches/soak_site.py
@@ -172,9 +172,9 @@
     """Return two free ports; the system assigns ephemeral ports in turn."""
     sockets = [socket.socket() for _ in range(2)]
     try:
-        for each in sockets:
-            each.bind((LOOPBACK, 0))
-        return [int(each.getsockname()[1]) for each in sockets]
+        for sock in sockets:
+            sock.bind((LOOPBACK, 0))
+        return [int(sock.getsockname()[1]) for sock in sockets]
     finally:
-        for each in sockets:
-            each.close()
+        for sock in sockets:
+            sock.close()
