--- a/benches/capacity_roles/fake_log.py
+++ b/benches/capacity_roles/fake_log.py
@@ -45,8 +45,8 @@
             action.stream,
             ok=True,
             records=tuple(
-                LogRecord(start + position, payload)
-                for position, payload in enumerate(payloads)
+                LogRecord(start + position, record)
+                for position, record in enumerate(payloads)
             ),
             end_offset=len(records),
         )
--- a/benches/capacity_roles/part_mesh.py
+++ b/benches/capacity_roles/part_mesh.py
@@ -127,7 +127,7 @@
             before_ns = sum(counter.spent_ns for counter in self._counters.values())
             self.run(window_ms)
             spent_ns = (
-                sum(counter.spent_ns for counter in self._counters.values()) - before_ns
+                sum(traffic.spent_ns for traffic in self._counters.values()) - before_ns
             )
             processor_us.append(spent_ns / NS_PER_US / len(self._counters))
         counters = self._counters.values()
--- a/benches/days/__main__.py
+++ b/benches/days/__main__.py
@@ -43,7 +43,9 @@
     print('|---|---|---|---|---|---|---|')
     for result in results:
         print(result.row())
-    failed = [result for result in results if result.broken or result.error]
+    failed = [
+        day_result for day_result in results if day_result.broken or day_result.error
+    ]
     return FAILED_STATUS if failed else 0
 
 
