--- a/benches/gateway_soak/endpoint.py
+++ b/benches/gateway_soak/endpoint.py
@@ -23,11 +23,11 @@
 
 
 class SoakEndpoint:
-    """Runs requests and records each run.
+    """Executes requests and records each execution.
 
     :param name: identifies this run of the endpoint.
     :param service: ``desk`` or ``pool``.
-    :param ledger: records the runs.
+    :param ledger: records the executions.
     :param rng: random numbers for its faults.
     """
 
@@ -45,7 +45,7 @@
         self.stated_headers: tuple[tuple[str, str], ...] = ()
         # Times of received calls and of started requests.
         self.call_times_s: list[float] = []
-        self.run_times_s: list[float] = []
+        self.execution_times_s: list[float] = []
         self._ledger = ledger
         self._rng = rng
         self._sequence = 0
@@ -89,12 +89,12 @@
             exchange.respond(503, (('not-executed', '1'), *self.stated_headers), b'')
             return
         attempt = headers['attempt-id']
-        self._record_run(attempt, headers)
-        await self._run(exchange, attempt, headers)
+        self._record_execution(attempt, headers)
+        await self._execute(exchange, attempt, headers)
 
-    def _record_run(self, attempt: str, headers: dict[str, str]) -> None:
-        self.run_times_s.append(asyncio.get_running_loop().time())
-        self._ledger.record_run(attempt, self.name, 'authorization' in headers)
+    def _record_execution(self, attempt: str, headers: dict[str, str]) -> None:
+        self.execution_times_s.append(asyncio.get_running_loop().time())
+        self._ledger.record_execution(attempt, self.name, 'authorization' in headers)
         reachable_since_s = self._ledger.store_reachable_since_s()
         if self.drain_started_s is None or reachable_since_s is None:
             return
@@ -102,12 +102,12 @@
             self.drain_started_s, reachable_since_s
         )
         if late_s > DRAIN_LIMIT_S + DRAIN_SLACK_S:
-            self._ledger.record_late_run(attempt, self.name, late_s)
+            self._ledger.record_late_execution(attempt, self.name, late_s)
 
-    async def _run(
+    async def _execute(
         self, exchange: ServerExchange, attempt: str, headers: dict[str, str]
     ) -> None:
-        run_headers = (
+        response_headers = (
             ('attempt-id', attempt),
             (SIGNATURE_HEADER, self.name),
             *self.stated_headers,
@@ -118,12 +118,12 @@
             if aborts:
                 exchange.abort()
             else:
-                exchange.respond(200, run_headers, b'ran ' + exchange.request.body)
+                exchange.respond(200, response_headers, b'ran ' + exchange.request.body)
             return
         last_event = int(headers.get('last-event-id', 0))
         events = int(headers['token-count'].partition(',')[2])
         abort_at = self._rng.randint(last_event, events) if aborts else None
-        exchange.start(200, (*run_headers, ('content-type', 'text/event-stream')))
+        exchange.start(200, (*response_headers, ('content-type', 'text/event-stream')))
         for number in range(last_event + 1, events + 1):
             if number == abort_at or self.crashed:
                 # Cut within an event, as when a process dies while it writes.
--- a/benches/gateway_soak/faults.py
+++ b/benches/gateway_soak/faults.py
@@ -6,7 +6,7 @@
 import signal
 from typing import TYPE_CHECKING
 
-from benches.gateway_soak.proxy import Harm
+from benches.gateway_soak.proxy import ProxyFault
 from savorychute.registry import Registry
 
 if TYPE_CHECKING:
@@ -32,15 +32,17 @@
     await asyncio.sleep(0.2 + site.rng.random() * MAX_FAULT_S)
 
 
-async def _disturb(site: Site, proxies: list[Proxy], harm: Harm) -> None:
+async def _inject_proxy_fault(
+    site: Site, proxies: list[Proxy], proxy_fault: ProxyFault
+) -> None:
     for proxy in proxies:
-        proxy.set_harm(harm)
-        if harm is Harm.REFUSE:
+        proxy.set_fault(proxy_fault)
+        if proxy_fault is ProxyFault.REFUSE:
             proxy.reset_all()
     await _wait_random(site)
     for proxy in proxies:
-        proxy.set_harm(Harm.NONE)
-        if harm is Harm.SILENT:
+        proxy.set_fault(ProxyFault.NONE)
+        if proxy_fault is ProxyFault.SILENT:
             proxy.reset_all()
 
 
@@ -96,9 +98,16 @@
 @FAULTS.register('store-cut')
 async def disturb_store(site: Site) -> None:
     """Disturb the connections of one gateway to the store."""
-    harm = site.rng.choice([Harm.DELAY, Harm.SILENT, Harm.ANSWERS_LOST, Harm.REFUSE])
+    proxy_fault = site.rng.choice(
+        [
+            ProxyFault.DELAY,
+            ProxyFault.SILENT,
+            ProxyFault.ANSWERS_LOST,
+            ProxyFault.REFUSE,
+        ]
+    )
     with site.ledger.store_unreachable():
-        await _disturb(site, [_choose_gateway(site).store], harm)
+        await _inject_proxy_fault(site, [_choose_gateway(site).store], proxy_fault)
 
 
 @FAULTS.register('store-down')
@@ -131,8 +140,15 @@
     """Disturb the connections to one endpoint."""
     proxy = _choose_endpoint(site).proxy
     assert proxy is not None
-    harm = site.rng.choice([Harm.DELAY, Harm.SILENT, Harm.ANSWERS_LOST, Harm.REFUSE])
-    await _disturb(site, [proxy], harm)
+    proxy_fault = site.rng.choice(
+        [
+            ProxyFault.DELAY,
+            ProxyFault.SILENT,
+            ProxyFault.ANSWERS_LOST,
+            ProxyFault.REFUSE,
+        ]
+    )
+    await _inject_proxy_fault(site, [proxy], proxy_fault)
 
 
 @FAULTS.register('reset')
--- a/benches/gateway_soak/ledger.py
+++ b/benches/gateway_soak/ledger.py
@@ -1,4 +1,4 @@
-"""Records of attempts, runs and responses, and the check of the guarantees."""
+"""Records of attempts, executions and responses, and the check of the guarantees."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.sent: dict[str, SentAttempt] = {}
-        self.runs: dict[str, list[str]] = defaultdict(list)
+        self.executions: dict[str, list[str]] = defaultdict(list)
         self.statuses: dict[str, int] = {}
         self.counts: Counter[str] = Counter()
         self.violations: list[str] = []
@@ -55,16 +55,18 @@
         """Return since when all gateways can read the store, or None if one cannot."""
         return None if self._open_disturbances else self._reachable_since_s
 
-    def record_run(self, attempt: str, endpoint: str, has_caller_key: bool) -> None:
+    def record_execution(
+        self, attempt: str, endpoint: str, has_caller_key: bool
+    ) -> None:
         """Record that an endpoint started to run an attempt."""
-        self.runs[attempt].append(endpoint)
+        self.executions[attempt].append(endpoint)
         if has_caller_key:
             self.violations.append(f"{attempt}: a caller's key reached {endpoint}")
         if attempt not in self.sent:
             self.violations.append(f'{attempt}: ran, but no caller sent it')
 
-    def record_late_run(self, attempt: str, endpoint: str, late_s: float) -> None:
-        """Record a run that an endpoint started after its drain limit."""
+    def record_late_execution(self, attempt: str, endpoint: str, late_s: float) -> None:
+        """Record an execution that an endpoint started after its drain limit."""
         self.violations.append(
             f'{attempt}: ran at {endpoint}, leaving for {late_s:.2f} s'
         )
@@ -90,7 +92,7 @@
     def check(self) -> list[str]:
         """Return all violations, including those that only the full records show."""
         violations = list(self.violations)
-        for attempt, endpoints in self.runs.items():
+        for attempt, endpoints in self.executions.items():
             sent = self.sent.get(attempt)
             if sent is None:
                 continue
--- a/benches/gateway_soak/platform.py
+++ b/benches/gateway_soak/platform.py
@@ -78,7 +78,7 @@
             if len(counts) > 1
         ]
         violations += [
-            f'number {fencing} was used by {sorted(holders)}'
+            f'fencing number {fencing} was used by {sorted(holders)}'
             for fencing, holders in self._holders.items()
             if len(holders) > 1
         ]
--- a/benches/gateway_soak/play.py
+++ b/benches/gateway_soak/play.py
@@ -14,7 +14,7 @@
 from benches.gateway_soak.ledger import Ledger
 from benches.gateway_soak.platform import restore_older_copies
 from benches.gateway_soak.site import Site
-from benches.gateway_soak.statements import StatementDrill
+from benches.gateway_soak.statements import StatementChecker
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -70,46 +70,48 @@
     site = Site(folder, ledger, rng)
     counts: Counter[str] = Counter()
     await site.start(gateways, duties=older_copies)
-    senders = [
+    caller_tasks = [
         asyncio.create_task(Caller(number, site, ledger, rng).run())
         for number in range(callers)
     ]
-    drills = []
+    background_tasks = []
     if older_copies:
-        own_rng = random.Random(rng.random())
-        drill = asyncio.create_task(restore_older_copies(site, own_rng))
-        drills.append(drill)
-    statement_drill = (
-        StatementDrill(site, random.Random(rng.random())) if statements else None
+        restore_rng = random.Random(rng.random())
+        background_task = asyncio.create_task(restore_older_copies(site, restore_rng))
+        background_tasks.append(background_task)
+    statement_checker = (
+        StatementChecker(site, random.Random(rng.random())) if statements else None
     )
     try:
         await _wait_until_served(ledger)
         await asyncio.sleep(QUIET_S)
-        if statement_drill is not None:
-            drills.append(asyncio.create_task(statement_drill.run()))
+        if statement_checker is not None:
+            background_tasks.append(asyncio.create_task(statement_checker.run()))
         await _inject_faults(
             site, seconds, counts, WEIGHTED_FAULTS if statements else list(FAULTS)
         )
-        for drill in drills:
-            drill.cancel()
-            await asyncio.gather(drill, return_exceptions=True)
+        for background_task in background_tasks:
+            background_task.cancel()
+            await asyncio.gather(background_task, return_exceptions=True)
         site.store.mode = 'up'
         if older_copies:
             site.rewrite_lost()
         violations = await _check_recovery(ledger) if settle else []
     finally:
-        for sender in (*senders, *drills):
-            sender.cancel()
-        await asyncio.gather(*senders, return_exceptions=True)
+        for task in (*caller_tasks, *background_tasks):
+            task.cancel()
+        await asyncio.gather(*caller_tasks, return_exceptions=True)
         await site.stop()
-    codes = [each.process.returncode for each in site.gateways if each.process]
+    exit_codes = [
+        gateway.process.returncode for gateway in site.gateways if gateway.process
+    ]
     # A negative code means a signal, and only the soak sends signals.
-    if any(code is not None and code > 0 for code in codes):
-        violations.append(f'a gateway ended with codes {codes}')
+    if any(code is not None and code > 0 for code in exit_codes):
+        violations.append(f'a gateway ended with exit codes {exit_codes}')
     violations.extend(find_tracebacks(folder))
-    if statement_drill is not None:
-        ledger.counts['statements'] = statement_drill.statement_count
-        violations.extend(statement_drill.check())
+    if statement_checker is not None:
+        ledger.counts['statements'] = statement_checker.statement_count
+        violations.extend(statement_checker.check())
     if site.platform is not None:
         ledger.counts['windows'] = site.platform.windows
         violations.extend(site.platform.check())
@@ -143,14 +145,14 @@
 async def _check_recovery(ledger: Ledger) -> list[str]:
     """Return the violations in the quiet seconds after all faults."""
     await asyncio.sleep(SETTLE_S)
-    before = Counter(ledger.counts)
+    old_counts = Counter(ledger.counts)
     await asyncio.sleep(QUIET_S)
-    new_counts = Counter(ledger.counts) - before
+    new_counts = Counter(ledger.counts) - old_counts
     if (
         new_counts['200'] < MIN_SERVED_SHARE * sum(new_counts.values())
         or not new_counts['200']
     ):
-        return [f'not recovered: {dict(new_counts)} in {QUIET_S} s of calm']
+        return [f'not recovered: {dict(new_counts)} in {QUIET_S} s without faults']
     return []
 
 
--- a/benches/gateway_soak/proxy.py
+++ b/benches/gateway_soak/proxy.py
@@ -11,7 +11,7 @@
 DELAY_S = 0.15
 
 
-class Harm(Enum):
+class ProxyFault(Enum):
     """A fault that applies to the forwarded bytes."""
 
     NONE = auto()
@@ -29,7 +29,7 @@
 
     def __init__(self, target_port: int) -> None:
         self.target_port = target_port
-        self.harm = Harm.NONE
+        self.fault = ProxyFault.NONE
         self.port = 0
         # Times at which the fault changed or connections were reset.
         self.events_s: list[float] = []
@@ -41,12 +41,12 @@
         self._server = await asyncio.start_server(self._accept, LOOPBACK, 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def set_harm(self, harm: Harm) -> None:
+    def set_fault(self, fault: ProxyFault) -> None:
         """Apply another fault from now on.
 
-        :param harm: the fault.
+        :param fault: the fault.
         """
-        self.harm = harm
+        self.fault = fault
         self.events_s.append(asyncio.get_running_loop().time())
 
     def reset_all(self) -> None:
@@ -64,7 +64,7 @@
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.harm is Harm.REFUSE:
+        if self.fault is ProxyFault.REFUSE:
             writer.transport.abort()
             return
         try:
@@ -92,7 +92,7 @@
     ) -> None:
         with suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                if self.harm is Harm.DELAY:
+                if self.fault is ProxyFault.DELAY:
                     await asyncio.sleep(DELAY_S)
                 while self._is_blocked(is_response):
                     await asyncio.sleep(DELAY_S)
@@ -104,6 +104,6 @@
         writer.transport.abort()
 
     def _is_blocked(self, is_response: bool) -> bool:
-        if self.harm is Harm.SILENT:
+        if self.fault is ProxyFault.SILENT:
             return True
-        return is_response and self.harm is Harm.ANSWERS_LOST
+        return is_response and self.fault is ProxyFault.ANSWERS_LOST
--- a/benches/gateway_soak/site.py
+++ b/benches/gateway_soak/site.py
@@ -105,7 +105,9 @@
             await self.process.wait()
 
     def _make_settings(self, **fields: Any) -> dict[str, Any]:
-        caller, readiness, discovery, metrics, peer = self.ports
+        caller_port, readiness_port, discovery_port, metrics_port, peer_port = (
+            self.ports
+        )
         if self._duty_port is not None:
             fields = DUTY_FIELDS | fields
             fields['duty_address'] = f'{LOOPBACK}:{self._duty_port}'
@@ -113,11 +115,11 @@
             'instance': f'soak-{self.number}',
             'region': 'soak',
             'failure_domain': f'domain-{self.number % 3}',
-            'caller_address': f'{LOOPBACK}:{caller}',
-            'readiness_address': f'{LOOPBACK}:{readiness}',
-            'discovery_address': f'{LOOPBACK}:{discovery}',
-            'metrics_port': metrics,
-            'peer_port': peer,
+            'caller_address': f'{LOOPBACK}:{caller_port}',
+            'readiness_address': f'{LOOPBACK}:{readiness_port}',
+            'discovery_address': f'{LOOPBACK}:{discovery_port}',
+            'metrics_port': metrics_port,
+            'peer_port': peer_port,
             'store_address': f'{LOOPBACK}:{self.store.port}',
             'extension_paths': [str(ROOT / 'platform')],
             'extensions': ['fleet'],
@@ -130,7 +132,7 @@
         """Rewrite the settings, sometimes with an invalid value.
 
         A process that is starting has not read the file yet, and ends if it is invalid.
-        Until it has read the file, it is replaced in one step by a valid one.
+        Until the process has read it, the file is atomically replaced by a valid one.
         """
         slack = rng.choice([40, 50, 60, 'many'])
         if self.has_read_settings():
--- a/benches/gateway_soak/statements.py
+++ b/benches/gateway_soak/statements.py
@@ -13,7 +13,7 @@
     from benches.gateway_soak.endpoint import SoakEndpoint
     from benches.gateway_soak.site import Site
 
-MAX_GAP_S = 1.0
+MAX_STATEMENT_GAP_S = 1.0
 # A limit holds within any span of this length, from NOTICE_S after its first statement.
 SPAN_S = 4.0
 NOTICE_S = 3.0
@@ -23,13 +23,13 @@
 # NOTICE_S and this.
 DRAIN_S = 2.0
 LEAVE_DURATION_S = 4.0
-REST_S = 2.0
+BACKOFF_S = 2.0
 PROPAGATION_S = 0.5
 # Approximate maximum duration of a fault; one that started before a span may reach
 # into it.
 MAX_FAULT_S = 4.0
 # Per instance: the refused call, and those that the caller rule permits in addition.
-MAX_REST_CALLS = 3
+MAX_BACKOFF_CALLS = 3
 
 
 class Statement(NamedTuple):
@@ -43,7 +43,7 @@
     limit_per_s: float = 0.0
 
 
-class StatementDrill:
+class StatementChecker:
     """Lets endpoints make statements and checks the calls that they get.
 
     A gateway that starts, ends, is suspended or resumed, or can't reach the endpoint,
@@ -62,12 +62,12 @@
         """Let endpoints make statements until the task is cancelled."""
         async with asyncio.TaskGroup() as tasks:
             while True:
-                await asyncio.sleep(self._rng.random() * MAX_GAP_S)
+                await asyncio.sleep(self._rng.random() * MAX_STATEMENT_GAP_S)
                 endpoint = self._rng.choice(self._site.endpoints)
                 if endpoint.stated_headers or endpoint.drain_started_s is not None:
                     continue
                 make_statement = self._rng.choice(
-                    [self._state_limit, self._state_leaving, self._state_rest]
+                    [self._state_limit, self._state_leaving, self._state_backoff]
                 )
                 tasks.create_task(make_statement(endpoint))
 
@@ -83,11 +83,11 @@
         await self._hold_statement('leaving', endpoint, LEAVE_DURATION_S)
         self._site.remove_entry(endpoint)
 
-    async def _state_rest(self, endpoint: SoakEndpoint) -> None:
-        endpoint.stated_headers = (('retry-after', str(REST_S)),)
+    async def _state_backoff(self, endpoint: SoakEndpoint) -> None:
+        endpoint.stated_headers = (('retry-after', str(BACKOFF_S)),)
         endpoint.is_full = True
         try:
-            await self._hold_statement('rest', endpoint, REST_S)
+            await self._hold_statement('rest', endpoint, BACKOFF_S)
         finally:
             endpoint.is_full = False
 
@@ -109,8 +109,8 @@
 
     def check(self) -> list[str]:
         """Return the calls that violated what endpoints stated."""
-        found = [self._check_statement(each) for each in self._statements]
-        return [line for line in found if line]
+        results = [self._check_statement(statement) for statement in self._statements]
+        return [line for line in results if line]
 
     @property
     def statement_count(self) -> int:
@@ -125,7 +125,7 @@
             return self._check_limit(statement)
         if statement.kind == 'leaving':
             return self._check_leaving(statement)
-        return self._check_rest(statement)
+        return self._check_backoff(statement)
 
     def _check_limit(self, statement: Statement) -> str:
         # Calls before the statement, and those in transit, are no violation.
@@ -133,28 +133,28 @@
         call_times_s = _between(
             statement.endpoint.call_times_s, received_s, statement.until_s
         )
-        allowed = 1.5 * statement.limit_per_s * SPAN_S + 5
+        max_calls = 1.5 * statement.limit_per_s * SPAN_S + 5
         for at_s in _between(
             call_times_s, statement.from_s + NOTICE_S, statement.until_s
         ):
-            received = len(_between(call_times_s, at_s - SPAN_S, at_s))
-            if received > allowed and self._is_undisturbed(
+            call_count = len(_between(call_times_s, at_s - SPAN_S, at_s))
+            if call_count > max_calls and self._is_undisturbed(
                 statement, at_s - SPAN_S, at_s
             ):
                 return (
-                    f'{statement.endpoint.name}: {received} calls in {SPAN_S} s '
+                    f'{statement.endpoint.name}: {call_count} calls in {SPAN_S} s '
                     f'until {at_s - statement.from_s:.1f} s after its statement, '
-                    f'{allowed} allowed by its limit'
+                    f'{max_calls} allowed by its limit'
                 )
         return ''
 
     def _check_leaving(self, statement: Statement) -> str:
-        run_times_s = statement.endpoint.run_times_s
-        received_s = _between(run_times_s, statement.from_s, statement.until_s)
+        execution_times_s = statement.endpoint.execution_times_s
+        received_s = _between(execution_times_s, statement.from_s, statement.until_s)
         if not received_s:
             return ''
         for at_s in _between(
-            run_times_s, received_s[0] + NOTICE_S + DRAIN_S, float('inf')
+            execution_times_s, received_s[0] + NOTICE_S + DRAIN_S, float('inf')
         ):
             if self._is_undisturbed(statement, received_s[0], at_s):
                 late_s = at_s - received_s[0]
@@ -164,16 +164,16 @@
                 )
         return ''
 
-    def _check_rest(self, statement: Statement) -> str:
+    def _check_backoff(self, statement: Statement) -> str:
         call_times_s = _between(
             statement.endpoint.call_times_s, statement.from_s, statement.until_s
         )
-        max_calls = MAX_REST_CALLS * len(self._site.gateways)
+        max_calls = MAX_BACKOFF_CALLS * len(self._site.gateways)
         if len(call_times_s) > max_calls and self._is_undisturbed(
             statement, statement.from_s, statement.until_s
         ):
             return (
-                f'{statement.endpoint.name}: {len(call_times_s)} calls in a rest, '
+                f'{statement.endpoint.name}: {len(call_times_s)} calls in a backoff, '
                 f'{max_calls} allowed'
             )
         return ''
