--- a/tests/test_faults/test_matrix.py
+++ b/tests/test_faults/test_matrix.py
@@ -47,19 +47,19 @@
     assert len(set(pairs)) == PAIRS
 
 
-def test_command_line_prints_the_grid(capsys):
+def test_command_line_prints_the_results_of_cells(capsys):
     arguments = ['faults', '--fault', 'log-slow', '--kind', 'amendment', '--json']
     assert main(arguments) == 0
     assert '"cells": 5, "reached": 5, "broken": 0' in capsys.readouterr().out
 
 
 def test_quick_sample_has_every_fault_and_every_step():
-    everything = list_singles()
+    all_cells = list_singles()
     sample = sample_singles(3)
 
-    assert {cell.faults for cell in sample} == {cell.faults for cell in everything}
+    assert {cell.faults for cell in sample} == {cell.faults for cell in all_cells}
     assert {(cell.kind, cell.step) for cell in sample} == {
-        (cell.kind, cell.step) for cell in everything
+        (cell.kind, cell.step) for cell in all_cells
     }
-    assert len(sample) < len(everything) / 10
+    assert len(sample) < len(all_cells) / 10
     assert sample == sample_singles(3)
--- a/tests/test_testing/test_engine.py
+++ b/tests/test_testing/test_engine.py
@@ -85,12 +85,12 @@
     prompt = '#tokens=40 tap'
     events = engine.submit(make_request('a', prompt, keep_on_close=True), 0)
     events += engine.advance(100)
-    seen = join_text(events, 'a')
-    offset = seen.count(' ')
+    received_text = join_text(events, 'a')
+    offset = received_text.count(' ')
     engine.close('a', 100)
     resumed = engine.resume('s-a', 'b', offset, 500)
     resumed += engine.advance(LONG_MS)
-    assert seen + join_text(resumed, 'b') == write_answer(prompt, 0)
+    assert received_text + join_text(resumed, 'b') == write_answer(prompt, 0)
     assert engine.generated_tokens == 40
 
 
@@ -159,7 +159,7 @@
     assert engine.executions == {}
 
 
-def test_hung_engine_runs_requests_after_it_resumes(engine):
+def test_unresponsive_engine_runs_requests_after_it_continues(engine):
     engine.set_unresponsive(True, 0)
     assert engine.submit(make_request('a'), 10) == []
     assert engine.advance(5_000) == []
@@ -168,7 +168,7 @@
 
 
 def test_straggler_takes_longer():
-    times = []
+    end_times_ms = []
     for factor in (1, 5):
         engine = ModelEngine(EngineSettings(), Random(1))
         engine.set_slowdown(factor, 0)
@@ -176,8 +176,8 @@
         while engine.next_event_ms() is not None:
             last_ms = engine.next_event_ms()
             engine.advance(last_ms)
-        times.append(last_ms)
-    assert times[1] == pytest.approx(5 * times[0], rel=0.01)
+        end_times_ms.append(last_ms)
+    assert end_times_ms[1] == pytest.approx(5 * end_times_ms[0], rel=0.01)
 
 
 def test_report_is_delayed():
@@ -186,8 +186,8 @@
     engine.submit(make_request('a', '#tokens=4000'), 100)
     engine.report(0, 1_000)
     assert engine.report(0, 2_500).running == 0
-    late = engine.report(0, 3_100)
-    assert (late.running, late.age_ms) == (1, 2_100)
+    later_report = engine.report(0, 3_100)
+    assert (later_report.running, later_report.age_ms) == (1, 2_100)
 
 
 def test_old_fencing_number_is_refused_only_by_engines_that_check():
--- a/tests/test_testing/test_loaded_modules.py
+++ b/tests/test_testing/test_loaded_modules.py
@@ -14,11 +14,11 @@
     Their examples are drawn from the constants of all loaded modules, which would
     otherwise depend on the tests that a worker ran before.
     """
-    wanted = {
+    module_names = {
         '.'.join(path.relative_to(ROOT).with_suffix('').parts)
         for package in ('savorychute', 'benches')
         for path in (ROOT / package).rglob('*.py')
         if path.name not in ('__init__.py', '__main__.py')
     }
 
-    assert wanted <= set(sys.modules)
+    assert module_names <= set(sys.modules)
--- a/tests/test_testing/test_platform.py
+++ b/tests/test_testing/test_platform.py
@@ -43,9 +43,9 @@
     log = AppendLog(LogSettings(retention_ms=1_000), Random(1))
     log.append('a', b'old', 0)
     log.append('a', b'new', 900)
-    answer = log.read('a', 0, 9, 1_500)
-    assert (answer.first_offset, answer.end_offset) == (1, 2)
-    assert answer.records[0].payload == b'new'
+    read_result = log.read('a', 0, 9, 1_500)
+    assert (read_result.first_offset, read_result.end_offset) == (1, 2)
+    assert read_result.records[0].payload == b'new'
 
 
 def test_log_that_is_down_refuses():
@@ -79,7 +79,7 @@
     assert service.executions == {}
 
 
-def test_unresponsive_service_executes_after_it_resumes():
+def test_unresponsive_service_executes_calls_after_it_continues():
     service = PlainService(ServiceSettings())
     service.set_unresponsive(True, 0)
     assert service.submit(CALL, 0) == []
--- a/tests/test_testing/test_simulation.py
+++ b/tests/test_testing/test_simulation.py
@@ -65,8 +65,8 @@
 
     def deliver(self, message, now_ms):
         if isinstance(message, OperatorCommand):
-            answer = msgspec.json.encode({'accepted': False})
-            return [OperatorReply(message.command_id, answer)]
+            document = msgspec.json.encode({'accepted': False})
+            return [OperatorReply(message.command_id, document)]
         if isinstance(message, CallerRequest):
             return self.start_request(message)
         if isinstance(message, AttemptChunk):
@@ -226,5 +226,5 @@
     faults = [(2_000, lambda simulation: simulation.instances['entry-01'].crash())]
     simulation = run_simulation(SimpleInstance, faults=faults)
     assert all(call.is_finished for call in simulation.callers.calls)
-    late = [call for call in simulation.callers.calls if call.started_ms > 12_000]
-    assert all(call.is_complete for call in late)
+    late_calls = [call for call in simulation.callers.calls if call.started_ms > 12_000]
+    assert all(call.is_complete for call in late_calls)
--- a/tests/test_testing/test_stand_in_servers.py
+++ b/tests/test_testing/test_stand_in_servers.py
@@ -28,10 +28,10 @@
     lines += [f'{name}: {value}' for name, value in headers]
     lines += [f'content-length: {len(body)}', '', '']
     writer.write('\r\n'.join(lines).encode() + body)
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
-    head, _, rest = answer.partition(b'\r\n\r\n')
-    return int(head.split()[1]), head.decode().lower(), rest
+    head, _, response_body = response.partition(b'\r\n\r\n')
+    return int(head.split()[1]), head.decode().lower(), response_body
 
 
 def chat(stream):
@@ -112,7 +112,7 @@
     assert b'[DONE]' not in asyncio.run(run())
 
 
-def test_service_log_and_list_speak_http():
+def test_service_log_and_list_are_served_over_http():
     async def run():
         log = AppendLog(LogSettings(), Random(1))
         service = PlainService(ServiceSettings(service_ms=1))
--- a/tests/test_testing/test_virtual_loop.py
+++ b/tests/test_testing/test_virtual_loop.py
@@ -39,7 +39,7 @@
 
 
 def test_no_time_passes_while_bytes_are_in_transit():
-    """Guards against a timeout that fires although the answer was sent.
+    """Guards against a timeout that fires although the response was sent.
 
     A call over loopback has a timeout of an hour.  The time must not advance to it
     while bytes of the call wait in the kernel.
