--- a/benches/bench_row.py
+++ b/benches/bench_row.py
@@ -1,4 +1,4 @@
-"""The result row of a bench."""
+"""The result row of a benchmark."""
 
 from __future__ import annotations
 
--- a/benches/capacity_roles/claims_role.py
+++ b/benches/capacity_roles/claims_role.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from benches.capacity_roles.fake_log import FakeLog
+from benches.capacity_roles.counting_log import CountingLog
 from benches.capacity_roles.measuring import allocated_bytes
 from benches.capacity_roles.part_mesh import PartMesh, choose_sampled
 from benches.capacity_roles.role_sample import RoleSample
@@ -62,7 +62,7 @@
         self,
         own: MemberAddress,
         alive: tuple[MemberAddress, ...],
-        log: FakeLog,
+        log: CountingLog,
         parts: dict[str, SimulatedClaimManager],
         rate_per_ms: float,
         rng: Random,
@@ -149,7 +149,7 @@
     :param instances: the size of the system.
     """
     alive = make_members(instances)
-    log = FakeLog()
+    log = CountingLog()
     target = Target(instances)
     rate_per_ms = target.requests_per_s * CLAIMED_SHARE / instances / MS_PER_S
     parts: dict[str, SimulatedClaimManager] = {}
--- a/benches/capacity_roles/configuration_role.py
+++ b/benches/capacity_roles/configuration_role.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from benches.capacity_roles.fake_log import FakeLog
+from benches.capacity_roles.counting_log import CountingLog
 from benches.capacity_roles.measuring import allocated_bytes
 from benches.capacity_roles.part_mesh import Costs, PartMesh, choose_sampled
 from benches.capacity_roles.role_sample import RoleSample
@@ -58,7 +58,7 @@
         self,
         own: MemberAddress,
         alive: tuple[MemberAddress, ...],
-        log: FakeLog,
+        log: CountingLog,
         rng: Random,
     ) -> None:
         self.manager = ConfigurationManager(ConfigurationSettings(), own, rng)
@@ -104,7 +104,7 @@
 
     :param instances: the size of the system.
     """
-    log = FakeLog()
+    log = CountingLog()
     log.streams['configuration'] = [make_amendment(0, 'contract:organisation-0000', 0)]
     alive = make_members(instances)
     parts = {
--- a/benches/capacity_roles/fake_log.py
+++ b/benches/capacity_roles/counting_log.py
@@ -11,7 +11,7 @@
     from savorychute.actions import AppendRecord, ReadRecords
 
 
-class FakeLog:
+class CountingLog:
     """Executes each operation at once and counts the operations."""
 
     def __init__(self) -> None:
--- a/benches/capacity_roles/lease_role.py
+++ b/benches/capacity_roles/lease_role.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from benches.capacity_roles.fake_log import FakeLog
+from benches.capacity_roles.counting_log import CountingLog
 from benches.capacity_roles.part_mesh import PartMesh, choose_sampled
 from benches.capacity_roles.role_sample import RoleSample
 from benches.capacity_roles.roles import role
@@ -37,7 +37,9 @@
     :param rng: random numbers for the manager.
     """
 
-    def __init__(self, instance: str, lease: str, log: FakeLog, rng: Random) -> None:
+    def __init__(
+        self, instance: str, lease: str, log: CountingLog, rng: Random
+    ) -> None:
         self.manager = LeaseManager(LeaseSettings(), instance, rng)
         self.manager.want(lease)
         self.lease = lease
@@ -82,7 +84,7 @@
     :param instances: the size of the system.
     """
     regions = Target(instances).regions
-    log = FakeLog()
+    log = CountingLog()
     parts = {
         f'entry-{number:04}': SimulatedLeaseHolder(
             f'entry-{number:04}', f'orders:{number % regions}', log, Random(number)
--- a/benches/capacity_roles/snapshot_role.py
+++ b/benches/capacity_roles/snapshot_role.py
@@ -27,13 +27,13 @@
     """
     fold = build_fold(instances)
     settings = ConfigurationSettings()
-    data = encode_state(fold)
-    parts = split_state(data, settings.snapshot_part_bytes)
+    encoded_state = encode_state(fold)
+    parts = split_state(encoded_state, settings.snapshot_part_bytes)
     encoding_us = time_us(lambda: encode_state(fold))
     interval_s = settings.snapshot_interval_ms / MS_PER_S
     return RoleSample(
         instances,
-        state_bytes=float(len(data)),
+        state_bytes=float(len(encoded_state)),
         processor_us_per_s=encoding_us / interval_s / instances,
         busiest_loop_ms=encoding_us / MS_PER_S,
         log_appends_per_s=len(parts) / interval_s / instances,
--- a/benches/configuration.py
+++ b/benches/configuration.py
@@ -171,11 +171,11 @@
 
 
 def _bench_memory(records: list[LogRecord]) -> list[BenchRow]:
-    data = encode_state(fold_all(records))
+    encoded_state = encode_state(fold_all(records))
     gc.collect()
     tracemalloc.start()
     fold = ConfigurationFold()
-    fold.adopt(*decode_state(data))
+    fold.adopt(*decode_state(encoded_state))
     gc.collect()
     retained_bytes = tracemalloc.get_traced_memory()[0]
     documents = [
@@ -195,11 +195,11 @@
 
 def _bench_join(records: list[LogRecord], repeats: int) -> list[BenchRow]:
     fold = fold_all(records)
-    data = encode_state(fold)
+    encoded_state = encode_state(fold)
 
     def join() -> None:
         joined = ConfigurationFold()
-        joined.adopt(*decode_state(data))
+        joined.adopt(*decode_state(encoded_state))
 
     log_bytes = sum(len(record.payload) for record in records)
     return [
@@ -209,7 +209,7 @@
             'ms',
             _median_ms(lambda: fold_all(records), repeats),
         ),
-        make_row('join from a peer / log', len(data), 'bytes', log_bytes),
+        make_row('join from a peer / log', len(encoded_state), 'bytes', log_bytes),
         make_row(
             'hand over the state / take it',
             _median_ms(lambda: encode_state(fold), repeats),
--- a/benches/leases.py
+++ b/benches/leases.py
@@ -87,20 +87,29 @@
     """
     del repeats
     duration_s = LeaseSettings().duration_ms / MS_PER_S
-    lost = [_measure_lost(seed, rng) / MS_PER_S for seed in range(SAMPLES)]
-    released = [_measure_released(seed, rng) / MS_PER_S for seed in range(SAMPLES)]
+    lost_holder_s = [
+        _measure_lost_holder(seed, rng) / MS_PER_S for seed in range(SAMPLES)
+    ]
+    released_lease_s = [
+        _measure_released_lease(seed, rng) / MS_PER_S for seed in range(SAMPLES)
+    ]
     appends_per_s, reads_per_s = _count_quiet_hour()
     suffix = '/ duration of the lease'
     return [
         make_row(
             f'lost holder followed, median {suffix}',
-            statistics.median(lost),
+            statistics.median(lost_holder_s),
             's',
             duration_s,
         ),
-        make_row(f'lost holder followed, worst {suffix}', max(lost), 's', duration_s),
         make_row(
-            f'released lease followed, worst {suffix}', max(released), 's', duration_s
+            f'lost holder followed, worst {suffix}', max(lost_holder_s), 's', duration_s
+        ),
+        make_row(
+            f'released lease followed, worst {suffix}',
+            max(released_lease_s),
+            's',
+            duration_s,
         ),
         make_row(
             'appends by lease / one in each duration',
@@ -117,7 +126,7 @@
     ]
 
 
-def _measure_lost(seed: int, rng: random.Random) -> int:
+def _measure_lost_holder(seed: int, rng: random.Random) -> int:
     simulation = LeaseSimulation(seed)
     simulation.run(SETTLE_MS + rng.randrange(SETTLE_MS))
     simulation.candidates = [
@@ -128,7 +137,7 @@
     return simulation.wait_for_holder()
 
 
-def _measure_released(seed: int, rng: random.Random) -> int:
+def _measure_released_lease(seed: int, rng: random.Random) -> int:
     simulation = LeaseSimulation(seed)
     simulation.run(SETTLE_MS + rng.randrange(SETTLE_MS))
     holder = simulation.holder()
--- a/benches/telemetry.py
+++ b/benches/telemetry.py
@@ -89,9 +89,9 @@
 
 def _median_us(call: Callable[[], None], repeats: int) -> float:
     """Return the median time of one of :data:`CALLS` calls, in microseconds."""
-    times = []
+    mean_times_us = []
     for _ in range(repeats):
         start_ns = time.perf_counter_ns()
         call()
-        times.append((time.perf_counter_ns() - start_ns) / CALLS / NS_PER_US)
-    return statistics.median(times)
+        mean_times_us.append((time.perf_counter_ns() - start_ns) / CALLS / NS_PER_US)
+    return statistics.median(mean_times_us)
--- a/benches/wire.py
+++ b/benches/wire.py
@@ -117,13 +117,13 @@
 
 def _median_us(call: Callable[[], object], repeats: int) -> float:
     """Return the median time of one call in microseconds."""
-    medians = []
+    mean_times_us = []
     for _ in range(repeats):
         start_ns = time.perf_counter_ns()
         for _ in range(CALLS):
             call()
-        medians.append((time.perf_counter_ns() - start_ns) / CALLS / NS_PER_US)
-    return statistics.median(medians)
+        mean_times_us.append((time.perf_counter_ns() - start_ns) / CALLS / NS_PER_US)
+    return statistics.median(mean_times_us)
 
 
 def _make_ping(rng: random.Random) -> BenchPing:
--- a/savorychute/testing/engine.py
+++ b/savorychute/testing/engine.py
@@ -18,7 +18,7 @@
 from savorychute.testing.engine_load import EngineLoad
 from savorychute.testing.engine_reports import LaggingReports
 from savorychute.testing.engine_stream import EngineStream, StreamPhase
-from savorychute.testing.order_handler import EngineOrder, OrderHandler
+from savorychute.testing.order_handler import EngineOrder, EngineOrderHandler
 from savorychute.testing.weight_store import WeightStore
 
 if TYPE_CHECKING:
@@ -37,11 +37,14 @@
 
     :param settings: size and behaviour.
     :param rng: decides on gaps in the cache events and on crashes by poison.
-    :param store: the source of models; a new one by default.
+    :param weight_store: the source of models; a new one by default.
     """
 
     def __init__(
-        self, settings: EngineSettings, rng: Random, store: WeightStore | None = None
+        self,
+        settings: EngineSettings,
+        rng: Random,
+        weight_store: WeightStore | None = None,
     ) -> None:
         self.settings = settings
         self.is_up = True
@@ -52,8 +55,8 @@
         self.poison_crashes = 0
         self.executions: dict[str, int] = {}
         self.prompts_executed: dict[str, int] = {}
-        self.orders = OrderHandler(
-            settings.models, settings.checks_fencing, store or WeightStore()
+        self.orders = EngineOrderHandler(
+            settings.models, settings.checks_fencing, weight_store or WeightStore()
         )
         self.reports = LaggingReports(settings.report_lag_ms)
         self.batch = EngineBatch(settings, rng)
--- a/savorychute/testing/environment.py
+++ b/savorychute/testing/environment.py
@@ -46,7 +46,7 @@
         self.network = Network(topology.network, self.make_rng('network'))
         self.log = AppendLog(LogSettings(), self.make_rng('log'))
         self.listing = InstanceList(lag_ms=topology.listing_lag_ms)
-        self.store = WeightStore()
+        self.weight_store = WeightStore()
         self.endpoints: dict[str, EndpointHost] = {}
         self.tier_monitor = TierMonitor()
         self.calls_by_request: dict[str, Call] = {}
@@ -64,7 +64,7 @@
     def _make_endpoints(self) -> None:
         for spec in self.topology.engines:
             rng = self.make_rng(spec.document['endpoint'])
-            engine = ModelEngine(spec.settings, rng, self.store)
+            engine = ModelEngine(spec.settings, rng, self.weight_store)
             name = spec.document['endpoint']
             self.endpoints[name] = EngineHost(
                 self.heap, self.ledger, spec.document, engine
--- a/savorychute/testing/order_handler.py
+++ b/savorychute/testing/order_handler.py
@@ -17,22 +17,22 @@
     expected_state: str = ''
 
 
-class OrderHandler:
+class EngineOrderHandler:
     """The models and the role of an engine, which orders change.
 
     :param models: the models loaded at the start.
     :param checks_fencing: whether an old fencing number is refused.
-    :param store: the source of models, shared by all engines.
+    :param weight_store: the source of models, shared by all engines.
     """
 
     def __init__(
-        self, models: tuple[str, ...], checks_fencing: bool, store: WeightStore
+        self, models: tuple[str, ...], checks_fencing: bool, weight_store: WeightStore
     ) -> None:
         self.checks_fencing = checks_fencing
         self.role = 'both'
         self.highest_fencing = -1
         self.stale_orders = 0
-        self._store = store
+        self._weight_store = weight_store
         self._models = dict.fromkeys(models, 0.0)
 
     def models(self, now_ms: float) -> tuple[str, ...]:
@@ -63,7 +63,7 @@
     def _apply(self, order: EngineOrder, now_ms: float) -> str:
         if order.verb == 'load':
             if order.target not in self._models:
-                self._models[order.target] = self._store.fetch(now_ms)
+                self._models[order.target] = self._weight_store.fetch(now_ms)
         elif order.verb == 'unload':
             self._models.pop(order.target, None)
         elif order.verb == 'role':
--- a/tests/test_testing/test_stand_in_servers.py
+++ b/tests/test_testing/test_stand_in_servers.py
@@ -103,11 +103,11 @@
             head = f'POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: {len(body)}\r\n\r\n'
             writer.write(head.encode() + body)
             try:
-                data = await reader.read()
+                response = await reader.read()
             except ConnectionResetError:
-                data = b''
+                response = b''
             writer.close()
-            return data
+            return response
 
     assert b'[DONE]' not in asyncio.run(run())
 
