--- a/tests/test_instance/test_placement_handler.py
+++ b/tests/test_instance/test_placement_handler.py
@@ -104,7 +104,7 @@
     assert changes == [('engine-2', UNLOAD, 'model'), ('engine-2', LOAD, 'large')]
     assert fixture.loaded_models('engine-2') == ('large',)
     assert fixture.loaded_models('engine-1') == ('model',)
-    assert fixture.simulation.store.loads == 1
+    assert fixture.simulation.weight_store.loads == 1
     first, second = read_audit(fixture.find_holder())
     assert first[:2] == ('endpoint:engine-2', 'unload model: done')
     assert first[2].startswith('room for large: all copies in one failure domain')
