--- a/tests/test_testing/test_stand_in_servers.py
+++ b/tests/test_testing/test_stand_in_servers.py
@@ -28,10 +28,10 @@
     lines += [f'{name}: {value}' for name, value in headers]
     lines += [f'content-length: {len(body)}', '', '']
     writer.write('\r\n'.join(lines).encode() + body)
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
-    head, _, rest = answer.partition(b'\r\n\r\n')
-    return int(head.split()[1]), head.decode().lower(), rest
+    head, _, response_body = response.partition(b'\r\n\r\n')
+    return int(head.split()[1]), head.decode().lower(), response_body
 
 
 def chat(stream):
@@ -103,16 +103,16 @@
             head = f'POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\ncontent-length: {len(body)}\r\n\r\n'
             writer.write(head.encode() + body)
             try:
-                data = await reader.read()
+                response = await reader.read()
             except ConnectionResetError:
-                data = b''
+                response = b''
             writer.close()
-            return data
+            return response
 
     assert b'[DONE]' not in asyncio.run(run())
 
 
-def test_service_log_and_list_speak_http():
+def test_service_log_and_list_are_served_over_http():
     async def run():
         log = AppendLog(LogSettings(), Random(1))
         service = PlainService(ServiceSettings(service_ms=1))
